--- a/internal/place/preempt.go
+++ b/internal/place/preempt.go
@@ -33,8 +33,8 @@
 // fetchesTooLong tells whether a task would start too late for the aims of its
 // class because the node lacks its image.
 func (p *Placer) fetchesTooLong(j *wire.Job, n *Node) bool {
-	within, own := p.cfg.StartWithin(j.Class)
-	return own && !n.Image(j.Image) && n.Type.FetchGBps > 0 && j.ImageGB/n.Type.FetchGBps > within*fetchPart
+	within, own := p.cfg.StartObjective(j.Class)
+	return own && !n.Image(j.Image) && n.Type.ImageFetchGBps > 0 && j.ImageGB/n.Type.ImageFetchGBps > within*fetchPart
 }
 
 // fetchPart is the part of the time to a start that a fetch may take.
@@ -51,24 +51,24 @@
 
 // stop orders victims stopped in the record that binds their successor.
 func (p *Placer) stop(r *round, d *draft, v *Victims) {
-	rec := d.Edit(v.Node.Name)
+	rec := d.UpdateMachine(v.Node.Name)
 	for _, i := range v.Tasks {
 		task := &v.Node.Tasks[i]
 		task.Stops = true
 		v.Node.Used = v.Node.Used.Plus(RequestOf(task.Job), -1)
-		t := rec.Find(task.Job.ID, task.N)
+		t := rec.FindBinding(task.Job.ID, task.N)
 		if t == nil {
 			continue
 		}
-		t.Stop = rec.Token
+		t.StopToken = rec.FencingToken
 		// What gives way as soon as it is placed would take the next free place, and give
 		// way again: each time two writes and a launch for nothing.
-		if !task.Job.Service() && task.Spent < p.cfg.Params.Workers.ReportS {
+		if !task.Job.IsService() && task.Spent < p.cfg.Params.Workers.HeartbeatInterval {
 			p.gaveWay[t.Job] = r.now.Add(p.reportS(1))
 		}
 		d.size += stopBytes
 		grace := 0.0
-		r.stops[v.Node.Name] = append(r.stops[v.Node.Name], wire.Order{Op: wire.OpStop, Task: t.Name(), Attempt: t.Attempt, GraceS: &grace})
-		slog.Info("preempting", "task", t.Name(), "machine", v.Node.Name, "ran_s", int(task.Spent))
+		r.stops[v.Node.Name] = append(r.stops[v.Node.Name], wire.Command{Op: wire.OpStop, Task: t.TaskName(), Attempt: t.Attempt, GracePeriod: &grace})
+		slog.Info("preempting", "task", t.TaskName(), "machine", v.Node.Name, "ran_s", int(task.Spent))
 	}
 }
--- a/internal/place/proofs.go
+++ b/internal/place/proofs.go
@@ -7,14 +7,14 @@
 	"time"
 
 	"lynxledge/internal/config"
-	"lynxledge/internal/ledger"
+	"lynxledge/internal/statecache"
 	"lynxledge/wire"
 )
 
 // endCompleteJobs ends jobs whose last tasks are marked already.
 func (p *Placer) endCompleteJobs(r *round, placing bool) {
 	for job, since := range p.completeSince {
-		if !p.view.Complete(job) {
+		if !p.view.AllTasksCompleted(job) {
 			delete(p.completeSince, job)
 		} else if placing || r.now.Sub(since) > p.reportS(1) {
 			p.end(r, job)
@@ -30,24 +30,24 @@
 		if !placing || r.ops() >= r.limit/2 || !p.guardable(r) {
 			return
 		}
-		r.cancellations[id] = j.Cancelled(j.EndAt)
-		r.jobs[id] = j.Stamp
+		r.cancellations[id] = j.Cancelled(j.FinishedAt)
+		r.jobs[id] = j.ModRevision
 	}
 }
 
 // end calls a job done once all its tasks are, as far as the commit has room.
 func (p *Placer) end(r *round, job string) {
 	j := p.view.Jobs[job]
-	if !p.view.Active(job) || r.ends[job] > 0 || p.view.DoneCount(job)+r.marks[job] < j.Tasks {
+	if !p.view.Active(job) || r.ends[job] > 0 || p.view.CompletedCount(job)+r.marks[job] < j.TaskCount {
 		return
 	}
-	chunks := len(p.view.Chunks[job])
-	if r.ops()+1+min(chunks, p.cfg.Params.State.Ops()/2) > r.limit || !p.guardable(r) {
+	chunks := len(p.view.CompletionChunks[job])
+	if r.ops()+1+min(chunks, p.cfg.Params.Store.TxnOpsLimit()/2) > r.limit || !p.guardable(r) {
 		return
 	}
 	r.ends[job] = 1 + min(chunks, r.limit-r.ops()-1)
-	r.jobs[job] = j.Stamp
-	at := time.UnixMilli(j.At)
+	r.jobs[job] = j.ModRevision
+	at := time.UnixMilli(j.SubmittedAt)
 	r.log = append(r.log, func() { slog.Debug("job done", "job", job, "age_s", int(time.Since(at).Seconds())) })
 }
 
@@ -75,7 +75,7 @@
 				continue
 			}
 			waits := r.now.Sub(n.due)
-			if placing || waits > 0 && (idle || waits > config.Secs(p.cfg.Params.Workers.LeaseS)) {
+			if placing || waits > 0 && (idle || waits > config.Seconds(p.cfg.Params.Workers.LeaseDuration)) {
 				d.empty = max(d.empty, 0) + waits.Seconds()*float64(max(n.frees, 1))
 				d.late = d.late || waits > p.reportS(1)
 			}
@@ -114,52 +114,52 @@
 		}
 		if d := r.drafts[g.group]; d != nil {
 			p.fold(r, d)
-			d.size = d.Kept() // what left, and marks that were folded, make room for others
+			d.size = d.RetainedSize() // what left, and marks that were folded, make room for others
 		}
 	}
 }
 
 // prove rewrites a machine's row by what a report proves.
-func (p *Placer) prove(r *round, rec *ledger.Machine, n *pendingObservation, proof *Proof) {
+func (p *Placer) prove(r *round, rec *statecache.Machine, n *pendingObservation, proof *Proof) {
 	d := p.open(r, rec.Group)
 	if d == nil {
 		return
 	}
 	m, rep := rec.Name, n.Report
-	next := d.Edit(m)
-	next.Token = max(next.Token, rep.Token+1)
+	next := d.UpdateMachine(m)
+	next.FencingToken = max(next.FencingToken, rep.FencingToken+1)
 	if proof.Joined {
-		next.Session, next.Addr = rep.Session, rep.Addr
-		d.size += len(rep.Addr)
+		next.Incarnation, next.Address = rep.Incarnation, rep.Address
+		d.size += len(rep.Address)
 		r.log = append(r.log, func() {
-			slog.Info("machine up", "machine", m, "session", next.Session, "type", next.Type, "zone", next.Zone, "spot", next.Spot)
+			slog.Info("machine up", "machine", m, "session", next.Incarnation, "type", next.MachineType, "zone", next.Zone, "spot", next.Spot)
 		})
 	}
 	next.Suspected = next.Suspected && !proof.Back
 	if proof.Notice {
-		next.Drain = "spot-notice"
+		next.DrainReason = "spot-notice"
 	}
 	for _, f := range proof.Fence {
-		if b := next.Find(f.Job, f.N); b != nil {
-			b.Stop = next.Token
+		if b := next.FindBinding(f.Job, f.TaskIndex); b != nil {
+			b.StopToken = next.FencingToken
 		}
 	}
 	for _, g := range proof.Gone {
-		g.RanS = n.RanS[g.Task()]
-		if g.Why == wire.WhyDone && p.view.Active(g.Job) && !p.view.IsDone(g.Job, g.N) {
-			d.Mark(g.Job, g.N)
+		g.Runtime = n.RanS[g.TaskName()]
+		if g.Reason == wire.ReasonCompleted && p.view.Active(g.Job) && !p.view.IsCompleted(g.Job, g.TaskIndex) {
+			d.MarkCompleted(g.Job, g.TaskIndex)
 			r.marks[g.Job]++
 			d.size += 8
 		}
-		next.Tasks = slices.DeleteFunc(next.Tasks, func(b ledger.BoundTask) bool { return b.Job == g.Job && b.N == g.N })
-		d.Departures = append(d.Departures, g)
+		next.Bindings = slices.DeleteFunc(next.Bindings, func(b statecache.TaskBinding) bool { return b.Job == g.Job && b.TaskIndex == g.TaskIndex })
+		d.Terminations = append(d.Terminations, g)
 		r.departed++
-		r.departureBytes += ledger.GoneBytes(&g)
+		r.departureBytes += statecache.TerminationBytes(&g)
 		if j := p.view.Jobs[g.Job]; j != nil && j.Spec != nil {
 			r.tally[j.Spec.Team] = r.tally[j.Spec.Team].Plus(RequestOf(j.Spec), -1)
 		}
-		if g.Why != wire.WhyDone {
-			r.log = append(r.log, func() { slog.Info("task left machine", "task", g.Task(), "machine", m, "why", g.Why) })
+		if g.Reason != wire.ReasonCompleted {
+			r.log = append(r.log, func() { slog.Info("task left machine", "task", g.TaskName(), "machine", m, "why", g.Reason) })
 		}
 	}
 	if node := p.nodes[m]; node != nil {
@@ -175,35 +175,35 @@
 	if r.parts[d.Name] > 0 {
 		return // there is room for the marks elsewhere
 	}
-	for d.Kept() > p.valueBytes(foldFill) && r.ops() < r.limit && p.guardable(r) {
+	for d.RetainedSize() > p.valueBytes(foldFill) && r.ops() < r.limit && p.guardable(r) {
 		most := ""
-		for job, ns := range d.Marks {
-			if r.ends[job] == 0 && len(ns) > len(d.Marks[most]) {
+		for job, ns := range d.Completions {
+			if r.ends[job] == 0 && len(ns) > len(d.Completions[most]) {
 				most = job
 			}
 		}
 		if most == "" {
 			return
 		}
-		id := p.recordOf(r, most, d.Marks[most][0])
+		id := p.recordOf(r, most, d.Completions[most][0])
 		var bits, rest []int
-		for _, n := range d.Marks[most] {
+		for _, n := range d.Completions[most] {
 			if p.recordOf(r, most, n) == id {
-				_, bit := p.view.Chunk(n)
-				bits = append(bits, bit-max(0, id.From))
+				_, bit := p.view.CompletionChunkOf(n)
+				bits = append(bits, bit-max(0, id.FirstTask))
 			} else {
 				rest = append(rest, n)
 			}
 		}
-		key := ledger.DoneKey(most, id)
+		key := statecache.CompletionChunkKey(most, id)
 		set := r.doneSets[key]
 		if set == nil {
-			set = p.view.Chunks[most][id]
+			set = p.view.CompletionChunks[most][id]
 		}
 		r.doneSets[key] = set.With(bits...)
-		r.jobs[most] = p.view.Jobs[most].Stamp
-		if d.Marks[most] = rest; len(rest) == 0 {
-			delete(d.Marks, most)
+		r.jobs[most] = p.view.Jobs[most].ModRevision
+		if d.Completions[most] = rest; len(rest) == 0 {
+			delete(d.Completions, most)
 		}
 	}
 }
@@ -211,21 +211,21 @@
 // recordOf is the record of a job's done set that takes a task. A whole chunk takes
 // what fits into it under the service's limit. While nothing says that the limit has
 // fallen it takes everything, since a version that doesn't know parts may serve.
-func (p *Placer) recordOf(r *round, job string, task int) ledger.ChunkID {
-	chunk, bit := p.view.Chunk(task)
-	id := ledger.ChunkID{Chunk: chunk, From: ledger.Whole}
-	if !p.cfg.Rates.Lowered() {
+func (p *Placer) recordOf(r *round, job string, task int) statecache.CompletionChunkID {
+	chunk, bit := p.view.CompletionChunkOf(task)
+	id := statecache.CompletionChunkID{Chunk: chunk, FirstTask: statecache.WholeChunk}
+	if !p.cfg.StoreRates.LowerLimitsInForce() {
 		return id
 	}
 	reach := bit + 1
-	if set := r.doneSets[ledger.DoneKey(job, id)]; set != nil {
-		reach = max(reach, set.Tasks())
-	} else if set := p.view.Chunks[job][id]; set != nil {
-		reach = max(reach, set.Tasks())
-	}
-	if limit := p.valueBytes(1); ledger.ValueBytes(reach) > limit {
-		part := ledger.PartTasks(limit)
-		id.From = bit / part * part
+	if set := r.doneSets[statecache.CompletionChunkKey(job, id)]; set != nil {
+		reach = max(reach, set.Capacity())
+	} else if set := p.view.CompletionChunks[job][id]; set != nil {
+		reach = max(reach, set.Capacity())
+	}
+	if limit := p.valueBytes(1); statecache.CompletionValueBytes(reach) > limit {
+		part := statecache.TasksPerCompletionPart(limit)
+		id.FirstTask = bit / part * part
 	}
 	return id
 }
--- a/internal/place/queue.go
+++ b/internal/place/queue.go
@@ -5,16 +5,16 @@
 	"time"
 
 	"lynxledge/internal/config"
-	"lynxledge/internal/ledger"
+	"lynxledge/internal/statecache"
 	"lynxledge/wire"
 )
 
 // mine lists the teams that this process may place: their assignments name
 // it, and the view has every bind made under earlier ones.
-func (p *Placer) mine() map[string]*ledger.Assignment {
-	out := map[string]*ledger.Assignment{}
+func (p *Placer) mine() map[string]*statecache.Assignment {
+	out := map[string]*statecache.Assignment{}
 	for team, h := range p.view.Assignments {
-		if h.Boot == p.boot && p.epoch >= h.Stamp {
+		if h.Incarnation == p.boot && p.epoch >= h.ModRevision {
 			out[team] = h
 		}
 	}
@@ -23,7 +23,7 @@
 
 type waiting struct {
 	id         string
-	job        *ledger.Job
+	job        *statecache.Job
 	assignment uint64 // stamp of the team's assignment
 	late       int    // how many of its deadlines it is not to keep
 	deadline   float64
@@ -40,17 +40,17 @@
 // that would make the whole queue late again.
 //
 // While zones recover, services go before all arrays, whatever their priority.
-func (p *Placer) queue(mine map[string]*ledger.Assignment, now time.Time) []waiting {
+func (p *Placer) queue(mine map[string]*statecache.Assignment, now time.Time) []waiting {
 	if len(mine) == 0 {
 		return nil
 	}
 	var q []waiting
-	starved := 3 * p.cfg.Params.Workers.LeaseS
+	starved := 3 * p.cfg.Params.Workers.LeaseDuration
 	for id, j := range p.active {
 		if mine[j.Spec.Team] == nil {
 			continue
 		}
-		left := p.view.Waits(id, j)
+		left := p.view.PendingTasks(id, j)
 		if left <= 0 {
 			continue
 		}
@@ -60,17 +60,17 @@
 		if now.Before(p.gaveWay[id]) {
 			continue
 		}
-		w := waiting{id: id, job: j, assignment: mine[j.Spec.Team].Stamp, most: left}
-		if p.advice != nil && j.Spec.Service() {
+		w := waiting{id: id, job: j, assignment: mine[j.Spec.Team].ModRevision, most: left}
+		if p.advice != nil && j.Spec.IsService() {
 			w.goesFirst, w.deadline = true, float64(p.advice.Position(id))
 			q = append(q, w)
 			continue
 		}
 		run := p.runs.RunS(j.Spec)
 		age := float64(now.UnixMilli()-j.RunnableSince()) / 1000
-		if age > starved && left == j.Tasks {
+		if age > starved && left == j.TaskCount {
 			w.late, w.deadline = -1, float64(j.RunnableSince())
-			if !j.Spec.Service() {
+			if !j.Spec.IsService() {
 				w.most = 1
 			}
 			q = append(q, w)
@@ -86,13 +86,13 @@
 	// What runs already is half done, taken all together.
 	from := 0.0
 	for id, j := range p.active {
-		if n := len(p.view.Bound[id]); n > 0 && !j.Spec.Service() {
+		if n := len(p.view.Bindings[id]); n > 0 && !j.Spec.IsService() {
 			from += p.runs.RunS(j.Spec) / 2 * float64(n) / p.slots(j.Spec)
 		}
 	}
 	for i := 0; i < len(q); {
 		k := i
-		for k < len(q) && q[k].goesFirst == q[i].goesFirst && q[k].job.Spec.Rank == q[i].job.Spec.Rank {
+		for k < len(q) && q[k].goesFirst == q[i].goesFirst && q[k].job.Spec.Priority == q[i].job.Spec.Priority {
 			k++
 		}
 		from = p.judgeRank(q[i:k], from, now)
@@ -111,7 +111,7 @@
 	for i := range q {
 		if q[i].late < 0 {
 			from += q[i].claim.work
-		} else if !q[i].job.Spec.Service() {
+		} else if !q[i].job.Spec.IsService() {
 			claims = append(claims, q[i].claim)
 			of = append(of, i)
 		}
@@ -148,7 +148,7 @@
 // be rented: that room is for jobs that must spread into it. Only a cluster
 // that begins waits: later a replica can be moved.
 func (p *Placer) worthWaiting(j *wire.Job, n *Node, now time.Time) bool {
-	if n.Spot || j.Spread && j.Tasks > 1 || j.Zone != "" {
+	if n.Spot || j.SpreadZones && j.TaskCount > 1 || j.Zone != "" {
 		return false
 	}
 	for k, s := range p.pools {
@@ -158,7 +158,7 @@
 	}
 	for m, s := range p.starts {
 		if !s.Spot && p.offers[s.Zone] > p.offers[n.Zone] && Allowed(j, s.Type.Name, s.Zone, s.Spot) && RequestOf(j).Fits(Capacity(s.Type)) &&
-			now.Sub(time.UnixMilli(p.view.Machines[m].At)) < config.Secs(BootUsual*s.Type.BootS) {
+			now.Sub(time.UnixMilli(p.view.Machines[m].ProvisionedAt)) < config.Seconds(BootUsual*s.Type.BootTime) {
 			return true
 		}
 	}
--- a/internal/place/repack.go
+++ b/internal/place/repack.go
@@ -6,7 +6,7 @@
 	"slices"
 	"strings"
 
-	"lynxledge/internal/ledger"
+	"lynxledge/internal/statecache"
 )
 
 // placesAll tells whether all teams are handed to this process. Only then it moves
@@ -14,7 +14,7 @@
 // that no other may miss what is bound to a machine on its way.
 func (p *Placer) placesAll() bool {
 	hands := len(p.view.Assignments)
-	return hands > 0 && hands <= p.cfg.Params.State.Ops() && len(p.mine()) == hands
+	return hands > 0 && hands <= p.cfg.Params.Store.TxnOpsLimit() && len(p.mine()) == hands
 }
 
 // openLarge takes groups into the round whose records are, or may become, too large
@@ -26,14 +26,14 @@
 	for _, groups := range []map[string]bool{p.largeRecords, p.fullRecords} {
 		for group := range groups {
 			g := p.view.Groups[group]
-			if g == nil || len(g.Machines)+len(g.Marks) < 2 {
+			if g == nil || len(g.Machines)+len(g.Completions) < 2 {
 				delete(groups, group)
 				continue
 			}
 			if r.drafts[group] != nil {
 				continue
 			}
-			parts := min(ledger.PartsFor(g.Kept(), p.cfg.Params.State.ValueBytes()), p.cfg.Params.State.Ops()-1)
+			parts := min(statecache.MaxSplitParts(g.RetainedSize(), p.cfg.Params.Store.ValueSizeLimit()), p.cfg.Params.Store.TxnOpsLimit()-1)
 			if r.ops()+1+parts > r.limit {
 				return // in a round that has room for it
 			}
@@ -46,12 +46,12 @@
 }
 
 // split makes records that are too large several; false if one can't be split.
-func (p *Placer) split(r *round, c *ledger.Commit) bool {
+func (p *Placer) split(r *round, c *statecache.Commit) bool {
 	for group, maxParts := range r.parts {
 		d := r.drafts[group]
-		parts, err := d.Split(p.cfg.Params.State.ValueBytes(), maxParts)
+		parts, err := d.Split(p.cfg.Params.Store.ValueSizeLimit(), maxParts)
 		if err != nil {
-			slog.Error("record can't be split; nothing is written", "group", group, "bytes", d.Kept(), "err", err)
+			slog.Error("record can't be split; nothing is written", "group", group, "bytes", d.RetainedSize(), "err", err)
 			delete(p.largeRecords, group)
 			return false
 		}
@@ -59,7 +59,7 @@
 			slog.Debug("group split", "group", group, "into", part.Name, "machines", len(part.Machines))
 			part.AddTo(c) // the record that it comes from follows with the other drafts
 		}
-		maps.Copy(r.assignments, p.view.AssignmentStamps())
+		maps.Copy(r.assignments, p.view.AssignmentRevisions())
 		delete(p.fullRecords, group)
 	}
 	return true
@@ -71,7 +71,7 @@
 // fit into a record that is full long before the machines are. Only who places for all teams does: a later hand
 // record makes the guards fail, so that no other may miss what is bound to a
 // machine on its way from one record to the next.
-func (p *Placer) merge(r *round, c *ledger.Commit) {
+func (p *Placer) merge(r *round, c *statecache.Commit) {
 	if len(r.drafts) < 2 || !p.placesAll() {
 		return
 	}
@@ -88,17 +88,17 @@
 		if into == nil || r.parts[name] > 0 || !p.grown(into) {
 			continue
 		}
-		size := into.Size()
+		size := into.EncodedSize()
 		for _, other := range names[i+1:] {
 			d := r.drafts[other]
-			if d == nil || r.parts[other] > 0 || d.Type != into.Type || d.Zone != into.Zone || d.Spot != into.Spot || d.Lasting() || !p.grown(d) {
+			if d == nil || r.parts[other] > 0 || d.MachineType != into.MachineType || d.Zone != into.Zone || d.Spot != into.Spot || d.MustKeepKey() || !p.grown(d) {
 				continue
 			}
-			if more := d.Size(); size+more <= p.valueBytes(mergeFill) {
-				into.Absorb(d.Draft)
-				d.Remove(c)
+			if more := d.EncodedSize(); size+more <= p.valueBytes(mergeFill) {
+				into.Merge(d.GroupUpdate)
+				d.AddDeletionTo(c)
 				delete(r.drafts, other)
-				size = into.Size()
+				size = into.EncodedSize()
 				merged = true
 			}
 		}
@@ -106,13 +106,13 @@
 	if !merged {
 		return
 	}
-	maps.Copy(r.assignments, p.view.AssignmentStamps())
+	maps.Copy(r.assignments, p.view.AssignmentRevisions())
 }
 
 // grown tells whether a group's record will hardly grow: all its machines have
 // been up, and none has room.
 func (p *Placer) grown(d *draft) bool {
-	return d.Settled() && !slices.ContainsFunc(d.Machines, func(b *ledger.Machine) bool {
+	return d.AllMachinesStarted() && !slices.ContainsFunc(d.Machines, func(b *statecache.Machine) bool {
 		n := p.nodes[b.Name]
 		return n != nil && n.HasRoom()
 	})
--- a/internal/place/resources.go
+++ b/internal/place/resources.go
@@ -46,15 +46,15 @@
 type Usage map[string]Resources
 
 // WithinLimit tells whether a team may take more.
-func (t Usage) WithinLimit(team config.Team, more Resources) bool {
+func (t Usage) WithinLimit(team config.TeamQuota, more Resources) bool {
 	u := t[team.Name].Plus(more, 1)
-	return (team.CPUsMax == 0 || u.CPUs <= team.CPUsMax+slack) &&
-		(team.GPUsMax == 0 || u.GPUs <= team.GPUsMax+slack)
+	return (team.MaxCPUs == 0 || u.CPUs <= team.MaxCPUs+slack) &&
+		(team.MaxGPUs == 0 || u.GPUs <= team.MaxGPUs+slack)
 }
 
 // WithinGuarantee tells whether a team with more still has no more than it is
 // guaranteed.
-func (t Usage) WithinGuarantee(team config.Team, more Resources) bool {
+func (t Usage) WithinGuarantee(team config.TeamQuota, more Resources) bool {
 	u := t[team.Name].Plus(more, 1)
-	return u.CPUs <= team.CPUs+slack && u.GPUs <= team.GPUs+slack
+	return u.CPUs <= team.GuaranteedCPUs+slack && u.GPUs <= team.GuaranteedGPUs+slack
 }
--- a/internal/place/round.go
+++ b/internal/place/round.go
@@ -7,8 +7,8 @@
 
 	"golang.org/x/time/rate"
 
-	"lynxledge/internal/ledger"
 	"lynxledge/internal/overload"
+	"lynxledge/internal/statecache"
 	"lynxledge/wire"
 )
 
@@ -34,7 +34,7 @@
 
 // writesNow is how many writes a round may have now, or how long to wait for more.
 func (p *Placer) writesNow(now time.Time) (limit int, wait time.Duration) {
-	most := p.cfg.Params.State.Ops()
+	most := p.cfg.Params.Store.TxnOpsLimit()
 	p.pace.SetLimit(rate.Limit(p.writeRate(now)))
 	timeFor := func(writes int) time.Duration {
 		return time.Duration(float64(writes) / float64(p.pace.Limit()) * float64(time.Second))
@@ -69,7 +69,7 @@
 		p.end(r, job)
 	}
 	p.endCancelledDependents(r, places)
-	if p.cfg.Load.Level() < overload.Behind {
+	if p.cfg.Overload.Level() < overload.Behind {
 		r.searchShare = searchShares(q)
 	}
 	for _, w := range q {
@@ -87,7 +87,7 @@
 func searchShares(q []waiting) map[wire.Priority]float64 {
 	out := map[wire.Priority]float64{}
 	for i := range q {
-		out[q[i].job.Spec.Rank]++
+		out[q[i].job.Spec.Priority]++
 	}
 	for rank, n := range out {
 		out[rank] = min(1, maxSearches/n)
@@ -148,18 +148,18 @@
 		return false
 	}
 	fill := recordFill
-	if w.job.Spec.Rank >= wire.RankHigh {
+	if w.job.Spec.Priority >= wire.PriorityHigh {
 		fill = urgentFill
 	}
-	if d.size+ledger.TaskBytes(w.id) > p.valueBytes(fill) || r.bytes() > ledger.RecordsBytes {
+	if d.size+statecache.BindingBytes(w.id) > p.valueBytes(fill) || r.bytes() > statecache.MaxTxnRecordBytes {
 		node.Open = false // in this round
-		if len(d.Machines) > 1 && d.Kept() > p.valueBytes(crowdedAt) {
+		if len(d.Machines) > 1 && d.RetainedSize() > p.valueBytes(crowdedAt) {
 			p.fullRecords[d.Name] = true // full before its machines are
 		}
 		slog.Debug("record is full", "group", node.Group)
 		return false
 	}
-	rec := d.Edit(node.Name)
+	rec := d.UpdateMachine(node.Name)
 	if rec == nil {
 		return false
 	}
@@ -167,13 +167,13 @@
 	// revision would not do: it stands still between an own commit and its
 	// repeat by the watch, and an attempt used twice on a machine lets the first
 	// one's end pass for the second's.
-	t := ledger.BoundTask{Job: w.id, N: n, Attempt: rec.Token}
-	rec.Tasks = append(rec.Tasks, t)
-	d.size += ledger.TaskBytes(w.id)
-	r.jobs[w.id] = w.job.Stamp
+	t := statecache.TaskBinding{Job: w.id, TaskIndex: n, Attempt: rec.FencingToken}
+	rec.Bindings = append(rec.Bindings, t)
+	d.size += statecache.BindingBytes(w.id)
+	r.jobs[w.id] = w.job.ModRevision
 	r.assignments[w.job.Spec.Team] = w.assignment
 	r.placed[w.id]++
 	r.rows[node.Name] = rec
-	r.starts[node.Name] = append(r.starts[node.Name], wire.Order{Op: wire.OpStart, Task: t.Name(), Attempt: t.Attempt})
+	r.starts[node.Name] = append(r.starts[node.Name], wire.Command{Op: wire.OpLaunch, Task: t.TaskName(), Attempt: t.Attempt})
 	return true
 }
--- a/internal/place/round_test.go
+++ b/internal/place/round_test.go
@@ -10,36 +10,36 @@
 
 	"lynxledge/internal/config"
 	"lynxledge/internal/fakes"
-	"lynxledge/internal/ledger"
+	"lynxledge/internal/statecache"
 	"lynxledge/wire"
 )
 
 // placing runs a placer over a state service that holds groups of machines, each
 // with one task of one job on every machine.
-func placing(t *testing.T, groups map[string]int, f func(l *ledger.Ledger, p *Placer)) {
+func placing(t *testing.T, groups map[string]int, f func(l *statecache.Cache, p *Placer)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		cfg := &config.Config{Ops: config.DefaultOps()}
-		cfg.Params.Workers = config.Workers{ReportS: 8, LeaseS: 44, CancelS: 74}
-		cfg.Params.State = config.State{ValueKB: 4, TxnOps: 8, RPS: 180, WriteRPS: 18}
-		cfg.Params.Teams = []config.Team{{Name: "red"}}
+		cfg := &config.Config{Operator: config.DefaultOperatorSettings()}
+		cfg.Params.Workers = config.WorkerTimings{HeartbeatInterval: 8, LeaseDuration: 44, CancellationDeadline: 74}
+		cfg.Params.Store = config.StoreLimits{MaxValueKB: 4, MaxTxnOps: 8, RequestRate: 180, WriteRate: 18}
+		cfg.Params.Teams = []config.TeamQuota{{Name: "red"}}
 		conn := &fakes.Conn{State: fakes.NewState(), Net: fakes.NewNet(1, time.Millisecond), Node: "n0", Timeout: time.Second}
-		l := ledger.Start(ctx, conn, ledger.Options{ChunkTasks: ledger.ChunkTasks(4), Hold: time.Second, MaxAge: time.Second, Backoff: 100 * time.Millisecond})
-		p := Start(ctx, cfg, 2, l, nil, func(*wire.Report) {})
-		p.SetTypes([]wire.MachineType{{Name: "s", CPUs: 4, MemoryGB: 16, Price: 1, Zones: []string{"a"}}})
+		l := statecache.Start(ctx, conn, statecache.Options{ChunkTasks: statecache.ChunkTasks(4), WatchHold: time.Second, MaxViewAge: time.Second, Backoff: 100 * time.Millisecond})
+		p := Start(ctx, cfg, 2, l, nil, func(*wire.Heartbeat) {})
+		p.SetTypes([]wire.MachineType{{Name: "s", CPUs: 4, MemoryGB: 16, HourlyPrice: 1, Zones: []string{"a"}}})
 		l.Run()
 		time.Sleep(time.Second)
-		c := ledger.Commit{Puts: []ledger.Put{
-			{Key: ledger.Key(ledger.KindJob, "req-000001"), Rec: &ledger.Job{Tasks: 10000, At: time.Now().UnixMilli(), Spec: &wire.Job{
-				ID: "req-000001", Team: "red", Shape: wire.ShapeArray, Tasks: 10000, CPUs: 4, MemoryGB: 1, EstimateS: 50,
+		c := statecache.Commit{Puts: []statecache.Put{
+			{Key: statecache.Key(statecache.KindJob, "req-000001"), Record: &statecache.Job{TaskCount: 10000, SubmittedAt: time.Now().UnixMilli(), Spec: &wire.Job{
+				ID: "req-000001", Team: "red", Kind: wire.KindArray, TaskCount: 10000, CPUs: 4, MemoryGB: 1, EstimatedRuntime: 50,
 			}}},
 			// Another process places.
-			{Key: ledger.Key(ledger.KindAssignment, "red"), Rec: ledger.Assignment{Member: "n1", Boot: 1}},
+			{Key: statecache.Key(statecache.KindAssignment, "red"), Record: statecache.Assignment{Member: "n1", Incarnation: 1}},
 		}}
 		for name, n := range groups {
-			c.Puts = append(c.Puts, ledger.Put{Key: ledger.Key(ledger.KindBind, name), Rec: groupOf(name, n)})
+			c.Puts = append(c.Puts, statecache.Put{Key: statecache.Key(statecache.KindMachineGroup, name), Record: groupOf(name, n)})
 		}
-		l.Commit(c, func(ledger.Outcome) {})
+		l.Commit(c, func(statecache.Outcome) {})
 		time.Sleep(time.Second)
 		f(l, p)
 		cancel()
@@ -47,22 +47,22 @@
 	})
 }
 
-func groupOf(name string, machines int) *ledger.Group {
-	g := &ledger.Group{Name: name, Type: "s", Zone: "a"}
+func groupOf(name string, machines int) *statecache.MachineGroup {
+	g := &statecache.MachineGroup{Name: name, MachineType: "s", Zone: "a"}
 	for i := range machines {
-		g.Machines = append(g.Machines, &ledger.Machine{
-			Name: fmt.Sprintf("i-%s%03d", name, i), Addr: "x:1", Session: 1, Token: 9,
-			Tasks: []ledger.BoundTask{{Job: "req-000001", N: 100*int(name[0]-'a') + i, Attempt: 1}},
+		g.Machines = append(g.Machines, &statecache.Machine{
+			Name: fmt.Sprintf("i-%s%03d", name, i), Address: "x:1", Incarnation: 1, FencingToken: 9,
+			Bindings: []statecache.TaskBinding{{Job: "req-000001", TaskIndex: 100*int(name[0]-'a') + i, Attempt: 1}},
 		})
 	}
 	return g
 }
 
 // endedOn is a report that a machine's one task has completed.
-func endedOn(g *ledger.Group, i int) Observation {
+func endedOn(g *statecache.MachineGroup, i int) Observation {
 	b := g.Machines[i]
-	return Observation{Report: &wire.Report{Machine: b.Name, Addr: "x:1", Type: "s", Zone: "a", Session: 1, Seq: 1, Token: 9, Tasks: []wire.TaskReport{
-		{Task: b.Tasks[0].Name(), Attempt: 1, State: wire.TaskExited, Why: wire.WhyDone},
+	return Observation{Report: &wire.Heartbeat{Machine: b.Name, Address: "x:1", MachineType: "s", Zone: "a", Incarnation: 1, Sequence: 1, FencingToken: 9, Tasks: []wire.TaskStatus{
+		{Task: b.Bindings[0].TaskName(), Attempt: 1, State: wire.TaskExited, ExitReason: wire.ReasonCompleted},
 	}}}
 }
 
@@ -77,16 +77,16 @@
 // them, however long it takes: each write of its own would make the writer's
 // guards fail. Once nobody writes any more, it does.
 func TestOthersLeaveASlowWriterAlone(t *testing.T) {
-	placing(t, map[string]int{"a": 1, "b": 1}, func(l *ledger.Ledger, p *Placer) {
+	placing(t, map[string]int{"a": 1, "b": 1}, func(l *statecache.Cache, p *Placer) {
 		gone := func() (out bool) {
-			in(p, func() { out = len(p.view.Machines["i-a000"].Tasks) == 0 })
+			in(p, func() { out = len(p.view.Machines["i-a000"].Bindings) == 0 })
 			return out
 		}
 		p.Observe(endedOn(groupOf("a", 1), 0), 16*time.Second)
 		other := groupOf("b", 1)
-		other.Departures = []ledger.Departure{{Machine: "i-b000", Job: "req-000001", N: 7, Why: wire.WhyDone}}
+		other.Terminations = []statecache.Termination{{Machine: "i-b000", Job: "req-000001", TaskIndex: 7, Reason: wire.ReasonCompleted}}
 		for range 12 { // 36 s
-			l.Commit(ledger.Commit{Puts: []ledger.Put{{Key: ledger.Key(ledger.KindBind, "b"), Rec: other}}}, func(ledger.Outcome) {})
+			l.Commit(statecache.Commit{Puts: []statecache.Put{{Key: statecache.Key(statecache.KindMachineGroup, "b"), Record: other}}}, func(statecache.Outcome) {})
 			time.Sleep(3 * time.Second)
 		}
 		if gone() {
@@ -102,7 +102,7 @@
 // A round with few writes takes the groups whose places have stood empty longest,
 // all taken together; but none waits for more than a report.
 func TestEmptiestGroupsFirst(t *testing.T) {
-	placing(t, map[string]int{"a": 1, "b": 30}, func(_ *ledger.Ledger, p *Placer) {
+	placing(t, map[string]int{"a": 1, "b": 30}, func(_ *statecache.Cache, p *Placer) {
 		pick := func(aWaits, bWaits time.Duration) (first []string) {
 			in(p, func() {
 				now := time.Now()
@@ -134,13 +134,13 @@
 // What a record says of tasks that have just left is gone with the next write:
 // no marks are folded to make room for it.
 func TestFoldingIgnoresWhatLeft(t *testing.T) {
-	placing(t, map[string]int{"a": 30}, func(_ *ledger.Ledger, p *Placer) {
+	placing(t, map[string]int{"a": 30}, func(_ *statecache.Cache, p *Placer) {
 		fold := func(fill func(d *draft)) (n int) {
 			in(p, func() {
 				r := newRound(time.Now(), 8, Usage{})
 				d := p.open(r, "a")
 				fill(d)
-				if d.Size() <= p.valueBytes(foldFill) {
+				if d.EncodedSize() <= p.valueBytes(foldFill) {
 					t.Error("the record has room")
 				}
 				p.fold(r, d)
@@ -149,16 +149,16 @@
 			return n
 		}
 		if n := fold(func(d *draft) {
-			d.Mark("req-000001", 1)
+			d.MarkCompleted("req-000001", 1)
 			for i := range 80 {
-				d.Departures = append(d.Departures, ledger.Departure{Machine: "i-a000", Job: "req-000001", N: 1000 + i, Why: wire.WhyDone, RanS: 20.5})
+				d.Terminations = append(d.Terminations, statecache.Termination{Machine: "i-a000", Job: "req-000001", TaskIndex: 1000 + i, Reason: wire.ReasonCompleted, Runtime: 20.5})
 			}
 		}); n != 0 {
 			t.Errorf("%d folds for tasks that left", n)
 		}
 		if n := fold(func(d *draft) {
 			for i := range 700 {
-				d.Mark("req-000001", 2*i)
+				d.MarkCompleted("req-000001", 2*i)
 			}
 		}); n != 1 {
 			t.Errorf("%d folds for 700 marks", n)
@@ -170,11 +170,11 @@
 // full: new ones would fill the record before themselves, and replicas waited
 // beside machines with room.
 func TestOnlyFullGroupsMerge(t *testing.T) {
-	placing(t, map[string]int{"a": 4, "b": 2}, func(_ *ledger.Ledger, p *Placer) {
+	placing(t, map[string]int{"a": 4, "b": 2}, func(_ *statecache.Cache, p *Placer) {
 		merged := func(cpus float64) bool {
 			out := false
 			in(p, func() {
-				p.view.Assignments["red"] = &ledger.Assignment{Member: "n0", Boot: p.boot}
+				p.view.Assignments["red"] = &statecache.Assignment{Member: "n0", Incarnation: p.boot}
 				p.view.Jobs["req-000001"].Spec.CPUs = cpus
 				for m, b := range p.view.Machines {
 					p.renew(m, b)
@@ -182,9 +182,9 @@
 				r := newRound(time.Now(), 8, Usage{})
 				p.open(r, "a")
 				p.open(r, "b")
-				var c ledger.Commit
+				var c statecache.Commit
 				p.merge(r, &c)
-				if out = len(r.drafts) == 1; out && (len(c.Delete) != 1 || len(r.drafts["a"].Machines) != 6 || r.assignments["red"] != p.view.Assignments["red"].Stamp) {
+				if out = len(r.drafts) == 1; out && (len(c.Deletes) != 1 || len(r.drafts["a"].Machines) != 6 || r.assignments["red"] != p.view.Assignments["red"].ModRevision) {
 					t.Errorf("%+v, %d machines", c, len(r.drafts["a"].Machines))
 				}
 			})
@@ -200,20 +200,20 @@
 }
 
 // crowd adds groups of 50 machines, and services that fit on none.
-func crowd(l *ledger.Ledger, machines, jobs int) {
-	var puts []ledger.Put
+func crowd(l *statecache.Cache, machines, jobs int) {
+	var puts []statecache.Put
 	for i := range machines / 50 {
 		name := fmt.Sprintf("%c%d", 'a'+i%20, i)
-		puts = append(puts, ledger.Put{Key: ledger.Key(ledger.KindBind, name), Rec: groupOf(name, 50)})
+		puts = append(puts, statecache.Put{Key: statecache.Key(statecache.KindMachineGroup, name), Record: groupOf(name, 50)})
 	}
 	for i := range jobs {
 		id := fmt.Sprintf("req-1%05d", i)
-		puts = append(puts, ledger.Put{Key: ledger.Key(ledger.KindJob, id), Rec: &ledger.Job{Tasks: 4, At: time.Now().UnixMilli(), Spec: &wire.Job{
-			ID: id, Team: "red", Shape: wire.ShapeService, Rank: wire.RankProd, Tasks: 4, CPUs: 5, MemoryGB: 1,
+		puts = append(puts, statecache.Put{Key: statecache.Key(statecache.KindJob, id), Record: &statecache.Job{TaskCount: 4, SubmittedAt: time.Now().UnixMilli(), Spec: &wire.Job{
+			ID: id, Team: "red", Kind: wire.KindService, Priority: wire.PriorityProduction, TaskCount: 4, CPUs: 5, MemoryGB: 1,
 		}}})
 	}
 	for some := range slices.Chunk(puts, 50) {
-		l.Commit(ledger.Commit{Puts: some}, func(ledger.Outcome) {})
+		l.Commit(statecache.Commit{Puts: some}, func(statecache.Outcome) {})
 	}
 	time.Sleep(time.Second)
 }
@@ -222,22 +222,22 @@
 // there are, and by so many of the waiting jobs, however many wait.
 func TestLookingIsBounded(t *testing.T) {
 	for _, size := range []struct{ machines, jobs int }{{100, 10}, {2000, 500}} {
-		placing(t, map[string]int{}, func(l *ledger.Ledger, p *Placer) {
+		placing(t, map[string]int{}, func(l *statecache.Cache, p *Placer) {
 			crowd(l, size.machines, size.jobs)
 			in(p, func() {
-				p.view.Assignments["red"] = &ledger.Assignment{Member: "n0", Boot: p.boot}
+				p.view.Assignments["red"] = &statecache.Assignment{Member: "n0", Incarnation: p.boot}
 				q := p.queue(p.mine(), time.Now())
-				share := searchShares(q)[wire.RankProd]
+				share := searchShares(q)[wire.PriorityProduction]
 				if want := min(1, float64(maxSearches)/float64(size.jobs)); share != want {
 					t.Errorf("%v of %d jobs look, not %v", share, size.jobs, want)
 				}
 				r := newRound(time.Now(), 8, Usage{})
-				r.searchShare = map[wire.Priority]float64{wire.RankProd: 1}
+				r.searchShare = map[wire.Priority]float64{wire.PriorityProduction: 1}
 				p.placeJob(r, q[0])
 				if n := len(r.judged); n != maxSample {
 					t.Errorf("%d of %d machines looked at for one job", n, size.machines)
 				}
-				r.searchShare[wire.RankProd] = 0
+				r.searchShare[wire.PriorityProduction] = 0
 				r.judged = map[*Node]bool{}
 				if p.placeJob(r, q[0]); len(r.judged) > 0 {
 					t.Error("looked out of turn")
@@ -250,21 +250,21 @@
 // What one changed machine costs does not grow with the fleet.
 func TestChangeCostsTheSameInAnyFleet(t *testing.T) {
 	allocs := func(machines int) (n float64) {
-		placing(t, map[string]int{"z": 50}, func(l *ledger.Ledger, p *Placer) {
+		placing(t, map[string]int{"z": 50}, func(l *statecache.Cache, p *Placer) {
 			crowd(l, machines, 10)
 			in(p, func() {
 				g := *p.view.Groups["z"]
 				other := *g.Machines[7]
-				other.Tasks = nil
-				at := [2]*ledger.Machine{g.Machines[7], &other}
+				other.Bindings = nil
+				at := [2]*statecache.Machine{g.Machines[7], &other}
 				turn := 0
 				n = testing.AllocsPerRun(20, func() {
 					turn++
 					next := g
 					next.Machines = slices.Clone(g.Machines)
-					next.Machines[7], next.Stamp = at[turn%2], g.Stamp+uint64(turn)
-					p.apply(ledger.Delta{Epoch: next.Stamp, Fresh: time.Now(), Changes: []ledger.Change{
-						{Key: ledger.Key(ledger.KindBind, "z"), Kind: ledger.KindBind, Name: "z", Rec: &next, Stamp: next.Stamp},
+					next.Machines[7], next.ModRevision = at[turn%2], g.ModRevision+uint64(turn)
+					p.apply(statecache.Update{Revision: next.ModRevision, FreshAsOf: time.Now(), Changes: []statecache.Change{
+						{Key: statecache.Key(statecache.KindMachineGroup, "z"), Kind: statecache.KindMachineGroup, Name: "z", Record: &next, ModRevision: next.ModRevision},
 					}})
 				})
 			})
@@ -279,10 +279,10 @@
 // What a report proves goes to the mesh, and to this placer, which may put it
 // together with an earlier one: a map that both held ended the process.
 func TestNoteIsNotWrittenTo(t *testing.T) {
-	placing(t, map[string]int{"a": 1}, func(_ *ledger.Ledger, p *Placer) {
+	placing(t, map[string]int{"a": 1}, func(_ *statecache.Cache, p *Placer) {
 		first, second := endedOn(groupOf("a", 1), 0), endedOn(groupOf("a", 1), 0)
 		first.RanS = map[string]float64{"req-000001/0": 4}
-		second.Report.Seq, second.RanS = 2, map[string]float64{"req-000001/1": 5}
+		second.Report.Sequence, second.RanS = 2, map[string]float64{"req-000001/1": 5}
 		p.Observe(first, time.Minute)
 		p.Observe(second, time.Minute)
 		in(p, func() {
@@ -300,15 +300,15 @@
 // A commit that took long, or a process that stood still behind it, launches
 // nothing itself: the job may have been cancelled meanwhile.
 func TestNothingLaunchedLongAfterTheRound(t *testing.T) {
-	placing(t, map[string]int{"a": 1}, func(_ *ledger.Ledger, p *Placer) {
+	placing(t, map[string]int{"a": 1}, func(_ *statecache.Cache, p *Placer) {
 		launched := func(ago time.Duration) (n int) {
 			c := make(commands, 1)
 			in(p, func() {
 				p.worker = c
-				rec := &ledger.Machine{Name: "i-a000", Addr: "x:1", Session: 1, Token: 10}
+				rec := &statecache.Machine{Name: "i-a000", Address: "x:1", Incarnation: 1, FencingToken: 10}
 				p.launch(&round{
-					now: time.Now().Add(-ago), rows: map[string]*ledger.Machine{"i-a000": rec},
-					starts: map[string][]wire.Order{"i-a000": {{Op: wire.OpStart, Task: "req-000001/7", Attempt: 10}}},
+					now: time.Now().Add(-ago), rows: map[string]*statecache.Machine{"i-a000": rec},
+					starts: map[string][]wire.Command{"i-a000": {{Op: wire.OpLaunch, Task: "req-000001/7", Attempt: 10}}},
 				})
 			})
 			synctest.Wait()
@@ -321,9 +321,9 @@
 }
 
 // commands counts what is sent to workers.
-type commands chan wire.Commands
+type commands chan wire.CommandBatch
 
-func (c commands) Do(_ context.Context, _ string, cmd wire.Commands) (*wire.Report, error) {
+func (c commands) Do(_ context.Context, _ string, cmd wire.CommandBatch) (*wire.Heartbeat, error) {
 	c <- cmd
 	return nil, context.Canceled
 }
@@ -331,11 +331,11 @@
 // However often a job's tasks have failed, it is tried again before it has waited
 // for long beside machines with room.
 func TestBackOffEnds(t *testing.T) {
-	placing(t, map[string]int{"a": 1}, func(_ *ledger.Ledger, p *Placer) {
+	placing(t, map[string]int{"a": 1}, func(_ *statecache.Cache, p *Placer) {
 		in(p, func() {
 			now := time.Now()
 			for range 20 {
-				p.fail("req-000001", "i-a000", wire.WhyError, now)
+				p.fail("req-000001", "i-a000", wire.ReasonError, now)
 			}
 			if wait := p.failed["req-000001"].until.Sub(now); wait != 44*time.Second {
 				t.Errorf("%v after 20 failures, not a lease", wait)
@@ -347,26 +347,26 @@
 // Marks go to whole chunks until the service refuses their size; then what doesn't
 // fit goes to parts, beside what whole chunks hold already.
 func TestMarksGoToPartsUnderALowerLimit(t *testing.T) {
-	placing(t, map[string]int{"a": 1}, func(_ *ledger.Ledger, p *Placer) {
+	placing(t, map[string]int{"a": 1}, func(_ *statecache.Cache, p *Placer) {
 		in(p, func() {
-			p.cfg.Params.State.Next = &config.StateNext{WriteRPS: 15, ValueKB: 1, TxnOps: 4}
-			p.cfg.Rates = &config.Rates{}
-			part := ledger.PartTasks(1024)
-			r := &round{doneSets: map[string]*ledger.DoneChunk{}}
+			p.cfg.Params.Store.Upcoming = &config.UpcomingStoreLimits{WriteRate: 15, MaxValueKB: 1, MaxTxnOps: 4}
+			p.cfg.StoreRates = &config.StoreRates{}
+			part := statecache.TasksPerCompletionPart(1024)
+			r := &round{doneSets: map[string]*statecache.CompletionChunk{}}
 			for _, task := range []int{0, part - 1, part, 9000} {
-				if id := p.recordOf(r, "req-000001", task); id != (ledger.ChunkID{From: ledger.Whole}) {
+				if id := p.recordOf(r, "req-000001", task); id != (statecache.CompletionChunkID{FirstTask: statecache.WholeChunk}) {
 					t.Errorf("before: task %d goes to %v", task, id)
 				}
 			}
-			p.cfg.Rates.Lower()
-			for task, from := range map[int]int{0: ledger.Whole, part - 1: ledger.Whole, part: part, 9000: 9000 / part * part} {
-				if id := p.recordOf(r, "req-000001", task); id != (ledger.ChunkID{From: from}) {
+			p.cfg.StoreRates.ObserveLowerSizeLimit()
+			for task, from := range map[int]int{0: statecache.WholeChunk, part - 1: statecache.WholeChunk, part: part, 9000: 9000 / part * part} {
+				if id := p.recordOf(r, "req-000001", task); id != (statecache.CompletionChunkID{FirstTask: from}) {
 					t.Errorf("after: task %d goes to %v", task, id)
 				}
 			}
-			var whole *ledger.DoneChunk
-			p.view.Chunks["req-000001"] = map[ledger.ChunkID]*ledger.DoneChunk{{From: ledger.Whole}: whole.With(part + 100)}
-			if id := p.recordOf(r, "req-000001", 0); id != (ledger.ChunkID{From: 0}) {
+			var whole *statecache.CompletionChunk
+			p.view.CompletionChunks["req-000001"] = map[statecache.CompletionChunkID]*statecache.CompletionChunk{{FirstTask: statecache.WholeChunk}: whole.With(part + 100)}
+			if id := p.recordOf(r, "req-000001", 0); id != (statecache.CompletionChunkID{FirstTask: 0}) {
 				t.Errorf("beside a whole chunk that is too large: %v", id)
 			}
 		})
@@ -376,11 +376,11 @@
 // A record that is full before its machines are is split by whoever places for all,
 // and one that no longer fits the limit, in a round that has the writes for it.
 func TestFullRecordsAreSplit(t *testing.T) {
-	placing(t, map[string]int{"a": 20}, func(l *ledger.Ledger, p *Placer) {
+	placing(t, map[string]int{"a": 20}, func(l *statecache.Cache, p *Placer) {
 		in(p, func() {
 			p.worker = make(commands, 100)
 			for _, h := range p.view.Assignments {
-				h.Boot = p.boot
+				h.Incarnation = p.boot
 			}
 			p.fullRecords["a"] = true
 			p.schedule()
@@ -390,7 +390,7 @@
 			if len(p.view.Groups) != 1 { // it fits into one
 				t.Errorf("%d groups", len(p.view.Groups))
 			}
-			p.cfg.Params.State.Next = &config.StateNext{WriteRPS: 15, ValueKB: 0.5, TxnOps: 4}
+			p.cfg.Params.Store.Upcoming = &config.UpcomingStoreLimits{WriteRate: 15, MaxValueKB: 0.5, MaxTxnOps: 4}
 			p.largeRecords["a"] = true
 			p.schedule()
 		})
@@ -398,14 +398,14 @@
 		in(p, func() {
 			tasks := 0
 			for _, g := range p.view.Groups {
-				if g.Size() > 512 {
-					t.Errorf("%s has %d bytes", g.Name, g.Size())
+				if g.EncodedSize() > 512 {
+					t.Errorf("%s has %d bytes", g.Name, g.EncodedSize())
 				}
 				for _, b := range g.Machines {
-					tasks += len(b.Tasks)
+					tasks += len(b.Bindings)
 				}
 			}
-			if len(p.view.Groups) < 2 || len(p.view.Machines) != 20 || tasks != 20 || len(p.view.Bound["req-000001"]) != 20 {
+			if len(p.view.Groups) < 2 || len(p.view.Machines) != 20 || tasks != 20 || len(p.view.Bindings["req-000001"]) != 20 {
 				t.Errorf("%d groups, %d machines, %d tasks", len(p.view.Groups), len(p.view.Machines), tasks)
 			}
 		})
@@ -415,18 +415,18 @@
 // A stage with a priority that the pipeline's last job lends it takes no other work's
 // place while it can still be in time; one whose priority is its own does.
 func TestInheritedPriorityTakesNoPlaceBeforeItPresses(t *testing.T) {
-	placing(t, map[string]int{"a": 4}, func(_ *ledger.Ledger, p *Placer) {
+	placing(t, map[string]int{"a": 4}, func(_ *statecache.Cache, p *Placer) {
 		taken := func(inherited bool, due time.Duration) (n int) {
 			in(p, func() {
 				now := time.Now()
-				spec := &wire.Job{ID: "req-000002", Team: "red", Shape: wire.ShapeArray, Rank: wire.RankHigh, Tasks: 1, CPUs: 1, MemoryGB: 1, EstimateS: 10}
-				j := &ledger.Job{Spec: spec, Tasks: 1, At: now.Add(-20 * time.Second).UnixMilli(), PriorityInherited: inherited, DueAt: now.Add(due).UnixMilli()}
+				spec := &wire.Job{ID: "req-000002", Team: "red", Kind: wire.KindArray, Priority: wire.PriorityHigh, TaskCount: 1, CPUs: 1, MemoryGB: 1, EstimatedRuntime: 10}
+				j := &statecache.Job{Spec: spec, TaskCount: 1, SubmittedAt: now.Add(-20 * time.Second).UnixMilli(), PriorityInherited: inherited, InheritedDeadline: now.Add(due).UnixMilli()}
 				p.active["req-000002"], p.view.Jobs["req-000002"] = j, j
-				p.view.Jobs["req-000001"].Spec.EstimateS = 0.1 // leaves the cluster to it soon
-				p.cfg.Params.Objectives = []config.Objective{{Kind: "guarantee", WithinS: 5}}
-				p.view.Assignments["red"] = &ledger.Assignment{Member: "n0", Boot: p.boot}
+				p.view.Jobs["req-000001"].Spec.EstimatedRuntime = 0.1 // leaves the cluster to it soon
+				p.cfg.Params.Objectives = []config.Objective{{Kind: "guarantee", Within: 5}}
+				p.view.Assignments["red"] = &statecache.Assignment{Member: "n0", Incarnation: p.boot}
 				r := newRound(now, 8, Usage{})
-				r.searchShare = map[wire.Priority]float64{wire.RankHigh: 1}
+				r.searchShare = map[wire.Priority]float64{wire.PriorityHigh: 1}
 				for _, w := range p.queue(p.mine(), now) {
 					if w.id == "req-000002" {
 						p.placeJob(r, w)
@@ -454,12 +454,12 @@
 // An array that gave way as soon as it was placed waits for a report; one that had
 // run for a while, and a service, don't.
 func TestWhatGivesWayAtOnceWaits(t *testing.T) {
-	placing(t, map[string]int{"a": 1}, func(_ *ledger.Ledger, p *Placer) {
+	placing(t, map[string]int{"a": 1}, func(_ *statecache.Cache, p *Placer) {
 		queued := func(spent float64, shape string, later time.Duration) bool {
 			out := false
 			in(p, func() {
-				p.view.Assignments["red"] = &ledger.Assignment{Member: "n0", Boot: p.boot}
-				p.view.Jobs["req-000001"].Spec.Shape = shape
+				p.view.Assignments["red"] = &statecache.Assignment{Member: "n0", Incarnation: p.boot}
+				p.view.Jobs["req-000001"].Spec.Kind = shape
 				n := p.nodes["i-a000"]
 				r := newRound(time.Now(), 8, Usage{})
 				n.Tasks[0].Spent = spent
@@ -472,10 +472,10 @@
 			})
 			return out
 		}
-		if queued(1, wire.ShapeArray, 0) || !queued(1, wire.ShapeArray, 9*time.Second) {
+		if queued(1, wire.KindArray, 0) || !queued(1, wire.KindArray, 9*time.Second) {
 			t.Error("gave way at once: not as it should be")
 		}
-		if !queued(9, wire.ShapeArray, 0) || !queued(1, wire.ShapeService, 0) {
+		if !queued(9, wire.KindArray, 0) || !queued(1, wire.KindService, 0) {
 			t.Error("held back for nothing")
 		}
 	})
@@ -485,7 +485,7 @@
 // counted as full until the next one, it left its machines idle for as long as that took.
 func TestTasksThatLeftMakeRoom(t *testing.T) {
 	const machines = 130
-	placing(t, map[string]int{"a": machines}, func(_ *ledger.Ledger, p *Placer) {
+	placing(t, map[string]int{"a": machines}, func(_ *statecache.Cache, p *Placer) {
 		in(p, func() {
 			group := groupOf("a", machines)
 			for i := range machines {
@@ -493,7 +493,7 @@
 				p.file("a", n.Report.Machine, &pendingObservation{n, time.Now(), 1})
 			}
 			r := newRound(time.Now(), 8, Usage{})
-			if full := p.view.Groups["a"].Kept(); full < p.valueBytes(recordFill)*9/10 {
+			if full := p.view.Groups["a"].RetainedSize(); full < p.valueBytes(recordFill)*9/10 {
 				t.Errorf("%d bytes: the record has room anyhow", full)
 			}
 			p.takeObservations(r, true, false)
@@ -508,7 +508,7 @@
 			if bound < machines/2 {
 				t.Errorf("room for %d tasks in place of %d", bound, machines)
 			}
-			if size := r.drafts["a"].Kept(); size > p.valueBytes(recordFill) {
+			if size := r.drafts["a"].RetainedSize(); size > p.valueBytes(recordFill) {
 				t.Errorf("%d bytes", size)
 			}
 		})
@@ -519,28 +519,28 @@
 // large that way is split by the next one: tried again as it is, what its reports prove
 // would never be written.
 func TestRecordThatARoundMakesTooLargeIsSplit(t *testing.T) {
-	placing(t, map[string]int{}, func(l *ledger.Ledger, p *Placer) {
-		limit := p.cfg.Params.State.ValueBytes()
-		group := &ledger.Group{Name: "a", Type: "s", Zone: "a"}
-		for i := 0; group.Kept() < limit*87/100; i++ {
-			b := &ledger.Machine{Name: fmt.Sprintf("i-a%03d", i), Addr: "x:1", Session: 1, Token: ledger.Token(1) + 9}
+	placing(t, map[string]int{}, func(l *statecache.Cache, p *Placer) {
+		limit := p.cfg.Params.Store.ValueSizeLimit()
+		group := &statecache.MachineGroup{Name: "a", MachineType: "s", Zone: "a"}
+		for i := 0; group.RetainedSize() < limit*87/100; i++ {
+			b := &statecache.Machine{Name: fmt.Sprintf("i-a%03d", i), Address: "x:1", Incarnation: 1, FencingToken: statecache.FirstToken(1) + 9}
 			for n := range 6 {
-				b.Tasks = append(b.Tasks, ledger.BoundTask{Job: "req-000001", N: 100 + 6*i + n, Attempt: ledger.Token(1) + 8})
+				b.Bindings = append(b.Bindings, statecache.TaskBinding{Job: "req-000001", TaskIndex: 100 + 6*i + n, Attempt: statecache.FirstToken(1) + 8})
 			}
 			group.Machines = append(group.Machines, b)
 		}
-		l.Commit(ledger.Commit{Puts: []ledger.Put{
-			{Key: ledger.Key(ledger.KindBind, "a"), Rec: group},
-			{Key: ledger.Key(ledger.KindAssignment, "red"), Rec: ledger.Assignment{Member: "n0", Boot: p.boot}},
-			{Key: ledger.TermKey, Rec: &ledger.Term{Term: 2}},
-		}}, func(ledger.Outcome) {})
+		l.Commit(statecache.Commit{Puts: []statecache.Put{
+			{Key: statecache.Key(statecache.KindMachineGroup, "a"), Record: group},
+			{Key: statecache.Key(statecache.KindAssignment, "red"), Record: statecache.Assignment{Member: "n0", Incarnation: p.boot}},
+			{Key: statecache.TermKey, Record: &statecache.Term{Number: 2}},
+		}}, func(statecache.Outcome) {})
 		time.Sleep(time.Second)
 		for _, b := range group.Machines {
-			report := &wire.Report{Machine: b.Name, Addr: "x:1", Type: "s", Zone: "a", Session: 1, Seq: 1, Token: b.Token}
-			for i := range b.Tasks {
-				task := wire.TaskReport{Task: b.Tasks[i].Name(), Attempt: b.Tasks[i].Attempt, State: wire.TaskRunning}
+			report := &wire.Heartbeat{Machine: b.Name, Address: "x:1", MachineType: "s", Zone: "a", Incarnation: 1, Sequence: 1, FencingToken: b.FencingToken}
+			for i := range b.Bindings {
+				task := wire.TaskStatus{Task: b.Bindings[i].TaskName(), Attempt: b.Bindings[i].Attempt, State: wire.TaskRunning}
 				if i == 0 {
-					task.State, task.Why = wire.TaskExited, wire.WhyDone
+					task.State, task.ExitReason = wire.TaskExited, wire.ReasonCompleted
 				}
 				report.Tasks = append(report.Tasks, task)
 			}
@@ -548,10 +548,10 @@
 		}
 		time.Sleep(10 * time.Second)
 		in(p, func() {
-			if bound := len(p.view.Bound["req-000001"]); bound != 5*len(group.Machines) || len(p.view.Groups) < 2 {
+			if bound := len(p.view.Bindings["req-000001"]); bound != 5*len(group.Machines) || len(p.view.Groups) < 2 {
 				t.Errorf("%d tasks of %d are bound, in %d groups", bound, 5*len(group.Machines), len(p.view.Groups))
 			}
-			if done := p.view.DoneCount("req-000001"); done != len(group.Machines) {
+			if done := p.view.CompletedCount("req-000001"); done != len(group.Machines) {
 				t.Errorf("%d of %d ends are written", done, len(group.Machines))
 			}
 		})
--- a/internal/place/stage.go
+++ b/internal/place/stage.go
@@ -5,7 +5,7 @@
 	"slices"
 
 	"lynxledge/internal/config"
-	"lynxledge/internal/ledger"
+	"lynxledge/internal/statecache"
 )
 
 // Deadlines lists when a job is to be done, in seconds from when it could run, the
@@ -13,26 +13,26 @@
 // what is left until their deadline that its running time is of the way there, as
 // the paper splits a workflow's deadline over its stages. nowS and startS are on
 // the same count: now, and when it starts at the earliest.
-func Deadlines(cfg *config.Config, j *ledger.Job, runS, nowS, startS float64) []float64 {
+func Deadlines(cfg *config.Config, j *statecache.Job, runS, nowS, startS float64) []float64 {
 	spec := j.Spec
 	var out []float64
 	if j.Blocked { // it could run from startS on, and Since is its submission yet
-		out = cfg.Deadlines(spec.Class, spec.DeadlineS, runS, startS)
+		out = cfg.Deadlines(spec.Class, spec.Deadline, runS, startS)
 		for i := range out {
 			out[i] += startS
 		}
 	} else {
-		out = cfg.Deadlines(spec.Class, spec.DeadlineS, runS, float64(j.RunnableSince()-j.At)/1000)
+		out = cfg.Deadlines(spec.Class, spec.Deadline, runS, float64(j.RunnableSince()-j.SubmittedAt)/1000)
 	}
-	if j.DueAt == 0 {
+	if j.InheritedDeadline == 0 {
 		return out
 	}
-	due := float64(j.DueAt-j.RunnableSince()) / 1000
+	due := float64(j.InheritedDeadline-j.RunnableSince()) / 1000
 	from := math.Max(nowS, startS)
 	if due > from {
-		due = from + (due-from)*runS/math.Max(runS+j.TailS, 1e-9)
+		due = from + (due-from)*runS/math.Max(runS+j.DownstreamRuntime, 1e-9)
 	}
-	if !cfg.Aimed(spec.Class) && spec.DeadlineS == nil {
+	if !cfg.HasCompletionObjective(spec.Class) && spec.Deadline == nil {
 		return []float64{due} // nobody else says when
 	}
 	out = append(out, due)
@@ -42,7 +42,7 @@
 
 // ReadyIn tells of blocked jobs in how many seconds they could run, given how long
 // each job that is not blocked will take, and which of those holds them up.
-func ReadyIn(blocked map[string]*ledger.Job, active func(id string) bool, left, runS func(id string) float64) map[string]Held {
+func ReadyIn(blocked map[string]*statecache.Job, active func(id string) bool, left, runS func(id string) float64) map[string]Held {
 	out := make(map[string]Held, len(blocked))
 	for id := range blocked {
 		for todo := []string{id}; len(todo) > 0; {
@@ -52,7 +52,7 @@
 				continue
 			}
 			h, deeper := Held{}, len(todo)
-			for _, before := range blocked[id].Spec.Awaits {
+			for _, before := range blocked[id].Spec.Dependencies {
 				if !active(before) {
 					continue
 				}
--- a/internal/place/stage_test.go
+++ b/internal/place/stage_test.go
@@ -10,7 +10,7 @@
 	_ "lynxledge/internal/seeded"
 
 	"lynxledge/internal/config"
-	"lynxledge/internal/ledger"
+	"lynxledge/internal/statecache"
 	"lynxledge/wire"
 )
 
@@ -18,7 +18,7 @@
 // their running times, from now on: a stage that is late leaves less for the rest,
 // and none gets more than it leaves.
 func TestDeadlineIsSplitOverStages(t *testing.T) {
-	cfg := &config.Config{Ops: config.DefaultOps()}
+	cfg := &config.Config{Operator: config.DefaultOperatorSettings()}
 	rapid.Check(t, func(t *rapid.T) {
 		runs := rapid.SliceOfN(rapid.Float64Range(1, 50), 1, 6).Draw(t, "runs")
 		tail := 0.0
@@ -30,7 +30,7 @@
 		whole := tail
 		for i, run := range runs {
 			tail -= run
-			j := &ledger.Job{Spec: &wire.Job{Class: "c"}, DueAt: int64(1000 * due), TailS: tail}
+			j := &statecache.Job{Spec: &wire.Job{Class: "c"}, InheritedDeadline: int64(1000 * due), DownstreamRuntime: tail}
 			got := Deadlines(cfg, j, run, now, now)
 			if len(got) != 1 {
 				t.Fatalf("%v", got)
@@ -50,14 +50,14 @@
 // A blocked job's own deadline counts from its submission, its other times from
 // when it could run.
 func TestTimesOfABlockedJob(t *testing.T) {
-	cfg := &config.Config{Ops: config.DefaultOps()}
-	cfg.Params.Objectives = []config.Objective{{Kind: "finished", Class: "c", WithinS: 100}}
+	cfg := &config.Config{Operator: config.DefaultOperatorSettings()}
+	cfg.Params.Objectives = []config.Objective{{Kind: "finished", Class: "c", Within: 100}}
 	due := 60.0
-	j := &ledger.Job{At: 5000, Blocked: true, Spec: &wire.Job{Class: "c", DeadlineS: &due}}
+	j := &statecache.Job{SubmittedAt: 5000, Blocked: true, Spec: &wire.Job{Class: "c", Deadline: &due}}
 	if got := Deadlines(cfg, j, 10, 20, 50); len(got) != 2 || got[0] != 60 || got[1] != 150 {
 		t.Errorf("blocked: %v", got)
 	}
-	ready := &ledger.Job{At: 5000, ReadyAt: 45000, Spec: j.Spec} // 40 s later
+	ready := &statecache.Job{SubmittedAt: 5000, DependenciesDoneAt: 45000, Spec: j.Spec} // 40 s later
 	if got := Deadlines(cfg, ready, 10, 5, 5); len(got) != 2 || got[0] != 20 || got[1] != 100 {
 		t.Errorf("ready: %v", got)
 	}
@@ -66,8 +66,10 @@
 // A blocked job could run when the longest way through what is before it has been
 // gone; whoever is first on that way holds it up. The same jobs are not walked twice.
 func TestReadyIn(t *testing.T) {
-	blocked := map[string]*ledger.Job{}
-	job := func(id string, awaits ...string) { blocked[id] = &ledger.Job{Spec: &wire.Job{ID: id, Awaits: awaits}} }
+	blocked := map[string]*statecache.Job{}
+	job := func(id string, awaits ...string) {
+		blocked[id] = &statecache.Job{Spec: &wire.Job{ID: id, Dependencies: awaits}}
+	}
 	job("b", "a", "x")
 	job("c", "a")
 	job("d", "b", "c")
--- a/internal/place/transaction.go
+++ b/internal/place/transaction.go
@@ -5,7 +5,7 @@
 	"maps"
 	"time"
 
-	"lynxledge/internal/ledger"
+	"lynxledge/internal/statecache"
 	"lynxledge/wire"
 )
 
@@ -15,21 +15,21 @@
 	now            time.Time
 	limit          int // writes
 	drafts         map[string]*draft
-	doneSets       map[string]*ledger.DoneChunk // by key
-	ends           map[string]int               // jobs that end: writes that takes
-	parts          map[string]int               // groups to split: new records at most
-	cancellations  map[string]*ledger.Job       // jobs whose cancellation is stored
-	marks          map[string]int               // jobs: tasks marked here
-	jobs           map[string]uint64            // guarded jobs
+	doneSets       map[string]*statecache.CompletionChunk // by key
+	ends           map[string]int                         // jobs that end: writes that takes
+	parts          map[string]int                         // groups to split: new records at most
+	cancellations  map[string]*statecache.Job             // jobs whose cancellation is stored
+	marks          map[string]int                         // jobs: tasks marked here
+	jobs           map[string]uint64                      // guarded jobs
 	assignments    map[string]uint64
 	placed         map[string]int
 	tally          Usage
 	guaranteed     map[string]bool // jobs within their teams' guarantees
-	starts         map[string][]wire.Order
-	stops          map[string][]wire.Order
-	departed       int                        // tasks that left
-	departureBytes int                        // bytes of what the records say of them
-	rows           map[string]*ledger.Machine // of the machines with starts
+	starts         map[string][]wire.Command
+	stops          map[string][]wire.Command
+	departed       int                            // tasks that left
+	departureBytes int                            // bytes of what the records say of them
+	rows           map[string]*statecache.Machine // of the machines with starts
 	log            []func()
 	judged         map[*Node]bool            // brought up to date for choices of victims
 	near           []*Node                   // with room, in groups that are written anyhow
@@ -43,24 +43,24 @@
 		now:           now,
 		limit:         limit,
 		drafts:        map[string]*draft{},
-		doneSets:      map[string]*ledger.DoneChunk{},
+		doneSets:      map[string]*statecache.CompletionChunk{},
 		ends:          map[string]int{},
 		parts:         map[string]int{},
-		cancellations: map[string]*ledger.Job{},
+		cancellations: map[string]*statecache.Job{},
 		marks:         map[string]int{},
 		jobs:          map[string]uint64{},
 		assignments:   map[string]uint64{},
 		placed:        map[string]int{},
 		tally:         maps.Clone(tally),
-		starts:        map[string][]wire.Order{},
-		stops:         map[string][]wire.Order{},
-		rows:          map[string]*ledger.Machine{},
+		starts:        map[string][]wire.Command{},
+		stops:         map[string][]wire.Command{},
+		rows:          map[string]*statecache.Machine{},
 		judged:        map[*Node]bool{},
 	}
 }
 
 type draft struct {
-	*ledger.Draft
+	*statecache.GroupUpdate
 	size int // of the record, at most
 }
 
@@ -76,7 +76,7 @@
 )
 
 func (p *Placer) valueBytes(part float64) int {
-	return int(float64(p.cfg.Params.State.ValueBytes()) * part)
+	return int(float64(p.cfg.Params.Store.ValueSizeLimit()) * part)
 }
 
 func (r *round) ops() int {
@@ -91,20 +91,20 @@
 }
 
 // full: no more groups can be written.
-func (r *round) full() bool { return r.ops() >= r.limit || r.bytes() >= ledger.RecordsBytes }
+func (r *round) full() bool { return r.ops() >= r.limit || r.bytes() >= statecache.MaxTxnRecordBytes }
 
 // bytes is at most the size of the commit. Records may have a size at which a
 // transaction reaches the limit of a body long before that of its writes.
 func (r *round) bytes() int {
 	n := r.departureBytes
 	for _, d := range r.drafts {
-		n += d.size + ledger.WriteBytes
+		n += d.size + statecache.WriteOverheadBytes
 	}
 	for _, f := range r.doneSets {
-		n += 4*len(f.Bits)/3 + ledger.WriteBytes
+		n += 4*len(f.Bits)/3 + statecache.WriteOverheadBytes
 	}
-	n += ledger.WriteBytes * (len(r.ends) + len(r.cancellations)*(1+cancelledJobBytes/ledger.WriteBytes))
-	return n + ledger.WriteBytes*(len(r.jobs)+len(r.assignments))
+	n += statecache.WriteOverheadBytes * (len(r.ends) + len(r.cancellations)*(1+cancelledJobBytes/statecache.WriteOverheadBytes))
+	return n + statecache.WriteOverheadBytes*(len(r.jobs)+len(r.assignments))
 }
 
 // cancelledJobBytes is the most that the record of a cancelled job takes.
@@ -114,7 +114,7 @@
 // guards for each write; each write needs one of its own, and so may every team's hand
 // record.
 func (p *Placer) guardable(r *round) bool {
-	ops := p.cfg.Params.State.Ops()
+	ops := p.cfg.Params.Store.TxnOpsLimit()
 	return len(r.jobs) < min(2*ops, 3*ops-len(p.view.Assignments))
 }
 
@@ -123,12 +123,12 @@
 	if d := r.drafts[group]; d != nil {
 		return d
 	}
-	if r.full() || p.view.Groups[group] == nil || r.parts[group] == 0 && p.largeRecords[group] && p.view.Groups[group].Kept() > p.valueBytes(1) {
+	if r.full() || p.view.Groups[group] == nil || r.parts[group] == 0 && p.largeRecords[group] && p.view.Groups[group].RetainedSize() > p.valueBytes(1) {
 		return nil
 	}
-	d := &draft{Draft: p.view.Draft(group)}
-	d.size = d.Size()
-	if len(r.drafts) > 0 && r.bytes()+d.size > ledger.RecordsBytes {
+	d := &draft{GroupUpdate: p.view.UpdateGroup(group)}
+	d.size = d.EncodedSize()
+	if len(r.drafts) > 0 && r.bytes()+d.size > statecache.MaxTxnRecordBytes {
 		return nil
 	}
 	r.drafts[group] = d
@@ -142,7 +142,7 @@
 
 // commit makes the round's changes, if there are any.
 func (p *Placer) commit(r *round) {
-	c := ledger.Commit{Settle: true, Patience: p.reportS(0.5)}
+	c := statecache.Commit{RetryUntilCertain: true, RetryFor: p.reportS(0.5)}
 	var touched []string
 	for _, d := range r.drafts {
 		for _, b := range d.Machines {
@@ -154,35 +154,35 @@
 		return
 	}
 	p.merge(r, &c)
-	c.GuardAssignments(r.assignments)
+	c.RequireAssignments(r.assignments)
 	for id, stamp := range r.jobs {
-		c.Guards = append(c.Guards, wire.Guard{Key: ledger.Key(ledger.KindJob, id), Version: stamp})
+		c.Preconditions = append(c.Preconditions, wire.Precondition{Key: statecache.Key(statecache.KindJob, id), ModRevision: stamp})
 	}
 	for key, d := range r.doneSets {
-		c.Guards = append(c.Guards, wire.Guard{Key: key, Version: d.Stamp})
-		c.Puts = append(c.Puts, ledger.Put{Key: key, Rec: d})
+		c.Preconditions = append(c.Preconditions, wire.Precondition{Key: key, ModRevision: d.ModRevision})
+		c.Puts = append(c.Puts, statecache.Put{Key: key, Record: d})
 	}
 	for id, rec := range r.cancellations {
-		c.Puts = append(c.Puts, ledger.Put{Key: ledger.Key(ledger.KindJob, id), Rec: rec})
+		c.Puts = append(c.Puts, statecache.Put{Key: statecache.Key(statecache.KindJob, id), Record: rec})
 	}
 	for job, writes := range r.ends {
 		j := p.view.Jobs[job]
-		c.Puts = append(c.Puts, ledger.Put{Key: ledger.Key(ledger.KindJob, job), Rec: &ledger.Job{
-			State: wire.JobDone, Tasks: j.Tasks, At: j.At, EndAt: r.now.UnixMilli(),
+		c.Puts = append(c.Puts, statecache.Put{Key: statecache.Key(statecache.KindJob, job), Record: &statecache.Job{
+			State: wire.JobDone, TaskCount: j.TaskCount, SubmittedAt: j.SubmittedAt, FinishedAt: r.now.UnixMilli(),
 		}})
 		// The done set goes with the write that calls the job done.
-		for chunk := range p.view.Chunks[job] {
+		for chunk := range p.view.CompletionChunks[job] {
 			if writes--; writes > 0 {
-				c.Delete = append(c.Delete, ledger.DoneKey(job, chunk))
+				c.Deletes = append(c.Deletes, statecache.CompletionChunkKey(job, chunk))
 			}
 		}
 	}
 	for _, d := range r.drafts {
 		for job := range r.ends {
-			delete(d.Marks, job)
+			delete(d.Completions, job)
 		}
-		if !d.Fit(p.valueBytes(1)) {
-			slog.Error("record too large; nothing is written", "group", d.Name, "bytes", d.Size(), "machines", len(d.Machines))
+		if !d.TrimToFit(p.valueBytes(1)) {
+			slog.Error("record too large; nothing is written", "group", d.Name, "bytes", d.EncodedSize(), "machines", len(d.Machines))
 			// Rows grow when they are rewritten in a later term: the next round splits the
 			// record, or it would be tried in vain again and again.
 			p.largeRecords[d.Name] = true
@@ -208,12 +208,12 @@
 		"placed", sum(r.placed),
 		"departed", r.departed,
 		"groups_waiting", len(p.observations))
-	p.ledger.Commit(c, func(out ledger.Outcome) {
+	p.ledger.Commit(c, func(out statecache.Outcome) {
 		p.Send(func() {
 			p.busy = false
 			p.ownWrites = 0 // told by now, or not made
 			p.undo(touched)
-			if out == ledger.Committed {
+			if out == statecache.Committed {
 				for _, f := range r.log {
 					f()
 				}
--- a/internal/place/victims.go
+++ b/internal/place/victims.go
@@ -18,7 +18,7 @@
 // Preempt finds the cheapest set of tasks to stop for a task of job j. Work
 // of lower priority may go; with the team inside its guarantee so may work of any
 // priority that another team runs beyond its own. Nothing else may.
-func Preempt(j *wire.Job, zones Zones, offers Offers, nodes []*Node, tally Usage, team func(string) config.Team) *Victims {
+func Preempt(j *wire.Job, zones Zones, offers Offers, nodes []*Node, tally Usage, team func(string) config.TeamQuota) *Victims {
 	var best *Victims
 	bestScore := 0.0
 	need := RequestOf(j)
@@ -38,7 +38,7 @@
 	return best
 }
 
-func victims(j *wire.Job, n *Node, need Resources, guaranteed bool, tally Usage, team func(string) config.Team) *Victims {
+func victims(j *wire.Job, n *Node, need Resources, guaranteed bool, tally Usage, team func(string) config.TeamQuota) *Victims {
 	limit := Capacity(n.Type)
 	type candidate struct {
 		i    int
@@ -49,20 +49,20 @@
 		if t.Job == nil || t.Stops {
 			continue
 		}
-		lower := t.Job.Rank < j.Rank
+		lower := t.Job.Priority < j.Priority
 		if !lower && (!guaranteed || t.Guaranteed || t.Job.Team == j.Team) {
 			continue
 		}
 		lost := t.Spent
-		if t.Job.CheckpointS > 0 {
-			lost = math.Min(lost, t.Job.CheckpointS)
+		if t.Job.CheckpointInterval > 0 {
+			lost = math.Min(lost, t.Job.CheckpointInterval)
 		}
-		if t.Job.Service() {
+		if t.Job.IsService() {
 			lost += 60 // a replica's users notice
 		} else if t.Last {
-			lost += t.Job.EstimateS
+			lost += t.Job.EstimatedRuntime
 		}
-		cands = append(cands, candidate{i, (1 + lost) * t.Job.CPUs * float64(1+3*t.Job.Rank)})
+		cands = append(cands, candidate{i, (1 + lost) * t.Job.CPUs * float64(1+3*t.Job.Priority)})
 	}
 	slices.SortFunc(cands, func(a, b candidate) int {
 		if a.cost < b.cost {
@@ -81,14 +81,14 @@
 			break
 		}
 		t := n.Tasks[c.i]
-		if t.Job.Rank >= j.Rank {
+		if t.Job.Priority >= j.Priority {
 			// Stopping it must leave its team with its guarantee.
 			owner := team(t.Job.Team)
 			u, ok := left[owner.Name]
 			if !ok {
 				u = tally[owner.Name]
 			}
-			if u.CPUs <= owner.CPUs+slack && u.GPUs <= owner.GPUs+slack {
+			if u.CPUs <= owner.GuaranteedCPUs+slack && u.GPUs <= owner.GuaranteedGPUs+slack {
 				continue
 			}
 			left[owner.Name] = u.Plus(RequestOf(t.Job), -1)
@@ -107,7 +107,7 @@
 // room for it, and whose going makes room for a task that must spread into
 // its zone. The replica is stopped to be placed again.
 func Move(j *wire.Job, zones Zones, nodes []*Node) *Victims {
-	if !j.Spread || !j.Service() {
+	if !j.SpreadZones || !j.IsService() {
 		return nil
 	}
 	need := RequestOf(j)
@@ -117,7 +117,7 @@
 		}
 		elsewhere := slices.DeleteFunc(slices.Clone(nodes), func(o *Node) bool { return o.Zone == n.Zone })
 		for i, t := range n.Tasks {
-			if t.Job == nil || t.Stops || !t.Job.Service() || t.Job.Spread && t.Job.Tasks > 1 || t.Job.CheckpointS > 0 {
+			if t.Job == nil || t.Stops || !t.Job.IsService() || t.Job.SpreadZones && t.Job.TaskCount > 1 || t.Job.CheckpointInterval > 0 {
 				continue
 			}
 			if !n.Used.Plus(RequestOf(t.Job), -1).Plus(need, 1).Fits(Capacity(n.Type)) {
--- a/internal/place/writerate.go
+++ b/internal/place/writerate.go
@@ -31,9 +31,9 @@
 // writeRate is how many writes a second this placer may make: its share of the state
 // service's rate, and what the others were seen to leave of theirs.
 func (p *Placer) writeRate(now time.Time) float64 {
-	limit := p.cfg.WriteRPS()
+	limit := p.cfg.StoreWriteRate()
 	left := limit*usableShare - p.othersWrites.rate(now)
-	return max(limit*p.cfg.Ops.StateShare, left)
+	return max(limit*p.cfg.Operator.SchedulerWriteShare, left)
 }
 
 // countOthers takes note of the writes that the ledger tells of, but for this placer's
--- a/internal/place/writerate_test.go
+++ b/internal/place/writerate_test.go
@@ -21,8 +21,8 @@
 		{"others use their share", 5, 0.75 * limit},
 		{"others use more", 12, 0.75 * limit},
 	} {
-		cfg := &config.Config{Ops: config.DefaultOps()}
-		cfg.Params.State.WriteRPS = limit
+		cfg := &config.Config{Operator: config.DefaultOperatorSettings()}
+		cfg.Params.Store.WriteRate = limit
 		p := &Placer{cfg: cfg, othersWrites: writeMeter{window: 8 * time.Second}}
 		now := time.Now()
 		for range 60 {
--- a/internal/plan/bench_test.go
+++ b/internal/plan/bench_test.go
@@ -13,12 +13,12 @@
 func fleetOf(machines int) Input {
 	in := Input{
 		Types: []wire.MachineType{
-			{Name: "s", CPUs: 4, MemoryGB: 32, Price: 0.19, SpotPrice: 0.05, BootS: 50, Zones: []string{"a", "b"}},
-			{Name: "b", CPUs: 16, MemoryGB: 128, Price: 0.78, SpotPrice: 0.2, BootS: 30, Zones: []string{"b", "c"}},
+			{Name: "s", CPUs: 4, MemoryGB: 32, HourlyPrice: 0.19, HourlySpotPrice: 0.05, BootTime: 50, Zones: []string{"a", "b"}},
+			{Name: "b", CPUs: 16, MemoryGB: 128, HourlyPrice: 0.78, HourlySpotPrice: 0.2, BootTime: 30, Zones: []string{"b", "c"}},
 		},
 		LagS: 45, PassS: 5, BillingS: 30, Headroom: 0.1, Premium: 2, Refused: func(Pool) bool { return false },
 	}
-	scan := &wire.Job{ID: "req-000001", Shape: wire.ShapeArray, Rank: wire.RankNormal, Tasks: 80, CPUs: 4, MemoryGB: 29, Spot: true}
+	scan := &wire.Job{ID: "req-000001", Kind: wire.KindArray, Priority: wire.PriorityNormal, TaskCount: 80, CPUs: 4, MemoryGB: 29, AllowSpot: true}
 	for i := range machines {
 		pool := Pool{Type: "s", Zone: "a", Spot: true}
 		if i%3 == 0 {
--- a/internal/plan/cover.go
+++ b/internal/plan/cover.go
@@ -17,13 +17,13 @@
 		zones[z] = n
 	}
 	window := d.DeadlineS - p.LagS
-	whole := d.Job.Service() || math.IsInf(d.DeadlineS, 1)
+	whole := d.Job.IsService() || math.IsInf(d.DeadlineS, 1)
 	run := d.RunS
 	if whole {
 		run = math.Inf(1)
 	}
 	left := d.Count - p.onExisting(d, min(d.Count, p.maxTried()), need, zones, run)
-	fixed := !d.Job.Spread && !d.Job.OneZone // every task has the same choice
+	fixed := !d.Job.SpreadZones && !d.Job.SingleZone // every task has the same choice
 	var pool Pool
 	var share float64
 	ok := false
@@ -89,9 +89,9 @@
 		if share > 1+1e-9 {
 			continue
 		}
-		price := t.Price
+		price := t.HourlyPrice
 		if pool.Spot {
-			price = t.SpotPrice
+			price = t.HourlySpotPrice
 		}
 		floor = math.Min(floor, price*share)
 		if p.Refused(pool) || p.avoided(j, pool.Zone) {
@@ -104,7 +104,7 @@
 		return Pool{}, 0, false
 	}
 	limit := least
-	if j.Service() {
+	if j.IsService() {
 		limit *= nearlyEqual
 	}
 	var best offer
--- a/internal/plan/existing.go
+++ b/internal/plan/existing.go
@@ -21,9 +21,9 @@
 func shapeOf(d Demand, need place.Resources) demandShape {
 	return demandShape{
 		need:  need,
-		types: strings.Join(d.Job.Types, " "),
+		types: strings.Join(d.Job.MachineTypes, " "),
 		zone:  d.Job.Zone,
-		spot:  d.Job.Spot,
+		spot:  d.Job.AllowSpot,
 		roomy: d.Roomy,
 	}
 }
@@ -203,7 +203,7 @@
 func (p *pass) poolChoices(d Demand, need place.Resources, run float64) (choices []poolChoice, latest float64) {
 	choices = make([]poolChoice, len(p.held))
 	limit := p.LagS
-	if !d.Job.Service() && !math.IsInf(d.DeadlineS, 1) {
+	if !d.Job.IsService() && !math.IsInf(d.DeadlineS, 1) {
 		limit = max(limit, d.DeadlineS-run)
 	}
 	latest = limit
@@ -216,8 +216,8 @@
 			allowed:  true,
 			share:    need.Share(place.Capacity(machineType)),
 			limit:    limit,
-			starting: max(limit, machineType.BootS),
-			kind:     pool.Spot == d.Job.Spot,
+			starting: max(limit, machineType.BootTime),
+			kind:     pool.Spot == d.Job.AllowSpot,
 		}
 		latest = max(latest, choices[i].starting)
 	}
--- a/internal/plan/plan.go
+++ b/internal/plan/plan.go
@@ -107,8 +107,8 @@
 	demands := append(slices.Clone(in.Demands), p.headroom()...)
 	slices.SortStableFunc(demands, func(a, b Demand) int {
 		switch {
-		case a.Job.Rank != b.Job.Rank:
-			return int(b.Job.Rank - a.Job.Rank)
+		case a.Job.Priority != b.Job.Priority:
+			return int(b.Job.Priority - a.Job.Priority)
 		case a.Late != b.Late:
 			if b.Late {
 				return -1
@@ -186,10 +186,10 @@
 	sum := map[key]float64{}
 	sample := map[key]*wire.Job{}
 	add := func(j *wire.Job, n int) {
-		if j == nil || j.Rank < wire.RankHigh {
+		if j == nil || j.Priority < wire.PriorityHigh {
 			return
 		}
-		k := key{j.Rank, j.Spot}
+		k := key{j.Priority, j.AllowSpot}
 		sum[k] += float64(n) * j.CPUs
 		if s := sample[k]; s == nil || j.CPUs > s.CPUs || j.CPUs == s.CPUs && j.ID < s.ID {
 			sample[k] = j
@@ -206,7 +206,7 @@
 	var out []Demand
 	for k, cpus := range sum {
 		j := *sample[k]
-		j.Zone, j.OneZone, j.Spread = "", false, false
+		j.Zone, j.SingleZone, j.SpreadZones = "", false, false
 		n := int(math.Ceil(cpus * p.Headroom / j.CPUs))
 		out = append(out, Demand{Job: &j, Count: n, DeadlineS: math.Inf(1), RunS: 1, Roomy: true})
 	}
--- a/internal/plan/plan_test.go
+++ b/internal/plan/plan_test.go
@@ -14,8 +14,8 @@
 )
 
 var planTypes = []wire.MachineType{
-	{Name: "s", CPUs: 4, MemoryGB: 16, Price: 1, SpotPrice: 0.4, Zones: []string{"a", "b"}},
-	{Name: "l", CPUs: 16, MemoryGB: 64, Price: 3.8, SpotPrice: 1.7, Zones: []string{"a"}},
+	{Name: "s", CPUs: 4, MemoryGB: 16, HourlyPrice: 1, HourlySpotPrice: 0.4, Zones: []string{"a", "b"}},
+	{Name: "l", CPUs: 16, MemoryGB: 64, HourlyPrice: 3.8, HourlySpotPrice: 1.7, Zones: []string{"a"}},
 }
 
 func base(d ...Demand) Input {
@@ -23,7 +23,7 @@
 }
 
 func job(cpus float64, spot bool) *wire.Job {
-	return &wire.Job{ID: "req-000001", Shape: wire.ShapeArray, CPUs: cpus, MemoryGB: 1, Tasks: 100, Spot: spot}
+	return &wire.Job{ID: "req-000001", Kind: wire.KindArray, CPUs: cpus, MemoryGB: 1, TaskCount: 100, AllowSpot: spot}
 }
 
 // The design's load: running time over window times share, capped at the
@@ -91,9 +91,9 @@
 		total := 0
 		for i := range rapid.IntRange(0, 5).Draw(t, "jobs") {
 			j := job(float64(rapid.IntRange(1, 20).Draw(t, "cpus")), rapid.Bool().Draw(t, "spot"))
-			j.ID, j.Spread, j.Tasks = fmt.Sprintf("req-%06d", i), rapid.Bool().Draw(t, "spread"), rapid.IntRange(1, 30).Draw(t, "tasks")
-			total += j.Tasks
-			in.Demands = append(in.Demands, Demand{Job: j, Count: j.Tasks, DeadlineS: rapid.Float64Range(-50, 300).Draw(t, "due"), RunS: 20, Zones: place.Zones{}})
+			j.ID, j.SpreadZones, j.TaskCount = fmt.Sprintf("req-%06d", i), rapid.Bool().Draw(t, "spread"), rapid.IntRange(1, 30).Draw(t, "tasks")
+			total += j.TaskCount
+			in.Demands = append(in.Demands, Demand{Job: j, Count: j.TaskCount, DeadlineS: rapid.Float64Range(-50, 300).Draw(t, "due"), RunS: 20, Zones: place.Zones{}})
 		}
 		for i := range rapid.IntRange(0, 6).Draw(t, "machines") {
 			m := Machine{Name: fmt.Sprint(i), Pool: Pool{rapid.SampledFrom([]string{"s", "l"}).Draw(t, "type"), "a", rapid.Bool().Draw(t, "spotm")}, Open: true, AgeS: rapid.Float64Range(0, 300).Draw(t, "age")}
@@ -125,8 +125,8 @@
 // A machine whose type boots for longer than the lag was rented again by every
 // pass until it was nearly up.
 func TestSlowBootIsRentedOnce(t *testing.T) {
-	in := base(Demand{Job: &wire.Job{ID: "req-000001", Shape: wire.ShapeService, CPUs: 4, MemoryGB: 1, Tasks: 1}, Count: 1})
-	in.Types = []wire.MachineType{{Name: "s", CPUs: 4, MemoryGB: 16, Price: 1, BootS: 80, Zones: []string{"a"}}}
+	in := base(Demand{Job: &wire.Job{ID: "req-000001", Kind: wire.KindService, CPUs: 4, MemoryGB: 1, TaskCount: 1}, Count: 1})
+	in.Types = []wire.MachineType{{Name: "s", CPUs: 4, MemoryGB: 16, HourlyPrice: 1, BootTime: 80, Zones: []string{"a"}}}
 	if got := Make(in).Rent; len(got) != 1 || got[0].Count != 1 {
 		t.Fatalf("first pass rents %+v", got)
 	}
--- a/internal/recovery/admission.go
+++ b/internal/recovery/admission.go
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
-	"lynxledge/internal/ledger"
 	"lynxledge/internal/place"
+	"lynxledge/internal/statecache"
 	"lynxledge/internal/zonehealth"
 )
 
@@ -42,7 +42,7 @@
 }
 
 // admissions works out the admission of every zone that is recovering.
-func admissions(now time.Time, record *ledger.Recovery, policy *zonehealth.Policy, nodes []*place.Node) map[string]*Admission {
+func admissions(now time.Time, record *statecache.ZoneRecoveries, policy *zonehealth.Policy, nodes []*place.Node) map[string]*Admission {
 	out := map[string]*Admission{}
 	for i := range record.Zones {
 		z := &record.Zones[i]
--- a/internal/recovery/advisor.go
+++ b/internal/recovery/advisor.go
@@ -4,8 +4,8 @@
 	"time"
 
 	"lynxledge/internal/config"
-	"lynxledge/internal/ledger"
 	"lynxledge/internal/place"
+	"lynxledge/internal/statecache"
 	"lynxledge/internal/zonehealth"
 	"lynxledge/wire"
 )
@@ -27,26 +27,26 @@
 func NewAdvisor(cfg *config.Config) *Advisor {
 	return &Advisor{
 		policy: zonehealth.PolicyOf(cfg),
-		pause:  config.Secs(cfg.Params.Workers.ReportS * adviceShare),
+		pause:  config.Seconds(cfg.Params.Workers.HeartbeatInterval * adviceShare),
 	}
 }
 
 // Advise tells how to place while zones recover; nil when none does.
 func (a *Advisor) Advise(now time.Time, cluster place.Cluster) place.Advice {
-	record := cluster.View.Recovery
+	record := cluster.View.ZoneRecoveries
 	if !Recovering(record) {
 		a.last = nil
 		return nil
 	}
-	if a.last == nil || a.stamp != record.Stamp || now.Sub(a.given) >= a.pause {
+	if a.last == nil || a.stamp != record.ModRevision || now.Sub(a.given) >= a.pause {
 		a.last = a.advise(now, cluster)
-		a.stamp, a.given = record.Stamp, now
+		a.stamp, a.given = record.ModRevision, now
 	}
 	return a.last
 }
 
 // Recovering tells whether any zone is lost or returning.
-func Recovering(record *ledger.Recovery) bool {
+func Recovering(record *statecache.ZoneRecoveries) bool {
 	if record == nil || record.Unreadable {
 		return false
 	}
@@ -60,7 +60,7 @@
 
 func (a *Advisor) advise(now time.Time, cluster place.Cluster) *advice {
 	out := &advice{
-		zones:     admissions(now, cluster.View.Recovery, &a.policy, cluster.Nodes),
+		zones:     admissions(now, cluster.View.ZoneRecoveries, &a.policy, cluster.Nodes),
 		preferred: map[string][]*place.Node{},
 		reserved:  map[*place.Node]place.Resources{},
 		positions: map[string]int{},
@@ -108,7 +108,7 @@
 }
 
 // Admits tells whether a machine may take a task of a job.
-func (a *advice) Admits(n *place.Node, j *wire.Job) bool { return a.admits(n, j.Service()) }
+func (a *advice) Admits(n *place.Node, j *wire.Job) bool { return a.admits(n, j.IsService()) }
 
 func (a *advice) admits(n *place.Node, service bool) bool {
 	zone := a.zones[n.Zone]
@@ -118,7 +118,7 @@
 // LastResort tells whether a machine may take a replica that has no room elsewhere: any
 // machine that is heard, or the steps of a return would leave a service short.
 func (a *advice) LastResort(n *place.Node, j *wire.Job) bool {
-	return j.Service() && !a.admits(n, true)
+	return j.IsService() && !a.admits(n, true)
 }
 
 // Preferred are machines with room for the waiting replicas of a service.
--- a/internal/recovery/assign.go
+++ b/internal/recovery/assign.go
@@ -128,11 +128,11 @@
 			continue
 		}
 		score := 1 - s.used.Share(place.Capacity(b.machineType))
-		if j.Spot && !b.spot {
+		if j.AllowSpot && !b.spot {
 			score += spotPreference
 		}
-		if j.Spread {
-			score += spreadPreference * float64(zones[b.zone]) / float64(j.Tasks)
+		if j.SpreadZones {
+			score += spreadPreference * float64(zones[b.zone]) / float64(j.TaskCount)
 		}
 		if score < least {
 			found, bucket, least = s, i, score
@@ -184,6 +184,6 @@
 
 // weight is what placing a replica is worth: one of a higher priority is worth more than
 // any few of a lower one.
-func weight(j *wire.Job) float64 { return math.Pow(priorityStep, float64(j.Rank)) }
+func weight(j *wire.Job) float64 { return math.Pow(priorityStep, float64(j.Priority)) }
 
 const priorityStep = 10
--- a/internal/recovery/plan.go
+++ b/internal/recovery/plan.go
@@ -14,7 +14,7 @@
 	// has no room on Nodes.
 	LastResort []*place.Node
 	Usage      place.Usage
-	Team       func(name string) config.Team
+	Team       func(name string) config.TeamQuota
 }
 
 // Placement is one replica and a machine with room for it.
--- a/internal/recovery/plan_test.go
+++ b/internal/recovery/plan_test.go
@@ -21,28 +21,28 @@
 
 func genService(t *rapid.T, id int) *Service {
 	j := &wire.Job{
-		ID: fmt.Sprintf("req-%06d", id), Team: rapid.SampledFrom([]string{"red", "blue"}).Draw(t, "team"), Shape: wire.ShapeService,
-		Rank: wire.Priority(rapid.IntRange(0, 3).Draw(t, "rank")), Tasks: rapid.IntRange(1, 6).Draw(t, "replicas"),
+		ID: fmt.Sprintf("req-%06d", id), Team: rapid.SampledFrom([]string{"red", "blue"}).Draw(t, "team"), Kind: wire.KindService,
+		Priority: wire.Priority(rapid.IntRange(0, 3).Draw(t, "rank")), TaskCount: rapid.IntRange(1, 6).Draw(t, "replicas"),
 		CPUs: float64(rapid.IntRange(1, 5).Draw(t, "cpus")), MemoryGB: float64(rapid.IntRange(1, 12).Draw(t, "memory")),
-		Spot: rapid.Bool().Draw(t, "spot"), Spread: rapid.Bool().Draw(t, "spread"),
+		AllowSpot: rapid.Bool().Draw(t, "spot"), SpreadZones: rapid.Bool().Draw(t, "spread"),
 	}
 	switch rapid.IntRange(0, 5).Draw(t, "only") {
 	case 0:
 		j.Zone = rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "zone")
 	case 1:
-		j.Types = []string{"l"}
+		j.MachineTypes = []string{"l"}
 	case 2:
-		j.OneZone, j.Spread = true, false
+		j.SingleZone, j.SpreadZones = true, false
 	}
 	s := &Service{Job: j, AtRisk: map[string]int{}, Zones: place.Zones{}, Since: int64(id)}
-	left := j.Tasks
+	left := j.TaskCount
 	for _, zone := range []string{"a", "b", "c"} {
 		if !s.Zones.Allows(j, zone) || j.Zone != "" && j.Zone != zone {
 			continue
 		}
 		n := rapid.IntRange(0, left).Draw(t, "bound")
-		if j.Spread {
-			n = min(n, (j.Tasks+1)/2)
+		if j.SpreadZones {
+			n = min(n, (j.TaskCount+1)/2)
 		}
 		left -= n
 		if s.Zones[zone] += n; zone == "a" && n > 0 {
@@ -54,11 +54,11 @@
 }
 
 func genInput(t *rapid.T) Input {
-	in := Input{Usage: place.Usage{}, Team: func(name string) config.Team {
+	in := Input{Usage: place.Usage{}, Team: func(name string) config.TeamQuota {
 		if name == "red" {
-			return config.Team{Name: name, CPUsMax: 24}
+			return config.TeamQuota{Name: name, MaxCPUs: 24}
 		}
-		return config.Team{Name: name}
+		return config.TeamQuota{Name: name}
 	}}
 	for i := range rapid.IntRange(0, 8).Draw(t, "nodes") {
 		n := &place.Node{
@@ -163,13 +163,13 @@
 		return &place.Node{Name: name, Type: testTypes[0], Zone: zone, Open: true}
 	}
 	service := func(id, zone string) *Service {
-		j := &wire.Job{ID: id, Team: "blue", Shape: wire.ShapeService, Rank: wire.RankProd, Tasks: 1, CPUs: 4, MemoryGB: 1, Zone: zone}
+		j := &wire.Job{ID: id, Team: "blue", Kind: wire.KindService, Priority: wire.PriorityProduction, TaskCount: 1, CPUs: 4, MemoryGB: 1, Zone: zone}
 		return &Service{Job: j, Waiting: 1, AtRisk: map[string]int{}, Zones: place.Zones{}}
 	}
 	in := Input{
 		Services: []*Service{service("req-000001", ""), service("req-000002", "b")},
 		Nodes:    []*place.Node{node("i-1", "b"), node("i-2", "c")},
-		Team:     func(string) config.Team { return config.Team{} },
+		Team:     func(string) config.TeamQuota { return config.TeamQuota{} },
 	}
 	if plan := Make(in); !plan.Solved || len(plan.Placements) != 2 {
 		t.Errorf("%+v", plan)
@@ -178,12 +178,12 @@
 
 // More services than the solver's bounds allow are placed all the same.
 func TestSolverIsBounded(t *testing.T) {
-	in := Input{Team: func(string) config.Team { return config.Team{} }}
+	in := Input{Team: func(string) config.TeamQuota { return config.TeamQuota{} }}
 	for i := range 40 {
 		in.Nodes = append(in.Nodes, &place.Node{Name: fmt.Sprintf("i-%02d", i), Type: testTypes[i%2], Zone: []string{"b", "c", "d"}[i%3], Spot: i%4 == 0, Open: true})
 	}
 	for i := range 60 {
-		j := &wire.Job{ID: fmt.Sprintf("req-%06d", i), Team: "blue", Shape: wire.ShapeService, Tasks: 9, CPUs: 1 + float64(i)/30, MemoryGB: 1, Spread: true}
+		j := &wire.Job{ID: fmt.Sprintf("req-%06d", i), Team: "blue", Kind: wire.KindService, TaskCount: 9, CPUs: 1 + float64(i)/30, MemoryGB: 1, SpreadZones: true}
 		in.Services = append(in.Services, &Service{Job: j, Waiting: 9, AtRisk: map[string]int{}, Zones: place.Zones{}})
 	}
 	p := build(&in, newRoom(in.Nodes))
@@ -224,7 +224,7 @@
 // BenchmarkPlan is the work of one plan after a zone with a third of the machines is lost.
 func BenchmarkPlan(b *testing.B) {
 	for _, machines := range []int{48, 400, 4000} {
-		in := Input{Team: func(string) config.Team { return config.Team{} }}
+		in := Input{Team: func(string) config.TeamQuota { return config.TeamQuota{} }}
 		for i := range machines * 2 / 3 {
 			n := &place.Node{Name: fmt.Sprintf("i-%06d", i), Type: testTypes[i%2], Zone: []string{"b", "c"}[i/2%2], Spot: i%5 == 0, Open: true}
 			n.Used = place.Resources{CPUs: float64(i % 4), Mem: float64(i % 9)}
@@ -232,8 +232,8 @@
 		}
 		for i := range machines / 6 {
 			j := &wire.Job{
-				ID: fmt.Sprintf("req-%06d", i), Team: "blue", Shape: wire.ShapeService, Rank: wire.RankProd,
-				Tasks: 4, CPUs: 1 + float64(i%3), MemoryGB: 2, Spread: true,
+				ID: fmt.Sprintf("req-%06d", i), Team: "blue", Kind: wire.KindService, Priority: wire.PriorityProduction,
+				TaskCount: 4, CPUs: 1 + float64(i%3), MemoryGB: 2, SpreadZones: true,
 			}
 			in.Services = append(in.Services, &Service{Job: j, Waiting: 1, AtRisk: map[string]int{"a": 1}, Zones: place.Zones{"a": 1, "b": 1, "c": 1}})
 		}
--- a/internal/recovery/rentals.go
+++ b/internal/recovery/rentals.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"lynxledge/internal/config"
-	"lynxledge/internal/ledger"
+	"lynxledge/internal/statecache"
 	"lynxledge/internal/zonehealth"
 )
 
@@ -21,12 +21,12 @@
 func NewRentals(cfg *config.Config) *Rentals {
 	return &Rentals{
 		policy:   zonehealth.PolicyOf(cfg),
-		evacuate: config.Secs(cfg.Ops.ZoneRecovery.EvacuateLeases * cfg.Params.Workers.LeaseS),
+		evacuate: config.Seconds(cfg.Operator.ZoneRecovery.EvacuateLeases * cfg.Params.Workers.LeaseDuration),
 	}
 }
 
 // Recovers tells whether a zone is lost or returning.
-func (r *Rentals) Recovers(record *ledger.Recovery, zone string) bool {
+func (r *Rentals) Recovers(record *statecache.ZoneRecoveries, zone string) bool {
 	return r != nil && phaseOf(record, zone).Recovering()
 }
 
@@ -34,31 +34,31 @@
 // replicas are proved gone and can be placed elsewhere. Its lease must have ended for
 // certain: until then they may run, and after that nothing on it does. A machine that
 // holds arrays alone is left: its zone may be back, and then it has its images still.
-func (r *Rentals) Evacuates(view *ledger.View, m *ledger.Machine, silentFor time.Duration) bool {
-	if !r.Lost(view.Recovery, m.Zone) || silentFor < r.evacuate {
+func (r *Rentals) Evacuates(view *statecache.View, m *statecache.Machine, silentFor time.Duration) bool {
+	if !r.Lost(view.ZoneRecoveries, m.Zone) || silentFor < r.evacuate {
 		return false
 	}
-	return slices.ContainsFunc(m.Tasks, func(t ledger.BoundTask) bool {
+	return slices.ContainsFunc(m.Bindings, func(t statecache.TaskBinding) bool {
 		j := view.Jobs[t.Job]
-		return j != nil && j.Active() && j.Spec.Service()
+		return j != nil && j.Active() && j.Spec.IsService()
 	})
 }
 
 // Lost tells whether nothing should be rented in a zone. The nil Rentals knows of no
 // zone that is.
-func (r *Rentals) Lost(record *ledger.Recovery, zone string) bool {
+func (r *Rentals) Lost(record *statecache.ZoneRecoveries, zone string) bool {
 	return r != nil && phaseOf(record, zone) == zonehealth.Lost
 }
 
 // WithheldS tells in how many seconds machines that are up will take tasks, for those
 // that don't yet.
-func (r *Rentals) WithheldS(now time.Time, view *ledger.View) map[string]float64 {
-	if r == nil || !Recovering(view.Recovery) {
+func (r *Rentals) WithheldS(now time.Time, view *statecache.View) map[string]float64 {
+	if r == nil || !Recovering(view.ZoneRecoveries) {
 		return nil
 	}
 	order := map[string][]uint64{} // by zone
 	for name, m := range view.Machines {
-		if m.Open() {
+		if m.Schedulable() {
 			order[m.Zone] = append(order[m.Zone], orderNumber(name))
 		}
 	}
@@ -67,8 +67,8 @@
 	}
 	withheld := map[string]float64{}
 	for name, m := range view.Machines {
-		z := view.Recovery.Find(m.Zone)
-		if z == nil || !m.Open() {
+		z := view.ZoneRecoveries.Find(m.Zone)
+		if z == nil || !m.Schedulable() {
 			continue
 		}
 		if s := r.withheldS(now, z, order[m.Zone], orderNumber(name)); s > 0 {
@@ -80,7 +80,7 @@
 
 // withheldS is when services are admitted to a machine: for those of a lost zone, when
 // its machines that are heard are used in any case.
-func (r *Rentals) withheldS(now time.Time, z *ledger.ZoneRecovery, order []uint64, number uint64) float64 {
+func (r *Rentals) withheldS(now time.Time, z *statecache.ZoneRecovery, order []uint64, number uint64) float64 {
 	phase, err := zonehealth.ParsePhase(z.Phase)
 	if err != nil {
 		return 0
--- a/internal/recovery/service.go
+++ b/internal/recovery/service.go
@@ -8,8 +8,8 @@
 	"slices"
 	"strings"
 
-	"lynxledge/internal/ledger"
 	"lynxledge/internal/place"
+	"lynxledge/internal/statecache"
 	"lynxledge/internal/zonehealth"
 	"lynxledge/wire"
 )
@@ -39,7 +39,7 @@
 
 // serving is the share of the replicas that certainly run somewhere else.
 func (s *Service) serving() float64 {
-	return 1 - float64(s.Waiting+s.AtRiskCount())/float64(s.Job.Tasks)
+	return 1 - float64(s.Waiting+s.AtRiskCount())/float64(s.Job.TaskCount)
 }
 
 // zonesAfterLoss counts the replicas that are left once those at risk are gone.
@@ -56,7 +56,7 @@
 func Order(services []*Service) {
 	slices.SortFunc(services, func(a, b *Service) int {
 		return cmp.Or(
-			cmp.Compare(b.Job.Rank, a.Job.Rank),
+			cmp.Compare(b.Job.Priority, a.Job.Priority),
 			cmp.Compare(a.serving(), b.serving()),
 			cmp.Compare(a.Since, b.Since),
 			strings.Compare(a.Job.ID, b.Job.ID),
@@ -65,7 +65,7 @@
 }
 
 // Services finds the services that lack replicas, or are about to, in order.
-func Services(view *ledger.View, active map[string]*ledger.Job) []*Service {
+func Services(view *statecache.View, active map[string]*statecache.Job) []*Service {
 	found := map[string]*Service{}
 	get := func(id string) *Service {
 		s := found[id]
@@ -77,10 +77,10 @@
 		return s
 	}
 	for id, j := range active {
-		if !j.Spec.Service() {
+		if !j.Spec.IsService() {
 			continue
 		}
-		if n := view.Waits(id, j); n > 0 {
+		if n := view.PendingTasks(id, j); n > 0 {
 			get(id).Waiting = n
 		}
 	}
@@ -88,9 +88,9 @@
 		if !unheard(view, m) {
 			continue
 		}
-		for i := range m.Tasks {
-			if j := active[m.Tasks[i].Job]; j != nil && j.Spec.Service() {
-				get(m.Tasks[i].Job).AtRisk[m.Zone]++
+		for i := range m.Bindings {
+			if j := active[m.Bindings[i].Job]; j != nil && j.Spec.IsService() {
+				get(m.Bindings[i].Job).AtRisk[m.Zone]++
 			}
 		}
 	}
@@ -103,12 +103,12 @@
 }
 
 // unheard tells whether a machine is in a lost zone and nobody hears it.
-func unheard(view *ledger.View, m *ledger.Machine) bool {
-	return (m.Suspected || m.Closed) && phaseOf(view.Recovery, m.Zone) == zonehealth.Lost
+func unheard(view *statecache.View, m *statecache.Machine) bool {
+	return (m.Suspected || m.Terminating) && phaseOf(view.ZoneRecoveries, m.Zone) == zonehealth.Lost
 }
 
 // phaseOf is the recorded phase of a zone.
-func phaseOf(record *ledger.Recovery, zone string) zonehealth.Phase {
+func phaseOf(record *statecache.ZoneRecoveries, zone string) zonehealth.Phase {
 	z := record.Find(zone)
 	if z == nil {
 		return zonehealth.Healthy
--- a/internal/recovery/solver.go
+++ b/internal/recovery/solver.go
@@ -40,10 +40,10 @@
 func keyOf(s *Service, atRisk bool) groupKey {
 	j := s.Job
 	key := groupKey{
-		team: j.Team, types: strings.Join(j.Types, " "), zone: j.Zone,
-		need: place.RequestOf(j), rank: j.Rank, spot: j.Spot, spread: j.Spread, atRisk: atRisk,
+		team: j.Team, types: strings.Join(j.MachineTypes, " "), zone: j.Zone,
+		need: place.RequestOf(j), rank: j.Priority, spot: j.AllowSpot, spread: j.SpreadZones, atRisk: atRisk,
 	}
-	if j.OneZone {
+	if j.SingleZone {
 		for zone, n := range s.Zones {
 			if atRisk {
 				n -= s.AtRisk[zone]
@@ -96,7 +96,7 @@
 		byKey[g.key] = g
 	}
 	for _, s := range services {
-		if !s.Job.Spread {
+		if !s.Job.SpreadZones {
 			continue
 		}
 		for _, atRisk := range []bool{false, true} {
@@ -109,7 +109,7 @@
 				bound = s.zonesAfterLoss()
 			}
 			for _, zone := range zones {
-				g.zoneRoom[zone] += max(0, (s.Job.Tasks+1)/2-bound[zone])
+				g.zoneRoom[zone] += max(0, (s.Job.TaskCount+1)/2-bound[zone])
 			}
 		}
 	}
@@ -241,7 +241,7 @@
 
 // preference makes a bucket that suits a job better worth a little more.
 func preference(j *wire.Job, b *bucket) float64 {
-	if j.Spot && !b.spot {
+	if j.AllowSpot && !b.spot {
 		return 1 - preferenceStep
 	}
 	return 1
@@ -282,11 +282,11 @@
 	for _, column := range p.columns {
 		name := column.group.key.team
 		team := in.Team(name)
-		if done[name] || team.CPUsMax == 0 {
+		if done[name] || team.MaxCPUs == 0 {
 			continue
 		}
 		done[name] = true
-		r := row{coefficients: map[int]float64{}, bound: math.Max(0, team.CPUsMax-in.Usage[name].CPUs)}
+		r := row{coefficients: map[int]float64{}, bound: math.Max(0, team.MaxCPUs-in.Usage[name].CPUs)}
 		for c, other := range p.columns {
 			if other.group.key.team == name && !other.group.key.atRisk {
 				r.coefficients[c] = other.group.key.need.CPUs
--- a/internal/rent/demand.go
+++ b/internal/rent/demand.go
@@ -6,10 +6,10 @@
 	"math"
 	"time"
 
-	"lynxledge/internal/ledger"
 	"lynxledge/internal/place"
 	"lynxledge/internal/plan"
 	"lynxledge/internal/recovery"
+	"lynxledge/internal/statecache"
 	"lynxledge/wire"
 )
 
@@ -43,23 +43,23 @@
 // input puts together what the plan looks at.
 func (r *Renter) input() plan.Input {
 	now := time.Now()
-	ops := r.cfg.Ops
+	ops := r.cfg.Operator
 	in := plan.Input{
-		Types: r.types, LagS: ops.BootLagS, PassS: ops.PassS, BillingS: ops.BillingPeriodS, Headroom: ops.Headroom, Premium: ops.Premium,
+		Types: r.types, LagS: ops.BootLag, PassS: ops.PlanningInterval, BillingS: ops.BillingPeriod, Headroom: ops.HeadroomShare, Premium: ops.MaxPriceMultiple,
 		Refused: func(p plan.Pool) bool { return now.Before(r.refused[p]) },
 	}
-	if recovery.Recovering(r.view.Recovery) {
-		in.Avoided = func(zone string) bool { return r.zones.Lost(r.view.Recovery, zone) }
+	if recovery.Recovering(r.view.ZoneRecoveries) {
+		in.Avoided = func(zone string) bool { return r.zones.Lost(r.view.ZoneRecoveries, zone) }
 	}
 	withheld := r.zones.WithheldS(now, r.view)
 	pools := map[plan.Pool]bool{}
 	for _, b := range r.view.Machines {
-		if b.Open() {
-			pools[plan.Pool{Type: b.Type, Zone: b.Zone, Spot: b.Spot}] = true
+		if b.Schedulable() {
+			pools[plan.Pool{Type: b.MachineType, Zone: b.Zone, Spot: b.Spot}] = true
 		}
 	}
-	add := func(id string, j *ledger.Job, startS float64) {
-		n := r.view.Waits(id, j)
+	add := func(id string, j *statecache.Job, startS float64) {
+		n := r.view.PendingTasks(id, j)
 		if n <= 0 {
 			return
 		}
@@ -68,13 +68,13 @@
 		run := r.runs.RunS(j.Spec)
 		deadlines := place.Deadlines(r.cfg, j, run, age, age+startS)
 		for _, d := range deadlines {
-			if due = d - age; ops.BootLagS+run <= due {
+			if due = d - age; ops.BootLag+run <= due {
 				break
 			}
 		}
 		in.Demands = append(in.Demands, plan.Demand{
 			Job: j.Spec, Count: r.limited(j, n), RunS: run, Zones: place.ZonesOf(r.view, id),
-			DeadlineS: due, Late: !j.Spec.Service() && ops.BootLagS+run > due, Overdue: age > overdueTimes*deadlines[len(deadlines)-1] && !r.served(j.Spec, pools),
+			DeadlineS: due, Late: !j.Spec.IsService() && ops.BootLag+run > due, Overdue: age > overdueTimes*deadlines[len(deadlines)-1] && !r.served(j.Spec, pools),
 		})
 	}
 	for id, j := range r.active {
@@ -84,45 +84,45 @@
 	// rented when they would be up as it becomes ready, not long before.
 	for id, h := range r.readyIn(now) {
 		r.reportLateness(id, h, now)
-		if h.S <= ops.BootLagS+ops.PassS {
+		if h.S <= ops.BootLag+ops.PlanningInterval {
 			add(id, r.blocked[id], h.S)
 		}
 	}
 	for name, b := range r.view.Machines {
 		m := plan.Machine{
-			Name: name, Pool: plan.Pool{Type: b.Type, Zone: b.Zone, Spot: b.Spot},
-			AgeS: (float64(now.UnixMilli()) - float64(b.At)) / 1000, Open: b.Drain == "" && !b.Closed && !b.Suspected,
+			Name: name, Pool: plan.Pool{Type: b.MachineType, Zone: b.Zone, Spot: b.Spot},
+			AgeS: (float64(now.UnixMilli()) - float64(b.ProvisionedAt)) / 1000, Open: b.DrainReason == "" && !b.Terminating && !b.Suspected,
 		}
-		if b.Session == 0 {
-			m.ReadyS = math.Max(0, r.bootS(b.Type)-m.AgeS)
+		if b.Incarnation == 0 {
+			m.ReadyS = math.Max(0, r.bootS(b.MachineType)-m.AgeS)
 			// A boot that drags on may never end: it covers no load any more.
 			m.Open = m.Open && !r.bootOverdue(b, now)
 		}
 		m.ReadyS = max(m.ReadyS, withheld[name])
-		for i := range b.Tasks {
-			t := &b.Tasks[i]
+		for i := range b.Bindings {
+			t := &b.Bindings[i]
 			j := r.view.Jobs[t.Job]
 			if j == nil || j.Spec == nil {
 				continue
 			}
-			if b.Suspected && j.Active() && j.Spec.Service() { // may have to be replaced
+			if b.Suspected && j.Active() && j.Spec.IsService() { // may have to be replaced
 				zones := place.ZonesOf(r.view, t.Job)
 				zones[b.Zone]--
 				in.Demands = append(in.Demands, plan.Demand{Job: j.Spec, Count: 1, Zones: zones})
 			}
 			left := math.Inf(1)
-			if !j.Spec.Service() {
-				left = math.Max(0, r.runs.RunS(j.Spec)-now.Sub(r.since[t.Name()]).Seconds())
+			if !j.Spec.IsService() {
+				left = math.Max(0, r.runs.RunS(j.Spec)-now.Sub(r.since[t.TaskName()]).Seconds())
 			}
 			m.Tasks = append(m.Tasks, plan.Held{Job: j.Spec, LeftS: left})
 		}
 		in.Machines = append(in.Machines, m)
 	}
-	for _, intent := range r.view.Rents { // rented, though not known by name yet
+	for _, intent := range r.view.ProvisioningIntents { // rented, though not known by name yet
 		for i := range intent.Count {
 			in.Machines = append(in.Machines, plan.Machine{
 				Name: fmt.Sprintf("rented-%d", i), Pool: poolOf(intent), Open: true,
-				ReadyS: r.bootS(intent.Type),
+				ReadyS: r.bootS(intent.MachineType),
 			})
 		}
 	}
@@ -145,11 +145,11 @@
 		if j == nil {
 			return 0
 		}
-		if r.view.Waits(id, j) > 0 {
+		if r.view.PendingTasks(id, j) > 0 {
 			return whole
 		}
 		most := 0.0
-		for n := range r.view.Bound[id] {
+		for n := range r.view.Bindings[id] {
 			most = max(most, whole-now.Sub(r.since[wire.TaskName(id, n)]).Seconds())
 		}
 		return most
@@ -161,11 +161,11 @@
 // it: once for each change.
 func (r *Renter) reportLateness(last string, h place.Held, now time.Time) {
 	j := r.blocked[last]
-	if j.Spec.DeadlineS == nil {
+	if j.Spec.Deadline == nil {
 		return
 	}
-	end := float64(now.UnixMilli()-j.At)/1000 + h.S + r.runs.RunS(j.Spec)
-	late := end - *j.Spec.DeadlineS
+	end := float64(now.UnixMilli()-j.SubmittedAt)/1000 + h.S + r.runs.RunS(j.Spec)
+	late := end - *j.Spec.Deadline
 	by := ""
 	if late > 0 {
 		by = h.By
@@ -204,13 +204,13 @@
 }
 
 // limited is how many of n waiting tasks the team's limit lets run at once.
-func (r *Renter) limited(j *ledger.Job, n int) int {
-	team, ok := r.cfg.Params.Team(j.Spec.Team)
-	if ok && team.CPUsMax > 0 {
-		n = min(n, int(team.CPUsMax/j.Spec.CPUs))
+func (r *Renter) limited(j *statecache.Job, n int) int {
+	team, ok := r.cfg.Params.TeamQuota(j.Spec.Team)
+	if ok && team.MaxCPUs > 0 {
+		n = min(n, int(team.MaxCPUs/j.Spec.CPUs))
 	}
-	if ok && team.GPUsMax > 0 && j.Spec.GPUs > 0 {
-		n = min(n, int(team.GPUsMax/j.Spec.GPUs))
+	if ok && team.MaxGPUs > 0 && j.Spec.GPUs > 0 {
+		n = min(n, int(team.MaxGPUs/j.Spec.GPUs))
 	}
 	return n
 }
--- a/internal/rent/demand_test.go
+++ b/internal/rent/demand_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"lynxledge/internal/ledger"
 	"lynxledge/internal/place"
+	"lynxledge/internal/statecache"
 	"lynxledge/wire"
 )
 
@@ -21,14 +21,14 @@
 	defer slog.SetDefault(before)
 	now := time.Now()
 	due := 100.0
-	last := &ledger.Job{
-		Spec:    &wire.Job{ID: "req-000009", Class: "publish", Shape: wire.ShapeArray, Tasks: 1, EstimateS: 10, DeadlineS: &due},
-		Tasks:   1,
-		At:      now.UnixMilli(),
-		Blocked: true,
+	last := &statecache.Job{
+		Spec:        &wire.Job{ID: "req-000009", Class: "publish", Kind: wire.KindArray, TaskCount: 1, EstimatedRuntime: 10, Deadline: &due},
+		TaskCount:   1,
+		SubmittedAt: now.UnixMilli(),
+		Blocked:     true,
 	}
 	r := &Renter{
-		blocked:       map[string]*ledger.Job{"req-000009": last},
+		blocked:       map[string]*statecache.Job{"req-000009": last},
 		latePipelines: map[string]string{},
 		runs:          place.NewEstimates(),
 	}
--- a/internal/rent/edits.go
+++ b/internal/rent/edits.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"lynxledge/internal/config"
-	"lynxledge/internal/ledger"
+	"lynxledge/internal/statecache"
 )
 
 // edit is what the leader wants written of a machine.
@@ -30,31 +30,31 @@
 )
 
 // wanted tells whether an edit still changes a machine's row.
-func (e edit) wanted(b *ledger.Machine) bool {
+func (e edit) wanted(b *statecache.Machine) bool {
 	switch {
 	case b == nil:
 		return false
 	case e.gone:
 		return true
 	case e.close:
-		return !b.Closed && (e.drain != whyIdle || len(b.Tasks) == 0)
+		return !b.Terminating && (e.drain != whyIdle || len(b.Bindings) == 0)
 	case e.drain != "":
-		return b.Drain == ""
+		return b.DrainReason == ""
 	}
 	return !b.Suspected
 }
 
 // applyTo changes a machine's row in the group's next record.
-func (e edit) applyTo(d *ledger.Draft, machine string) {
+func (e edit) applyTo(d *statecache.GroupUpdate, machine string) {
 	if e.gone {
-		d.Drop(machine)
+		d.RemoveMachine(machine)
 		return
 	}
-	row := d.Edit(machine)
+	row := d.UpdateMachine(machine)
 	row.Suspected = row.Suspected || e.suspected
-	row.Closed = row.Closed || e.close
+	row.Terminating = row.Terminating || e.close
 	if e.drain != "" {
-		row.Drain = e.drain
+		row.DrainReason = e.drain
 	}
 }
 
@@ -70,7 +70,9 @@
 	}
 }
 
-func (r *Renter) flushLater() { r.After(config.Secs(r.cfg.Ops.PassS*editPause), r.flush) }
+func (r *Renter) flushLater() {
+	r.After(config.Seconds(r.cfg.Operator.PlanningInterval*editPause), r.flush)
+}
 
 // flush writes the edits: as many groups as a transaction holds. That machines
 // are gone needs no leadership; the rest does.
@@ -80,14 +82,14 @@
 	}
 	// What waits is put together when it can be written, not before: its guards
 	// would be old by then.
-	maxWrites := r.cfg.Params.State.Ops()
+	maxWrites := r.cfg.Params.Store.TxnOpsLimit()
 	writes := min(maxWrites, int(r.pace.Tokens()))
 	if writes < 1 {
 		r.flushAfterWrites(1)
 		return
 	}
 	batch := r.draftEdits(writes, maxWrites)
-	waiting := batch.assemble(r.cfg.Params.State.ValueBytes(), r.view.AssignmentStamps())
+	waiting := batch.assemble(r.cfg.Params.Store.ValueSizeLimit(), r.view.AssignmentRevisions())
 	if batch.commit.Ops() == 0 {
 		if waiting && writes < maxWrites {
 			r.flushAfterWrites(maxWrites - writes)
@@ -95,9 +97,9 @@
 		return
 	}
 	r.writing = true
-	r.commit(batch.commit, func(out ledger.Outcome) {
+	r.commit(batch.commit, func(out statecache.Outcome) {
 		r.writing = false
-		if out == ledger.Committed {
+		if out == statecache.Committed {
 			for _, group := range batch.groups {
 				r.editsWritten(group.edits)
 			}
@@ -111,7 +113,7 @@
 
 // flushAfterWrites flushes once the pace allows so many more writes.
 func (r *Renter) flushAfterWrites(writes int) {
-	r.After(config.Secs(float64(writes)/float64(r.pace.Limit())), r.flush)
+	r.After(config.Seconds(float64(writes)/float64(r.pace.Limit())), r.flush)
 }
 
 // editBatch is one transaction of edits in the making.
@@ -119,12 +121,12 @@
 	writes    int // that the transaction may have now
 	maxWrites int // that a transaction may ever have
 	groups    map[string]*groupEdits
-	commit    ledger.Commit
+	commit    statecache.Commit
 }
 
 // groupEdits are the edits of one group, and its next record.
 type groupEdits struct {
-	draft *ledger.Draft
+	draft *statecache.GroupUpdate
 	edits map[string]edit // by machine
 }
 
@@ -146,9 +148,9 @@
 			if len(batch.groups) == writes {
 				continue
 			}
-			d := r.view.Draft(b.Group)
-			size := d.Size() + editBytes*len(d.Machines)
-			if len(batch.groups) > 0 && bytes+size > ledger.RecordsBytes {
+			d := r.view.UpdateGroup(b.Group)
+			size := d.EncodedSize() + editBytes*len(d.Machines)
+			if len(batch.groups) > 0 && bytes+size > statecache.MaxTxnRecordBytes {
 				continue
 			}
 			bytes += size
@@ -160,7 +162,7 @@
 		needsLeader = needsLeader || !e.gone
 	}
 	if needsLeader {
-		batch.commit.Guards = append(batch.commit.Guards, lead.Guard())
+		batch.commit.Preconditions = append(batch.commit.Preconditions, lead.Precondition())
 	}
 	return batch
 }
@@ -173,7 +175,7 @@
 func (b *editBatch) assemble(valueBytes int, hands map[string]uint64) (waiting bool) {
 	var large []string
 	for name, group := range b.groups {
-		if group.draft.Fit(valueBytes) {
+		if group.draft.TrimToFit(valueBytes) {
 			group.draft.AddTo(&b.commit)
 		} else {
 			large = append(large, name)
@@ -189,14 +191,14 @@
 		delete(b.groups, name)
 	}
 	if split {
-		b.commit.GuardAssignments(hands)
+		b.commit.RequireAssignments(hands)
 	}
 	return waiting
 }
 
 // addSplit makes a record and the parts that it is split into part of the transaction;
 // false if they don't fit there.
-func (b *editBatch) addSplit(d *ledger.Draft, valueBytes, hands int) bool {
+func (b *editBatch) addSplit(d *statecache.GroupUpdate, valueBytes, hands int) bool {
 	maxParts := b.writes - b.commit.Ops() - 1
 	parts, err := d.Split(valueBytes, maxParts)
 	if err != nil && b.writes < b.maxWrites {
@@ -204,8 +206,8 @@
 	}
 	// A transaction has room for a few guards a write: the leader's, those of the
 	// records, and as many assignments as writes.
-	if err != nil || !d.Fit(valueBytes) || hands > b.maxWrites {
-		slog.Error("record too large; nothing is written", "group", d.Name, "bytes", d.Size(), "err", err)
+	if err != nil || !d.TrimToFit(valueBytes) || hands > b.maxWrites {
+		slog.Error("record too large; nothing is written", "group", d.Name, "bytes", d.EncodedSize(), "err", err)
 		return false
 	}
 	for _, part := range parts {
@@ -222,8 +224,8 @@
 			delete(r.edits, m)
 		}
 		if b := r.view.Machines[m]; b != nil && e.close {
-			slog.Info("returning machine", "machine", m, "why", e.drain, "tasks", len(b.Tasks),
-				"age_s", (time.Now().UnixMilli()-b.At)/1000, "type", b.Type, "zone", b.Zone, "spot", b.Spot)
+			slog.Info("returning machine", "machine", m, "why", e.drain, "tasks", len(b.Bindings),
+				"age_s", (time.Now().UnixMilli()-b.ProvisionedAt)/1000, "type", b.MachineType, "zone", b.Zone, "spot", b.Spot)
 		}
 	}
 }
--- a/internal/rent/edits_test.go
+++ b/internal/rent/edits_test.go
@@ -7,17 +7,17 @@
 
 	"pgregory.net/rapid"
 
-	"lynxledge/internal/ledger"
+	"lynxledge/internal/statecache"
 	"lynxledge/wire"
 )
 
 // fullGroup is a group of another term whose record fills so many bytes.
-func fullGroup(name string, bytes int) *ledger.Group {
-	g := &ledger.Group{Name: name, Type: "s", Zone: "a", Stamp: 5}
-	for i := 0; g.Size() < bytes; i++ {
-		b := &ledger.Machine{Name: fmt.Sprintf("i-%s-%04d", name, i), Group: name, Addr: "x:1", Session: 1, Token: ledger.Token(1) + 9}
+func fullGroup(name string, bytes int) *statecache.MachineGroup {
+	g := &statecache.MachineGroup{Name: name, MachineType: "s", Zone: "a", ModRevision: 5}
+	for i := 0; g.EncodedSize() < bytes; i++ {
+		b := &statecache.Machine{Name: fmt.Sprintf("i-%s-%04d", name, i), Group: name, Address: "x:1", Incarnation: 1, FencingToken: statecache.FirstToken(1) + 9}
 		for n := range 3 {
-			b.Tasks = append(b.Tasks, ledger.BoundTask{Job: "req-000001", N: 3*i + n, Attempt: ledger.Token(1) + 8})
+			b.Bindings = append(b.Bindings, statecache.TaskBinding{Job: "req-000001", TaskIndex: 3*i + n, Attempt: statecache.FirstToken(1) + 8})
 		}
 		g.Machines = append(g.Machines, b)
 	}
@@ -25,14 +25,14 @@
 }
 
 // editView is a view of groups in a later term, with teams handed to some controller.
-func editView(groups []*ledger.Group, teams int) *ledger.View {
-	view := ledger.NewView(1000)
-	view.Apply(ledger.Change{Kind: ledger.KindTerm, Rec: &ledger.Term{Term: 2, Stamp: 1}})
+func editView(groups []*statecache.MachineGroup, teams int) *statecache.View {
+	view := statecache.NewView(1000)
+	view.Apply(statecache.Change{Kind: statecache.KindTerm, Record: &statecache.Term{Number: 2, ModRevision: 1}})
 	for i := range teams {
-		view.Apply(ledger.Change{Kind: ledger.KindAssignment, Name: fmt.Sprintf("team-%d", i), Rec: &ledger.Assignment{Member: "n1", Boot: 3, Stamp: uint64(10 + i)}})
+		view.Apply(statecache.Change{Kind: statecache.KindAssignment, Name: fmt.Sprintf("team-%d", i), Record: &statecache.Assignment{Member: "n1", Incarnation: 3, ModRevision: uint64(10 + i)}})
 	}
 	for _, g := range groups {
-		view.Apply(ledger.Change{Kind: ledger.KindBind, Name: g.Name, Rec: g})
+		view.Apply(statecache.Change{Kind: statecache.KindMachineGroup, Name: g.Name, Record: g})
 	}
 	return view
 }
@@ -46,14 +46,14 @@
 func TestEditBatchWritesEachEditOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const limit, maxWrites, teams = 2048, 8, 3
-		var groups []*ledger.Group
+		var groups []*statecache.MachineGroup
 		for i := range rapid.IntRange(1, 4).Draw(t, "groups") {
 			groups = append(groups, fullGroup(fmt.Sprintf("g%d", i), rapid.IntRange(200, limit-100).Draw(t, "bytes")))
 		}
 		view := editView(groups, teams)
 		batch := &editBatch{writes: rapid.IntRange(1, maxWrites).Draw(t, "writes"), maxWrites: maxWrites, groups: map[string]*groupEdits{}}
 		for _, g := range groups {
-			edits := &groupEdits{draft: view.Draft(g.Name), edits: map[string]edit{}}
+			edits := &groupEdits{draft: view.UpdateGroup(g.Name), edits: map[string]edit{}}
 			for _, b := range g.Machines {
 				switch rapid.IntRange(0, 3).Draw(t, "edit") {
 				case 0:
@@ -72,22 +72,22 @@
 			}
 		}
 		asked := len(batch.groups)
-		waiting := batch.assemble(limit, view.AssignmentStamps())
+		waiting := batch.assemble(limit, view.AssignmentRevisions())
 		if waiting != (len(batch.groups) < asked) || batch.commit.Ops() > batch.writes {
 			t.Fatalf("waiting %v with %d groups of %d, %d writes of %d", waiting, len(batch.groups), asked, batch.commit.Ops(), batch.writes)
 		}
-		written := map[string]*ledger.Machine{}
-		split := len(batch.commit.Puts)+len(batch.commit.Delete) > len(batch.groups)
+		written := map[string]*statecache.Machine{}
+		split := len(batch.commit.Puts)+len(batch.commit.Deletes) > len(batch.groups)
 		for _, put := range batch.commit.Puts {
-			g := put.Rec.(*ledger.Group)
-			if g.Size() > limit {
-				t.Fatalf("%s: %d bytes", g.Name, g.Size())
+			g := put.Record.(*statecache.MachineGroup)
+			if g.EncodedSize() > limit {
+				t.Fatalf("%s: %d bytes", g.Name, g.EncodedSize())
 			}
 			version := uint64(0)
 			if batch.groups[g.Name] != nil {
 				version = 5
 			}
-			if !slices.Contains(batch.commit.Guards, wire.Guard{Key: put.Key, Version: version}) {
+			if !slices.Contains(batch.commit.Preconditions, wire.Precondition{Key: put.Key, ModRevision: version}) {
 				t.Fatalf("%s is not guarded on version %d", put.Key, version)
 			}
 			for _, b := range g.Machines {
@@ -97,9 +97,9 @@
 				written[b.Name] = b
 			}
 		}
-		for team, stamp := range view.AssignmentStamps() {
-			guard := wire.Guard{Key: ledger.Key(ledger.KindAssignment, team), Version: stamp}
-			if split && !slices.Contains(batch.commit.Guards, guard) {
+		for team, stamp := range view.AssignmentRevisions() {
+			guard := wire.Precondition{Key: statecache.Key(statecache.KindAssignment, team), ModRevision: stamp}
+			if split && !slices.Contains(batch.commit.Preconditions, guard) {
 				t.Fatalf("split without a guard on %s", team)
 			}
 		}
@@ -114,10 +114,10 @@
 					}
 				case row == nil:
 					t.Fatalf("%s is missing", old.Name)
-				case edited && (row.Suspected != e.suspected || row.Drain != e.drain || row.Token <= old.Token):
+				case edited && (row.Suspected != e.suspected || row.DrainReason != e.drain || row.FencingToken <= old.FencingToken):
 					t.Fatalf("%s: %+v became %+v", old.Name, e, row)
-				case len(row.Tasks) != len(old.Tasks):
-					t.Fatalf("%s has %d tasks of %d", old.Name, len(row.Tasks), len(old.Tasks))
+				case len(row.Bindings) != len(old.Bindings):
+					t.Fatalf("%s has %d tasks of %d", old.Name, len(row.Bindings), len(old.Bindings))
 				}
 			}
 		}
@@ -129,11 +129,11 @@
 func TestLargeRecordWaitsForRoom(t *testing.T) {
 	const limit = 2048
 	large, small := fullGroup("large", limit*19/20), fullGroup("small", limit/4)
-	view := editView([]*ledger.Group{large, small}, 1)
-	batch := func(writes int, groups ...*ledger.Group) *editBatch {
+	view := editView([]*statecache.MachineGroup{large, small}, 1)
+	batch := func(writes int, groups ...*statecache.MachineGroup) *editBatch {
 		b := &editBatch{writes: writes, maxWrites: 8, groups: map[string]*groupEdits{}}
 		for _, g := range groups {
-			edits := &groupEdits{draft: view.Draft(g.Name), edits: map[string]edit{}}
+			edits := &groupEdits{draft: view.UpdateGroup(g.Name), edits: map[string]edit{}}
 			for _, machine := range g.Machines {
 				edits.edits[machine.Name] = edit{suspected: true}
 				edits.edits[machine.Name].applyTo(edits.draft, machine.Name)
@@ -143,11 +143,11 @@
 		return b
 	}
 	b := batch(2, large, small)
-	if waiting := b.assemble(limit, view.AssignmentStamps()); !waiting || b.groups["large"] != nil || b.groups["small"] == nil || b.commit.Ops() != 1 {
+	if waiting := b.assemble(limit, view.AssignmentRevisions()); !waiting || b.groups["large"] != nil || b.groups["small"] == nil || b.commit.Ops() != 1 {
 		t.Errorf("both at once: waiting %v, %d writes", waiting, b.commit.Ops())
 	}
 	b = batch(3, large)
-	if waiting := b.assemble(limit, view.AssignmentStamps()); waiting || b.groups["large"] == nil || b.commit.Ops() < 2 {
+	if waiting := b.assemble(limit, view.AssignmentRevisions()); waiting || b.groups["large"] == nil || b.commit.Ops() < 2 {
 		t.Errorf("alone: waiting %v, %d writes", waiting, b.commit.Ops())
 	}
 }
--- a/internal/rent/failures.go
+++ b/internal/rent/failures.go
@@ -6,14 +6,14 @@
 	"time"
 
 	"lynxledge/internal/config"
-	"lynxledge/internal/ledger"
 	"lynxledge/internal/place"
+	"lynxledge/internal/statecache"
 	"lynxledge/wire"
 )
 
 // countErrors tells a faulty machine from a faulty job: a job fails on every
 // machine, a faulty machine fails whatever job it is given.
-func (r *Renter) countErrors(gone []ledger.Departure) {
+func (r *Renter) countErrors(gone []statecache.Termination) {
 	for i := range gone {
 		g := &gone[i]
 		b := r.view.Machines[g.Machine]
@@ -21,14 +21,14 @@
 			continue
 		}
 		failed := r.contact(g.Machine).failedJobs
-		switch g.Why {
-		case wire.WhyDone:
+		switch g.Reason {
+		case wire.ReasonCompleted:
 			clear(failed)
-		case wire.WhyError:
+		case wire.ReasonError:
 			failed[g.Job] = true
 		}
-		if len(failed) >= faultyJobs && b.Drain == "" && r.leads() {
-			slog.Warn("machine looks faulty", "machine", g.Machine, "type", b.Type, "zone", b.Zone, "failed_jobs", len(failed))
+		if len(failed) >= faultyJobs && b.DrainReason == "" && r.leads() {
+			slog.Warn("machine looks faulty", "machine", g.Machine, "type", b.MachineType, "zone", b.Zone, "failed_jobs", len(failed))
 			r.edit(g.Machine, edit{drain: "faulty"})
 		}
 	}
@@ -75,13 +75,13 @@
 // listen finds out which machines are heard, and probes those that aren't.
 func (r *Renter) listen(now time.Time) *hearing {
 	report := r.reports(1)
-	silence := r.reports(r.cfg.Ops.Silence)
+	silence := r.reports(r.cfg.Operator.UnreachableHeartbeats)
 	h := &hearing{up: map[string]int{}, unheard: map[string]int{}}
 	for m, b := range r.view.Machines {
-		if b.Closed { // it is being deleted
+		if b.Terminating { // it is being deleted
 			continue
 		}
-		if b.Session == 0 {
+		if b.Incarnation == 0 {
 			r.awaitBoot(now, m, b)
 			continue
 		}
@@ -104,15 +104,15 @@
 }
 
 // awaitBoot returns a machine that was started long ago and never reported.
-func (r *Renter) awaitBoot(now time.Time, m string, b *ledger.Machine) {
-	if age := now.Sub(time.UnixMilli(b.At)); age > config.Secs(r.bootS(b.Type)*r.cfg.Ops.BootPatience) {
+func (r *Renter) awaitBoot(now time.Time, m string, b *statecache.Machine) {
+	if age := now.Sub(time.UnixMilli(b.ProvisionedAt)); age > config.Seconds(r.bootS(b.MachineType)*r.cfg.Operator.BootTimeoutMultiple) {
 		r.close(m, "never came up")
 	}
 }
 
 // reports is a number of the workers' report intervals.
 func (r *Renter) reports(n float64) time.Duration {
-	return config.Secs(r.cfg.Params.Workers.ReportS * n)
+	return config.Seconds(r.cfg.Params.Workers.HeartbeatInterval * n)
 }
 
 // markedReports is for how many report intervals a machine has to be marked as suspected
@@ -136,25 +136,27 @@
 				continue
 			}
 		}
-		r.close(m, ledger.DrainSilent)
+		r.close(m, statecache.DrainUnreachable)
 	}
 }
 
 // keptFor is for how long a silent machine may be kept. One that stopped is listed as
 // failed long before; one that is cut off ends its tasks after a lease, but may be back
 // sooner than another.
-func (r *Renter) keptFor() time.Duration { return config.Secs(2 * r.cfg.Params.Workers.LeaseS) }
+func (r *Renter) keptFor() time.Duration {
+	return config.Seconds(2 * r.cfg.Params.Workers.LeaseDuration)
+}
 
 // mayReturn tells whether a silent machine is rather cut off than lost. It will be back
 // with its images, and a new one in its place would not be heard either. While a zone
 // recovers, the last to be heard again are as little lost as the first.
-func (r *Renter) mayReturn(m *ledger.Machine, silentFor time.Duration, h *hearing) bool {
+func (r *Renter) mayReturn(m *statecache.Machine, silentFor time.Duration, h *hearing) bool {
 	switch {
 	case silentFor >= r.keptFor():
 		return false
 	case h.mostSilent():
 		return true
-	case h.cutOff(m.Zone) || r.zones.Recovers(r.view.Recovery, m.Zone):
+	case h.cutOff(m.Zone) || r.zones.Recovers(r.view.ZoneRecoveries, m.Zone):
 		return !r.zones.Evacuates(r.view, m, silentFor)
 	}
 	return false
@@ -173,12 +175,12 @@
 	}
 	nodes := make([]*place.Node, 0, len(r.view.Machines))
 	for m, b := range r.view.Machines {
-		if types[b.Type] == nil || !b.Open() || r.zones.Lost(r.view.Recovery, b.Zone) {
+		if types[b.MachineType] == nil || !b.Schedulable() || r.zones.Lost(r.view.ZoneRecoveries, b.Zone) {
 			continue
 		}
-		n := &place.Node{Name: m, Type: types[b.Type], Zone: b.Zone, Spot: b.Spot}
-		for i := range b.Tasks {
-			if j := r.view.Jobs[b.Tasks[i].Job]; j != nil && j.Spec != nil && j.Spec.Rank == wire.RankProd {
+		n := &place.Node{Name: m, Type: types[b.MachineType], Zone: b.Zone, Spot: b.Spot}
+		for i := range b.Bindings {
+			if j := r.view.Jobs[b.Bindings[i].Job]; j != nil && j.Spec != nil && j.Spec.Priority == wire.PriorityProduction {
 				n.Used = n.Used.Plus(place.RequestOf(j.Spec), 1)
 			}
 		}
@@ -190,16 +192,16 @@
 // replaceable tells whether all replicas of a silent machine have room on other nodes.
 // If not, it is kept for as long as its lease may run: a machine that is cut off goes on
 // serving, a new one takes its time to boot, and the cloud may have none.
-func (r *Renter) replaceable(silent *ledger.Machine, nodes []*place.Node) bool {
+func (r *Renter) replaceable(silent *statecache.Machine, nodes []*place.Node) bool {
 	before := map[*place.Node]place.Resources{}
 	defer func() { // the next silent machine is judged for itself
 		for n, used := range before {
 			n.Used = used
 		}
 	}()
-	for _, t := range silent.Tasks {
+	for _, t := range silent.Bindings {
 		j := r.view.Jobs[t.Job]
-		if j == nil || !j.Active() || !j.Spec.Service() {
+		if j == nil || !j.Active() || !j.Spec.IsService() {
 			continue
 		}
 		zones := place.ZonesOf(r.view, t.Job)
@@ -219,15 +221,15 @@
 }
 
 // probe asks a silent machine directly.
-func (r *Renter) probe(m string, b *ledger.Machine) {
+func (r *Renter) probe(m string, b *statecache.Machine) {
 	known := r.contact(m)
 	if known.probing {
 		return
 	}
 	known.probing = true
 	go func() {
-		rep, err := r.prober.Inspect(r.ctx, b.Addr)
-		r.Send(func() { r.probed(m, b.Session, rep, err) })
+		rep, err := r.prober.Inspect(r.ctx, b.Address)
+		r.Send(func() { r.probed(m, b.Incarnation, rep, err) })
 	}()
 }
 
@@ -235,7 +237,7 @@
 // lost, it may just have no way to whom it reports. But if its lease has run out
 // meanwhile, it loses all it is given again and again: from then on its answers
 // don't count, until a report comes from it.
-func (r *Renter) probed(m string, session uint64, rep *wire.Report, err error) {
+func (r *Renter) probed(m string, session uint64, rep *wire.Heartbeat, err error) {
 	known := r.contacts[m]
 	if known == nil {
 		return // it was returned meanwhile
@@ -246,8 +248,8 @@
 		known.unanswered = now
 		return
 	}
-	if rep.Session > session && !known.mute {
-		slog.Info("machine answers, but its reports reach nobody", "machine", m, "session", rep.Session)
+	if rep.Incarnation > session && !known.mute {
+		slog.Info("machine answers, but its reports reach nobody", "machine", m, "session", rep.Incarnation)
 		known.mute = true
 	}
 	if known.mute {
--- a/internal/rent/hire.go
+++ b/internal/rent/hire.go
@@ -11,9 +11,9 @@
 
 	"lynxledge/internal/cloud"
 	"lynxledge/internal/config"
-	"lynxledge/internal/ledger"
 	"lynxledge/internal/place"
 	"lynxledge/internal/plan"
+	"lynxledge/internal/statecache"
 	"lynxledge/wire"
 )
 
@@ -25,7 +25,7 @@
 	for _, pool := range r.hiring {
 		busy[pool] = true
 	}
-	for _, i := range r.view.Rents {
+	for _, i := range r.view.ProvisioningIntents {
 		busy[poolOf(i)] = true
 	}
 	slices.SortStableFunc(rents, func(a, b plan.Rent) int { return cmp.Compare(b.Load, a.Load) })
@@ -40,7 +40,9 @@
 	}
 }
 
-func poolOf(i *ledger.Rent) plan.Pool { return plan.Pool{Type: i.Type, Zone: i.Zone, Spot: i.Spot} }
+func poolOf(i *statecache.ProvisioningIntent) plan.Pool {
+	return plan.Pool{Type: i.MachineType, Zone: i.Zone, Spot: i.Spot}
+}
 
 // intend stores what is to be rented, then rents it.
 func (r *Renter) intend(want plan.Rent) {
@@ -50,18 +52,18 @@
 	}
 	r.hires++
 	name := fmt.Sprintf("r-%d-%d", r.term, r.hires)
-	intent := &ledger.Rent{
-		Type: want.Type, Zone: want.Zone, Spot: want.Spot,
-		Count: want.Count, Tasks: want.Tasks, At: time.Now().UnixMilli(),
+	intent := &statecache.ProvisioningIntent{
+		MachineType: want.Type, Zone: want.Zone, Spot: want.Spot,
+		Count: want.Count, TasksPerMachine: want.Tasks, RequestedAt: time.Now().UnixMilli(),
 	}
-	key := ledger.Key(ledger.KindRent, name)
+	key := statecache.Key(statecache.KindProvisioningIntent, name)
 	r.hiring[name] = want.Pool
-	r.commit(ledger.Commit{
-		Guards: []wire.Guard{lead.Guard(), {Key: key}},
-		Puts:   []ledger.Put{{Key: key, Rec: intent}},
-	}, func(out ledger.Outcome) {
+	r.commit(statecache.Commit{
+		Preconditions: []wire.Precondition{lead.Precondition(), {Key: key}},
+		Puts:          []statecache.Put{{Key: key, Record: intent}},
+	}, func(out statecache.Outcome) {
 		delete(r.hiring, name)
-		if out == ledger.Committed {
+		if out == statecache.Committed {
 			slog.Info("renting",
 				"hire", name,
 				"type", want.Type,
@@ -76,21 +78,21 @@
 
 // hire makes the next call of a stored intent. Each batch has a name of its
 // own; the same name gets the same answer.
-func (r *Renter) hire(name string, intent *ledger.Rent) {
+func (r *Renter) hire(name string, intent *statecache.ProvisioningIntent) {
 	if _, busy := r.hiring[name]; busy {
 		return
 	}
 	r.hiring[name] = poolOf(intent)
 	go func() {
-		machines, err := r.cloud.Hire(r.ctx, wire.HireRequest{
-			Request: fmt.Sprintf("%s-%d", name, intent.Batch), Type: intent.Type, Zone: intent.Zone, Spot: intent.Spot,
-			Count: min(intent.Count, wire.MaxHire),
+		machines, err := r.cloud.Hire(r.ctx, wire.ProvisionRequest{
+			RequestID: fmt.Sprintf("%s-%d", name, intent.Batch), MachineType: intent.MachineType, Zone: intent.Zone, Spot: intent.Spot,
+			Count: min(intent.Count, wire.MaxMachinesPerProvision),
 		})
 		r.Send(func() { r.hired(name, intent, machines, err) })
 	}()
 }
 
-func (r *Renter) hired(name string, intent *ledger.Rent, machines []string, err error) {
+func (r *Renter) hired(name string, intent *statecache.ProvisioningIntent, machines []string, err error) {
 	pool := poolOf(intent)
 	none := errors.Is(err, cloud.ErrNoCapacity) || errors.Is(err, cloud.ErrMalformed)
 	if err != nil && !none {
@@ -103,10 +105,10 @@
 		return
 	}
 	slices.Sort(machines)
-	asked := min(intent.Count, wire.MaxHire)
+	asked := min(intent.Count, wire.MaxMachinesPerProvision)
 	left, short := intent.Count-asked, none || len(machines) < asked
 	if short {
-		r.refused[pool] = time.Now().Add(config.Secs(r.cfg.Ops.PassS * refusalPasses))
+		r.refused[pool] = time.Now().Add(config.Seconds(r.cfg.Operator.PlanningInterval * refusalPasses))
 		if r.onRefused != nil {
 			r.onRefused(pool, r.refused[pool])
 		}
@@ -114,7 +116,7 @@
 		slog.Info("cloud gave less",
 			"hire", name,
 			"batch", intent.Batch,
-			"type", intent.Type,
+			"type", intent.MachineType,
 			"zone", intent.Zone,
 			"spot", intent.Spot,
 			"asked", intent.Count,
@@ -128,15 +130,15 @@
 // are held, the cloud may have no other to give in their place.
 func (r *Renter) giveUpBoots(pool plan.Pool) {
 	for m, b := range r.view.Machines {
-		if b.Type == pool.Type && b.Zone == pool.Zone && b.Spot == pool.Spot && r.bootOverdue(b, time.Now()) {
+		if b.MachineType == pool.Type && b.Zone == pool.Zone && b.Spot == pool.Spot && r.bootOverdue(b, time.Now()) {
 			r.close(m, "boot drags on and no other is to be had")
 		}
 	}
 }
 
 // bootOverdue tells whether a machine has been starting for longer than is usual.
-func (r *Renter) bootOverdue(b *ledger.Machine, now time.Time) bool {
-	return b.Session == 0 && now.Sub(time.UnixMilli(b.At)) > config.Secs(place.BootUsual*r.bootS(b.Type))
+func (r *Renter) bootOverdue(b *statecache.Machine, now time.Time) bool {
+	return b.Incarnation == 0 && now.Sub(time.UnixMilli(b.ProvisionedAt)) > config.Seconds(place.BootUsual*r.bootS(b.MachineType))
 }
 
 // refusalPasses is for how many passes a pool that ran short is left alone.
@@ -148,45 +150,45 @@
 // into another since, and a late copy of the commit that made it would bring its
 // machines back with nothing bound to them. short tells that the cloud had fewer
 // than were asked for.
-func (r *Renter) record(name string, intent *ledger.Rent, left int, machines []string, short bool) {
+func (r *Renter) record(name string, intent *statecache.ProvisioningIntent, left int, machines []string, short bool) {
 	rest := slices.DeleteFunc(machines, func(m string) bool {
 		_, returned := r.deleted[m]
-		return returned || !wire.ValidMachine(m) || r.view.Machines[m] != nil
+		return returned || !wire.ValidMachineName(m) || r.view.Machines[m] != nil
 	})
-	stored := r.view.Rents[name]
+	stored := r.view.ProvisioningIntents[name]
 	lead, leads := r.lead()
 	if stored == nil || !leads {
 		delete(r.hiring, name) // who leads then repeats the call
 		return
 	}
-	s := r.cfg.Params.State
-	per := ledger.MachinesPer(int(float64(s.ValueBytes())*groupFill), intent.Tasks)
-	key := ledger.Key(ledger.KindRent, name)
-	c := ledger.Commit{Guards: []wire.Guard{lead.Guard(), {Key: key, Version: stored.Stamp}}, Patience: config.Secs(r.cfg.Ops.PassS)}
-	for len(rest) > 0 && len(c.Puts) < s.Ops()-1 {
+	s := r.cfg.Params.Store
+	per := statecache.MachinesPerGroup(int(float64(s.ValueSizeLimit())*groupFill), intent.TasksPerMachine)
+	key := statecache.Key(statecache.KindProvisioningIntent, name)
+	c := statecache.Commit{Preconditions: []wire.Precondition{lead.Precondition(), {Key: key, ModRevision: stored.ModRevision}}, RetryFor: config.Seconds(r.cfg.Operator.PlanningInterval)}
+	for len(rest) > 0 && len(c.Puts) < s.TxnOpsLimit()-1 {
 		n := min(per, len(rest))
 		group := fmt.Sprintf("%s.%s", name, rest[0])
-		bind := ledger.Key(ledger.KindBind, group)
-		c.Guards = append(c.Guards, wire.Guard{Key: bind})
-		c.Puts = append(c.Puts, ledger.Put{Key: bind, Rec: ledger.NewGroup(group, intent.Type, intent.Zone, intent.Spot, intent.At, rest[:n], ledger.Token(r.term))})
+		bind := statecache.Key(statecache.KindMachineGroup, group)
+		c.Preconditions = append(c.Preconditions, wire.Precondition{Key: bind})
+		c.Puts = append(c.Puts, statecache.Put{Key: bind, Record: statecache.NewMachineGroup(group, intent.MachineType, intent.Zone, intent.Spot, intent.RequestedAt, rest[:n], statecache.FirstToken(r.term))})
 		rest = rest[n:]
 	}
 	next := *intent
 	if len(rest) == 0 && left > 0 {
-		next.Count, next.Batch, next.At = left, intent.Batch+1, time.Now().UnixMilli()
+		next.Count, next.Batch, next.RequestedAt = left, intent.Batch+1, time.Now().UnixMilli()
 	}
 	if len(rest) > 0 || left > 0 {
-		c.Puts = append(c.Puts, ledger.Put{Key: key, Rec: &next})
+		c.Puts = append(c.Puts, statecache.Put{Key: key, Record: &next})
 	} else {
-		c.Delete = []string{key}
+		c.Deletes = []string{key}
 	}
-	r.commit(c, func(out ledger.Outcome) {
-		if out == ledger.Committed && len(rest) > 0 {
+	r.commit(c, func(out statecache.Outcome) {
+		if out == statecache.Committed && len(rest) > 0 {
 			r.record(name, intent, left, rest, short)
 			return
 		}
 		delete(r.hiring, name)
-		if out == ledger.Committed && left > 0 {
+		if out == statecache.Committed && left > 0 {
 			r.hire(name, &next)
 		}
 		// A pool that ran short is planned without at once: waiting for the next
@@ -208,8 +210,8 @@
 func (r *Renter) bootS(typ string) float64 {
 	for i := range r.types {
 		if r.types[i].Name == typ {
-			return r.types[i].BootS
+			return r.types[i].BootTime
 		}
 	}
-	return r.cfg.Ops.BootLagS
+	return r.cfg.Operator.BootLag
 }
--- a/internal/rent/rent.go
+++ b/internal/rent/rent.go
@@ -11,25 +11,25 @@
 	"lynxledge/internal/actor"
 	"lynxledge/internal/config"
 	"lynxledge/internal/election"
-	"lynxledge/internal/ledger"
 	"lynxledge/internal/overload"
 	"lynxledge/internal/place"
 	"lynxledge/internal/plan"
 	"lynxledge/internal/recovery"
+	"lynxledge/internal/statecache"
 	"lynxledge/wire"
 )
 
 // Cloud is what the renter needs of the cloud.
 type Cloud interface {
-	Hire(ctx context.Context, r wire.HireRequest) ([]string, error)
+	Hire(ctx context.Context, r wire.ProvisionRequest) ([]string, error)
 	Delete(ctx context.Context, names []string) error
-	List(ctx context.Context) ([]wire.Host, error)
+	List(ctx context.Context) ([]wire.Instance, error)
 	Types(ctx context.Context) ([]wire.MachineType, error)
 }
 
 // Prober asks a silent machine directly.
 type Prober interface {
-	Inspect(ctx context.Context, addr string) (*wire.Report, error)
+	Inspect(ctx context.Context, addr string) (*wire.Heartbeat, error)
 }
 
 // Renter is the actor.
@@ -39,21 +39,21 @@
 	cfg    *config.Config
 	boot   uint64
 	begun  time.Time
-	ledger *ledger.Ledger
+	ledger *statecache.Cache
 	cloud  Cloud
 	pace   *rate.Limiter // of writes
 	prober Prober
-	report func(*wire.Report)
+	report func(*wire.Heartbeat)
 
 	zones     *recovery.Rentals // nil: zones that recover are treated like any other
 	onRefused func(pool plan.Pool, until time.Time)
 
-	view          *ledger.View
+	view          *statecache.View
 	epoch         uint64
 	fresh         time.Time
 	types         []wire.MachineType
-	active        map[string]*ledger.Job
-	blocked       map[string]*ledger.Job
+	active        map[string]*statecache.Job
+	blocked       map[string]*statecache.Job
 	latePipelines map[string]string // pipelines by their last job: the stage that makes them late
 	runs          *place.Estimates
 	since         map[string]time.Time // bound task: since when
@@ -74,7 +74,7 @@
 }
 
 // Start runs the actor; it acts only while this process leads.
-func Start(ctx context.Context, cfg *config.Config, boot uint64, l *ledger.Ledger, c Cloud, p Prober, report func(*wire.Report)) *Renter {
+func Start(ctx context.Context, cfg *config.Config, boot uint64, l *statecache.Cache, c Cloud, p Prober, report func(*wire.Heartbeat)) *Renter {
 	r := &Renter{
 		Actor:         actor.Start(ctx, "renter", 256),
 		ctx:           ctx,
@@ -85,10 +85,10 @@
 		cloud:         c,
 		prober:        p,
 		report:        report,
-		pace:          rate.NewLimiter(rate.Limit(cfg.Params.State.WriteRPS*(1-cfg.Ops.StateShare)), cfg.Params.State.Ops()),
-		view:          ledger.NewRunningView(ledger.ChunkTasks(cfg.Params.State.ValueKB)),
-		active:        map[string]*ledger.Job{},
-		blocked:       map[string]*ledger.Job{},
+		pace:          rate.NewLimiter(rate.Limit(cfg.Params.Store.WriteRate*(1-cfg.Operator.SchedulerWriteShare)), cfg.Params.Store.TxnOpsLimit()),
+		view:          statecache.NewUnfinishedView(statecache.ChunkTasks(cfg.Params.Store.MaxValueKB)),
+		active:        map[string]*statecache.Job{},
+		blocked:       map[string]*statecache.Job{},
 		latePipelines: map[string]string{},
 		runs:          place.NewEstimates(),
 		since:         map[string]time.Time{},
@@ -99,9 +99,9 @@
 		edits:         map[string]edit{},
 		deleted:       map[string]time.Time{},
 	}
-	l.Subscribe(func(d ledger.Delta) { r.Send(func() { r.apply(d) }) })
-	r.Every(config.Secs(cfg.Ops.PassS), r.pass)
-	r.Every(config.Secs(cfg.Params.Workers.ReportS/2), r.watch)
+	l.Subscribe(func(d statecache.Update) { r.Send(func() { r.apply(d) }) })
+	r.Every(config.Seconds(cfg.Operator.PlanningInterval), r.pass)
+	r.Every(config.Seconds(cfg.Params.Workers.HeartbeatInterval/2), r.watch)
 	return r
 }
 
@@ -125,21 +125,21 @@
 	})
 }
 
-func (r *Renter) apply(d ledger.Delta) {
-	r.epoch, r.fresh = d.Epoch, d.Fresh
+func (r *Renter) apply(d statecache.Update) {
+	r.epoch, r.fresh = d.Revision, d.FreshAsOf
 	now := time.Now()
 	for _, c := range d.Changes {
 		for _, b := range r.view.Apply(c) {
 			r.bindChanged(b, now)
 		}
 		switch c.Kind {
-		case ledger.KindBind:
-			if g, _ := c.Rec.(*ledger.Group); g != nil {
-				r.countErrors(g.Departures)
-				r.runs.Learn(g.Departures, r.view.Jobs)
+		case statecache.KindMachineGroup:
+			if g, _ := c.Record.(*statecache.MachineGroup); g != nil {
+				r.countErrors(g.Terminations)
+				r.runs.Learn(g.Terminations, r.view.Jobs)
 			}
-		case ledger.KindJob:
-			j, _ := c.Rec.(*ledger.Job)
+		case statecache.KindJob:
+			j, _ := c.Record.(*statecache.Job)
 			delete(r.active, c.Name)
 			delete(r.blocked, c.Name)
 			switch {
@@ -155,28 +155,28 @@
 	}
 }
 
-func (r *Renter) bindChanged(c ledger.MachineChange, now time.Time) {
+func (r *Renter) bindChanged(c statecache.MachineChange, now time.Time) {
 	m, old, b := c.Machine, c.Old, c.New
-	for _, t := range ledger.Left(old, b) {
-		delete(r.since, t.Name())
+	for _, t := range statecache.UnboundTasks(old, b) {
+		delete(r.since, t.TaskName())
 	}
 	if b == nil {
 		delete(r.contacts, m)
 		delete(r.edits, m)
 		r.deleted[m] = now
-		delete(r.refused, plan.Pool{Type: old.Type, Zone: old.Zone, Spot: old.Spot})
+		delete(r.refused, plan.Pool{Type: old.MachineType, Zone: old.Zone, Spot: old.Spot})
 		return
 	}
 	known := r.contact(m)
-	if known.heard.IsZero() && b.Session > 0 || old != nil && old.Suspected && !b.Suspected || r.backAgain(old, b) {
+	if known.heard.IsZero() && b.Incarnation > 0 || old != nil && old.Suspected && !b.Suspected || r.backAgain(old, b) {
 		known.heard = now // somebody hears it
 	}
 	if b.Suspected && (old == nil || !old.Suspected) {
 		known.marked = now
 	}
-	for i := range b.Tasks {
-		if t := &b.Tasks[i]; old == nil || old.Find(t.Job, t.N) == nil {
-			r.since[t.Name()] = now
+	for i := range b.Bindings {
+		if t := &b.Bindings[i]; old == nil || old.FindBinding(t.Job, t.TaskIndex) == nil {
+			r.since[t.TaskName()] = now
 		}
 	}
 }
@@ -184,8 +184,8 @@
 // backAgain tells whether a row shows a machine to be back: only a report of its own
 // begins a new session. When a zone returns, who hears it may not have its streams to the
 // leader open yet, and the leader would return machines that have just come back.
-func (r *Renter) backAgain(old, b *ledger.Machine) bool {
-	return r.zones != nil && old != nil && b.Session > old.Session
+func (r *Renter) backAgain(old, b *statecache.Machine) bool {
+	return r.zones != nil && old != nil && b.Incarnation > old.Incarnation
 }
 
 // leads tells whether this process leads and its view can be trusted.
@@ -195,8 +195,8 @@
 }
 
 // lead is the leadership of this process, if it is confirmed.
-func (r *Renter) lead() (election.Lead, bool) {
-	lead, ok := election.Confirm(r.view, r.boot, r.epoch, r.fresh, r.reports(maxViewReports))
+func (r *Renter) lead() (election.Leadership, bool) {
+	lead, ok := election.ConfirmLeadership(r.view, r.boot, r.epoch, r.fresh, r.reports(maxViewReports))
 	if ok && r.term != lead.Term() {
 		r.term, r.hires = lead.Term(), 0
 		now := time.Now()
@@ -218,7 +218,7 @@
 		return
 	}
 	r.list()
-	for name, intent := range r.view.Rents {
+	for name, intent := range r.view.ProvisioningIntents {
 		r.hire(name, intent) // a lost call, of ours or of an earlier leader
 	}
 	r.decide()
@@ -238,8 +238,8 @@
 		r.close(m, whyIdle)
 	}
 	for m, b := range r.view.Machines {
-		if b.Drain != "" && !b.Closed && b.Session > 0 && len(b.Tasks) == 0 {
-			r.close(m, b.Drain)
+		if b.DrainReason != "" && !b.Terminating && b.Incarnation > 0 && len(b.Bindings) == 0 {
+			r.close(m, b.DrainReason)
 		}
 	}
 }
@@ -250,16 +250,16 @@
 // planLater tells whether planning should wait, because the processor has more urgent
 // work to do.
 func (r *Renter) planLater() bool {
-	longest := config.Secs(r.cfg.Ops.PassS * maxPassesSkipped)
-	return r.cfg.Load.Level() >= overload.Behind && time.Since(r.planned) < longest
+	longest := config.Seconds(r.cfg.Operator.PlanningInterval * maxPassesSkipped)
+	return r.cfg.Overload.Level() >= overload.Behind && time.Since(r.planned) < longest
 }
 
 // commit makes a change within the leader's part of the writes; reply runs in
 // the actor.
-func (r *Renter) commit(c ledger.Commit, reply func(ledger.Outcome)) {
-	r.pace.SetLimit(rate.Limit(r.cfg.WriteRPS() * (1 - r.cfg.Ops.StateShare)))
+func (r *Renter) commit(c statecache.Commit, reply func(statecache.Outcome)) {
+	r.pace.SetLimit(rate.Limit(r.cfg.StoreWriteRate() * (1 - r.cfg.Operator.SchedulerWriteShare)))
 	wait := r.pace.ReserveN(time.Now(), min(c.Ops(), r.pace.Burst())).Delay()
 	r.After(wait, func() {
-		r.ledger.Commit(c, func(out ledger.Outcome) { r.Send(func() { reply(out) }) })
+		r.ledger.Commit(c, func(out statecache.Outcome) { r.Send(func() { reply(out) }) })
 	})
 }
--- a/internal/rent/rent_test.go
+++ b/internal/rent/rent_test.go
@@ -9,49 +9,49 @@
 
 	"lynxledge/internal/config"
 	"lynxledge/internal/fakes"
-	"lynxledge/internal/ledger"
+	"lynxledge/internal/statecache"
 	"lynxledge/wire"
 )
 
 // lead runs a renter that leads, over a cloud that has limit machines of one
 // type, with a service that waits for one.
-func lead(t *testing.T, limit int, f func(l *ledger.Ledger, c *fakes.Cloud, r *Renter), more ...wire.MachineType) {
+func lead(t *testing.T, limit int, f func(l *statecache.Cache, c *fakes.Cloud, r *Renter), more ...wire.MachineType) {
 	leadOver(t, fakes.NewNet(1, time.Millisecond), limit, f, more...)
 }
 
-func leadOver(t *testing.T, net *fakes.Net, limit int, f func(l *ledger.Ledger, c *fakes.Cloud, r *Renter), more ...wire.MachineType) {
+func leadOver(t *testing.T, net *fakes.Net, limit int, f func(l *statecache.Cache, c *fakes.Cloud, r *Renter), more ...wire.MachineType) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		cfg := &config.Config{Ops: config.DefaultOps()}
-		cfg.Ops.Headroom = 0
-		cfg.Params.Workers = config.Workers{ReportS: 3, LeaseS: 34, CancelS: 64}
-		cfg.Params.State = config.State{ValueKB: 8, TxnOps: 8, RPS: 150, WriteRPS: 50}
-		cfg.Params.Cloud = config.Cloud{RPS: 3, ListLagS: 10}
-		cfg.Params.Teams = []config.Team{{Name: "red"}}
-		types := []wire.MachineType{{Name: "s", CPUs: 4, MemoryGB: 16, Price: 1, BootS: 25, Zones: []string{"a"}}}
+		cfg := &config.Config{Operator: config.DefaultOperatorSettings()}
+		cfg.Operator.HeadroomShare = 0
+		cfg.Params.Workers = config.WorkerTimings{HeartbeatInterval: 3, LeaseDuration: 34, CancellationDeadline: 64}
+		cfg.Params.Store = config.StoreLimits{MaxValueKB: 8, MaxTxnOps: 8, RequestRate: 150, WriteRate: 50}
+		cfg.Params.Cloud = config.CloudLimits{RequestRate: 3, ListLag: 10}
+		cfg.Params.Teams = []config.TeamQuota{{Name: "red"}}
+		types := []wire.MachineType{{Name: "s", CPUs: 4, MemoryGB: 16, HourlyPrice: 1, BootTime: 25, Zones: []string{"a"}}}
 		types = append(types, more...)
 		conn := &fakes.Conn{State: fakes.NewState(), Net: net, Node: "n0", Timeout: time.Second}
-		chunk := ledger.ChunkTasks(8)
-		l := ledger.Start(ctx, conn, ledger.Options{ChunkTasks: chunk, Hold: time.Second, MaxAge: time.Second, Backoff: 100 * time.Millisecond})
-		cloud := fakes.NewCloud(1, types, limit, 10*time.Second, func(h wire.Host) *fakes.Worker {
+		chunk := statecache.ChunkTasks(8)
+		l := statecache.Start(ctx, conn, statecache.Options{ChunkTasks: chunk, WatchHold: time.Second, MaxViewAge: time.Second, Backoff: 100 * time.Millisecond})
+		cloud := fakes.NewCloud(1, types, limit, 10*time.Second, func(h wire.Instance) *fakes.Worker {
 			return fakes.NewWorker(ctx, h, fakes.WorkerOptions{
 				Report: 3 * time.Second, Lease: 34 * time.Second, Nodes: []string{"n0"}, Net: net, Rules: fakes.NewRules(cfg.Params),
 				Post: func(string) fakes.Post { return nil },
 			}, 0)
 		})
 		r := Start(ctx, cfg, 7, l, &fakes.CloudConn{Cloud: cloud, Net: net, Node: "n0", Timeout: 4 * time.Second, World: ctx},
-			&fakes.WorkerConn{Cloud: cloud, Net: net, Node: "n0", Timeout: time.Second}, func(*wire.Report) {})
+			&fakes.WorkerConn{Cloud: cloud, Net: net, Node: "n0", Timeout: time.Second}, func(*wire.Heartbeat) {})
 		r.SetTypes(types)
 		l.Run()
 		time.Sleep(time.Second)
-		l.Commit(ledger.Commit{Puts: []ledger.Put{
-			{Key: ledger.LeaderKey, Rec: &ledger.Leader{Member: "n0", Boot: 7, Term: 1}},
-			{Key: ledger.TermKey, Rec: &ledger.Term{Term: 1}},
-			{Key: ledger.Key(ledger.KindJob, "req-000001"), Rec: &ledger.Job{Tasks: 1, At: time.Now().UnixMilli(), Spec: &wire.Job{
-				ID: "req-000001", Team: "red", Shape: wire.ShapeService, Rank: wire.RankProd, Tasks: 1, CPUs: 4, MemoryGB: 1,
+		l.Commit(statecache.Commit{Puts: []statecache.Put{
+			{Key: statecache.LeaderKey, Record: &statecache.Leader{Member: "n0", Incarnation: 7, Term: 1}},
+			{Key: statecache.TermKey, Record: &statecache.Term{Number: 1}},
+			{Key: statecache.Key(statecache.KindJob, "req-000001"), Record: &statecache.Job{TaskCount: 1, SubmittedAt: time.Now().UnixMilli(), Spec: &wire.Job{
+				ID: "req-000001", Team: "red", Kind: wire.KindService, Priority: wire.PriorityProduction, TaskCount: 1, CPUs: 4, MemoryGB: 1,
 			}}},
-		}}, func(ledger.Outcome) {})
+		}}, func(statecache.Outcome) {})
 		f(l, cloud, r)
 		cancel()
 		time.Sleep(time.Minute)
@@ -61,7 +61,7 @@
 // The only machine of a pool that never comes up must not block the pool: it
 // did for three boot times, with every replica of the zone waiting.
 func TestStuckBootFreesItsPool(t *testing.T) {
-	lead(t, 1, func(_ *ledger.Ledger, c *fakes.Cloud, _ *Renter) {
+	lead(t, 1, func(_ *statecache.Cache, c *fakes.Cloud, _ *Renter) {
 		c.Stick(1)
 		time.Sleep(75 * time.Second) // 1.6 boots, a pass, and another boot
 		if len(c.Up()) != 1 {
@@ -72,7 +72,7 @@
 
 // One waiting replica rents one machine, however many passes its boot takes.
 func TestRentsOnce(t *testing.T) {
-	lead(t, 5, func(_ *ledger.Ledger, c *fakes.Cloud, _ *Renter) {
+	lead(t, 5, func(_ *statecache.Cache, c *fakes.Cloud, _ *Renter) {
 		time.Sleep(24 * time.Second)
 		if n := len(c.Up()); n != 1 {
 			t.Errorf("%d machines up for one replica", n)
@@ -84,25 +84,25 @@
 // of them had, though the cloud had no other: it is kept for two leases, since
 // it may only be cut off. One that holds batch work alone is returned soon.
 func TestIrreplaceableMachineIsKept(t *testing.T) {
-	lead(t, 0, func(l *ledger.Ledger, _ *fakes.Cloud, r *Renter) {
-		group := func(m string, tasks ...ledger.BoundTask) ledger.Put {
-			return ledger.Put{Key: ledger.Key(ledger.KindBind, "g."+m), Rec: &ledger.Group{
-				Type: "s", Zone: "a", At: time.Now().UnixMilli(),
-				Machines: []*ledger.Machine{{Name: m, Addr: "x:1", Session: 1, Tasks: tasks}},
+	lead(t, 0, func(l *statecache.Cache, _ *fakes.Cloud, r *Renter) {
+		group := func(m string, tasks ...statecache.TaskBinding) statecache.Put {
+			return statecache.Put{Key: statecache.Key(statecache.KindMachineGroup, "g."+m), Record: &statecache.MachineGroup{
+				MachineType: "s", Zone: "a", ProvisionedAt: time.Now().UnixMilli(),
+				Machines: []*statecache.Machine{{Name: m, Address: "x:1", Incarnation: 1, Bindings: tasks}},
 			}}
 		}
-		c := ledger.Commit{Puts: []ledger.Put{
-			{Key: ledger.Key(ledger.KindJob, "req-000002"), Rec: &ledger.Job{Tasks: 1, At: time.Now().UnixMilli(), Spec: &wire.Job{
-				ID: "req-000002", Team: "red", Shape: wire.ShapeArray, Tasks: 1, CPUs: 4, MemoryGB: 1, EstimateS: 500,
+		c := statecache.Commit{Puts: []statecache.Put{
+			{Key: statecache.Key(statecache.KindJob, "req-000002"), Record: &statecache.Job{TaskCount: 1, SubmittedAt: time.Now().UnixMilli(), Spec: &wire.Job{
+				ID: "req-000002", Team: "red", Kind: wire.KindArray, TaskCount: 1, CPUs: 4, MemoryGB: 1, EstimatedRuntime: 500,
 			}}},
-			group("i-8", ledger.BoundTask{Job: "req-000002", Attempt: 1}),
-			group("i-9", ledger.BoundTask{Job: "req-000001", Attempt: 1}),
+			group("i-8", statecache.TaskBinding{Job: "req-000002", Attempt: 1}),
+			group("i-9", statecache.TaskBinding{Job: "req-000001", Attempt: 1}),
 		}}
 		heard := []string{"i-1", "i-2", "i-3"}
 		for _, m := range heard {
-			c.Puts = append(c.Puts, group(m, ledger.BoundTask{Job: "req-000001", N: len(c.Puts), Attempt: 1})) // no room here
+			c.Puts = append(c.Puts, group(m, statecache.TaskBinding{Job: "req-000001", TaskIndex: len(c.Puts), Attempt: 1})) // no room here
 		}
-		l.Commit(c, func(ledger.Outcome) {})
+		l.Commit(c, func(statecache.Outcome) {})
 		there := func() (batch, replica bool) {
 			ch := make(chan bool, 2)
 			r.Send(func() { ch <- r.view.Machines["i-8"] != nil; ch <- r.view.Machines["i-9"] != nil })
@@ -133,20 +133,20 @@
 // anew: while the intent of the short pool stood, its machines counted as
 // rented, and waiting work got none until the next pass or the one after.
 func TestShortPoolIsPlannedWithoutAtOnce(t *testing.T) {
-	dear := wire.MachineType{Name: "l", CPUs: 16, MemoryGB: 64, Price: 5, BootS: 25, Zones: []string{"a"}}
-	lead(t, 2, func(l *ledger.Ledger, c *fakes.Cloud, r *Renter) {
-		job := func(id string, tasks int, types ...string) ledger.Put {
-			return ledger.Put{Key: ledger.Key(ledger.KindJob, id), Rec: &ledger.Job{Tasks: tasks, At: time.Now().UnixMilli(), Spec: &wire.Job{
-				ID: id, Team: "red", Shape: wire.ShapeService, Rank: wire.RankProd, Tasks: tasks, CPUs: 4, MemoryGB: 1, Types: types,
+	dear := wire.MachineType{Name: "l", CPUs: 16, MemoryGB: 64, HourlyPrice: 5, BootTime: 25, Zones: []string{"a"}}
+	lead(t, 2, func(l *statecache.Cache, c *fakes.Cloud, r *Renter) {
+		job := func(id string, tasks int, types ...string) statecache.Put {
+			return statecache.Put{Key: statecache.Key(statecache.KindJob, id), Record: &statecache.Job{TaskCount: tasks, SubmittedAt: time.Now().UnixMilli(), Spec: &wire.Job{
+				ID: id, Team: "red", Kind: wire.KindService, Priority: wire.PriorityProduction, TaskCount: tasks, CPUs: 4, MemoryGB: 1, MachineTypes: types,
 			}}}
 		}
-		l.Commit(ledger.Commit{Puts: []ledger.Put{job("req-000002", 5), job("req-000003", 1, "l")}}, func(ledger.Outcome) {})
+		l.Commit(statecache.Commit{Puts: []statecache.Put{job("req-000002", 5), job("req-000003", 1, "l")}}, func(statecache.Outcome) {})
 		time.Sleep(6 * time.Second) // one pass, and what follows from its refusals
 		ch := make(chan map[string]int)
 		r.Send(func() {
 			n := map[string]int{}
 			for _, b := range r.view.Machines {
-				n[b.Type]++
+				n[b.MachineType]++
 			}
 			ch <- n
 		})
@@ -160,27 +160,27 @@
 // other groups were in the same transaction: a machine that was to be returned
 // stayed. It waits until the record is smaller.
 func TestEditOfFullRecordWaits(t *testing.T) {
-	lead(t, 0, func(l *ledger.Ledger, _ *fakes.Cloud, r *Renter) {
-		bind := func(m string, tasks int) *ledger.Machine {
-			b := &ledger.Machine{Name: m, Addr: "x:1", Session: 1, Token: 1 << 33}
+	lead(t, 0, func(l *statecache.Cache, _ *fakes.Cloud, r *Renter) {
+		bind := func(m string, tasks int) *statecache.Machine {
+			b := &statecache.Machine{Name: m, Address: "x:1", Incarnation: 1, FencingToken: 1 << 33}
 			for n := range tasks {
-				b.Tasks = append(b.Tasks, ledger.BoundTask{Job: "req-000001", N: n, Attempt: 1})
+				b.Bindings = append(b.Bindings, statecache.TaskBinding{Job: "req-000001", TaskIndex: n, Attempt: 1})
 			}
 			return b
 		}
-		put := func(g string, b *ledger.Machine) ledger.Put {
-			return ledger.Put{Key: ledger.Key(ledger.KindBind, g), Rec: &ledger.Group{Name: g, Type: "s", Zone: "a", Machines: []*ledger.Machine{b}}}
+		put := func(g string, b *statecache.Machine) statecache.Put {
+			return statecache.Put{Key: statecache.Key(statecache.KindMachineGroup, g), Record: &statecache.MachineGroup{Name: g, MachineType: "s", Zone: "a", Machines: []*statecache.Machine{b}}}
 		}
-		limit := int(r.cfg.Params.State.ValueKB * 1024)
+		limit := int(r.cfg.Params.Store.MaxValueKB * 1024)
 		full := bind("i-8", 1)
-		for n := 2; (&ledger.Group{Type: "s", Zone: "a", Machines: []*ledger.Machine{full}}).Size() < limit; n++ {
+		for n := 2; (&statecache.MachineGroup{MachineType: "s", Zone: "a", Machines: []*statecache.Machine{full}}).EncodedSize() < limit; n++ {
 			full = bind("i-8", n)
 		}
-		l.Commit(ledger.Commit{Puts: []ledger.Put{put("full", full), put("small", bind("i-9", 0))}}, func(ledger.Outcome) {})
+		l.Commit(statecache.Commit{Puts: []statecache.Put{put("full", full), put("small", bind("i-9", 0))}}, func(statecache.Outcome) {})
 		time.Sleep(time.Second)
 		drains := func(m string) (row, waits string) {
 			ch := make(chan string, 2)
-			r.Send(func() { ch <- r.view.Machines[m].Drain; ch <- r.edits[m].drain })
+			r.Send(func() { ch <- r.view.Machines[m].DrainReason; ch <- r.edits[m].drain })
 			return <-ch, <-ch
 		}
 		r.Send(func() { r.edit("i-8", edit{drain: "faulty"}); r.edit("i-9", edit{drain: "faulty"}) })
@@ -200,12 +200,12 @@
 // once more.
 func TestLateRentalDoesNotUndoAMerge(t *testing.T) {
 	net := fakes.NewNet(1, time.Millisecond)
-	leadOver(t, net, 1, func(l *ledger.Ledger, _ *fakes.Cloud, r *Renter) {
+	leadOver(t, net, 1, func(l *statecache.Cache, _ *fakes.Cloud, r *Renter) {
 		time.Sleep(time.Second)
 		net.SetFates(0, 1)
 		time.Sleep(8 * time.Second)
 		net.SetFates(0, 0)
-		row := func() (b ledger.Machine) {
+		row := func() (b statecache.Machine) {
 			ch := make(chan bool)
 			r.Send(func() {
 				for _, x := range r.view.Machines {
@@ -220,17 +220,17 @@
 		if b.Name == "" {
 			t.Fatal("nothing rented")
 		}
-		held := &ledger.Machine{Name: b.Name, Addr: "x:1", Session: 1, Token: b.Token + 1, Tasks: []ledger.BoundTask{{Job: "req-000001", Attempt: b.Token}}}
-		l.Commit(ledger.Commit{
-			Puts:   []ledger.Put{{Key: ledger.Key(ledger.KindBind, "other"), Rec: &ledger.Group{Type: b.Type, Zone: b.Zone, At: b.At, Machines: []*ledger.Machine{held}}}},
-			Delete: []string{ledger.Key(ledger.KindBind, b.Group)},
-		}, func(ledger.Outcome) {})
+		held := &statecache.Machine{Name: b.Name, Address: "x:1", Incarnation: 1, FencingToken: b.FencingToken + 1, Bindings: []statecache.TaskBinding{{Job: "req-000001", Attempt: b.FencingToken}}}
+		l.Commit(statecache.Commit{
+			Puts:    []statecache.Put{{Key: statecache.Key(statecache.KindMachineGroup, "other"), Record: &statecache.MachineGroup{MachineType: b.MachineType, Zone: b.Zone, ProvisionedAt: b.ProvisionedAt, Machines: []*statecache.Machine{held}}}},
+			Deletes: []string{statecache.Key(statecache.KindMachineGroup, b.Group)},
+		}, func(statecache.Outcome) {})
 		for range 100 {
 			r.Heard([]string{b.Name})
 			time.Sleep(time.Second)
 		}
-		if b := row(); b.Group != "other" || len(b.Tasks) != 1 {
-			t.Errorf("in group %s with %d tasks", b.Group, len(b.Tasks))
+		if b := row(); b.Group != "other" || len(b.Bindings) != 1 {
+			t.Errorf("in group %s with %d tasks", b.Group, len(b.Bindings))
 		}
 	})
 }
@@ -239,21 +239,21 @@
 // too large, though it is far from full: in a later term each row that is rewritten
 // grows. It has to be written all the same, or silent machines are never returned.
 func TestEditsThatFillARecordAreWritten(t *testing.T) {
-	lead(t, 0, func(l *ledger.Ledger, _ *fakes.Cloud, r *Renter) {
+	lead(t, 0, func(l *statecache.Cache, _ *fakes.Cloud, r *Renter) {
 		time.Sleep(time.Second) // the first term is written, and this one comes after it
-		limit := r.cfg.Params.State.ValueBytes()
-		g := &ledger.Group{Name: "g", Type: "s", Zone: "a"}
-		for i := 0; g.Size() < limit*17/20; i++ {
-			b := &ledger.Machine{Name: fmt.Sprintf("i-%06d", 100+i), Addr: "x:1", Session: 1, Token: ledger.Token(1) + 9}
+		limit := r.cfg.Params.Store.ValueSizeLimit()
+		g := &statecache.MachineGroup{Name: "g", MachineType: "s", Zone: "a"}
+		for i := 0; g.EncodedSize() < limit*17/20; i++ {
+			b := &statecache.Machine{Name: fmt.Sprintf("i-%06d", 100+i), Address: "x:1", Incarnation: 1, FencingToken: statecache.FirstToken(1) + 9}
 			for n := range 4 {
-				b.Tasks = append(b.Tasks, ledger.BoundTask{Job: "req-000001", N: 4*i + n, Attempt: ledger.Token(1) + 8})
+				b.Bindings = append(b.Bindings, statecache.TaskBinding{Job: "req-000001", TaskIndex: 4*i + n, Attempt: statecache.FirstToken(1) + 8})
 			}
 			g.Machines = append(g.Machines, b)
 		}
-		l.Commit(ledger.Commit{Puts: []ledger.Put{
-			{Key: ledger.LeaderKey, Rec: &ledger.Leader{Member: "n0", Boot: 7, Term: 2}}, {Key: ledger.TermKey, Rec: &ledger.Term{Term: 2}},
-			{Key: ledger.Key(ledger.KindBind, "g"), Rec: g},
-		}}, func(ledger.Outcome) {})
+		l.Commit(statecache.Commit{Puts: []statecache.Put{
+			{Key: statecache.LeaderKey, Record: &statecache.Leader{Member: "n0", Incarnation: 7, Term: 2}}, {Key: statecache.TermKey, Record: &statecache.Term{Number: 2}},
+			{Key: statecache.Key(statecache.KindMachineGroup, "g"), Record: g},
+		}}, func(statecache.Outcome) {})
 		time.Sleep(time.Second)
 		r.Send(func() {
 			for _, b := range g.Machines {
@@ -281,15 +281,15 @@
 // small one is read in every pass.
 func TestListLeavesCallsForRentals(t *testing.T) {
 	for _, rps := range []float64{3, 10} {
-		cfg := &config.Config{Ops: config.DefaultOps()}
-		cfg.Params.Cloud.RPS = rps
+		cfg := &config.Config{Operator: config.DefaultOperatorSettings()}
+		cfg.Params.Cloud.RequestRate = rps
 		r := &Renter{cfg: cfg}
-		if pause := r.listPause(250); pause > config.Secs(cfg.Ops.PassS) {
+		if pause := r.listPause(250); pause > config.Seconds(cfg.Operator.PlanningInterval) {
 			t.Errorf("at %v calls a second a list of one page is read every %v", rps, pause)
 		}
 		const pages = 9
 		calls := pages / r.listPause(4000).Seconds()
-		if most := rps * cfg.Ops.CloudShare / 3; calls > most {
+		if most := rps * cfg.Operator.CloudRateShare / 3; calls > most {
 			t.Errorf("%.2f of %v calls a second go to the list", calls, rps)
 		}
 	}
--- a/internal/rent/returns.go
+++ b/internal/rent/returns.go
@@ -4,7 +4,7 @@
 	"log/slog"
 	"strings"
 
-	"lynxledge/internal/ledger"
+	"lynxledge/internal/statecache"
 	"lynxledge/wire"
 )
 
@@ -15,17 +15,17 @@
 	if !ok {
 		return
 	}
-	c := ledger.Commit{Guards: []wire.Guard{lead.Guard()}}
+	c := statecache.Commit{Preconditions: []wire.Precondition{lead.Precondition()}}
 	for name, g := range r.view.Groups {
-		if len(g.Machines) > 0 || len(c.Delete) >= r.cfg.Params.State.Ops() {
+		if len(g.Machines) > 0 || len(c.Deletes) >= r.cfg.Params.Store.TxnOpsLimit() {
 			continue
 		}
-		if d := r.view.Draft(name); d.Empty() {
+		if d := r.view.UpdateGroup(name); d.Empty() {
 			d.AddTo(&c)
 		}
 	}
 	if c.Ops() > 0 {
-		r.commit(c, func(ledger.Outcome) {})
+		r.commit(c, func(statecache.Outcome) {})
 	}
 }
 
@@ -41,7 +41,7 @@
 	}
 	var names []string
 	for m, b := range r.view.Machines {
-		if b.Closed && !r.deleting[m] && !r.edits[m].gone && len(names) < wire.MaxDelete {
+		if b.Terminating && !r.deleting[m] && !r.edits[m].gone && len(names) < wire.MaxMachinesPerDelete {
 			r.deleting[m] = true
 			names = append(names, m)
 		}
--- a/internal/reports/reports.go
+++ b/internal/reports/reports.go
@@ -10,8 +10,8 @@
 
 	"lynxledge/internal/actor"
 	"lynxledge/internal/config"
-	"lynxledge/internal/ledger"
 	"lynxledge/internal/place"
+	"lynxledge/internal/statecache"
 	"lynxledge/wire"
 )
 
@@ -19,7 +19,7 @@
 // 503 when neither is possible.
 type Reply struct {
 	Accept   bool
-	Body     wire.ReportReply
+	Body     wire.HeartbeatResponse
 	ReportTo string
 }
 
@@ -41,10 +41,10 @@
 	*actor.Actor
 	cfg    *config.Config
 	boot   uint64
-	ledger *ledger.Ledger
+	ledger *statecache.Cache
 	to     Links
 
-	view     *ledger.View
+	view     *statecache.View
 	fresh    time.Time
 	heard    map[string]bool
 	seenBy   []func(machines []string)
@@ -63,14 +63,14 @@
 }
 
 // Start runs the actor.
-func Start(ctx context.Context, cfg *config.Config, boot uint64, l *ledger.Ledger, to Links) *Reports {
+func Start(ctx context.Context, cfg *config.Config, boot uint64, l *statecache.Cache, to Links) *Reports {
 	r := &Reports{
 		Actor: actor.Start(ctx, "reports", 512), cfg: cfg, boot: boot, ledger: l, to: to,
-		view:  ledger.NewRunningView(ledger.ChunkTasks(cfg.Params.State.ValueKB)),
+		view:  statecache.NewUnfinishedView(statecache.ChunkTasks(cfg.Params.Store.MaxValueKB)),
 		heard: map[string]bool{}, last: map[string]*contact{}, sentAway: map[string]bool{},
 	}
-	l.Subscribe(func(d ledger.Delta) { r.Send(func() { r.apply(d) }) })
-	r.Every(config.Secs(cfg.Params.Workers.ReportS/3), r.announceHeard)
+	l.Subscribe(func(d statecache.Update) { r.Send(func() { r.apply(d) }) })
+	r.Every(config.Seconds(cfg.Params.Workers.HeartbeatInterval/3), r.announceHeard)
 	return r
 }
 
@@ -78,9 +78,9 @@
 // called before the first report.
 func (r *Reports) Heard(f func(machines []string)) { r.seenBy = append(r.seenBy, f) }
 
-func (r *Reports) apply(d ledger.Delta) {
-	if d.Fresh.After(r.fresh) {
-		r.fresh = d.Fresh
+func (r *Reports) apply(d statecache.Update) {
+	if d.FreshAsOf.After(r.fresh) {
+		r.fresh = d.FreshAsOf
 		clear(r.sentAway)
 	}
 	for _, c := range d.Changes {
@@ -88,8 +88,8 @@
 			if b.New == nil {
 				delete(r.last, b.Machine)
 			} else if k := r.last[b.Machine]; k != nil {
-				for _, t := range ledger.Left(b.Old, b.New) {
-					delete(k.began, t.Name())
+				for _, t := range statecache.UnboundTasks(b.Old, b.New) {
+					delete(k.began, t.TaskName())
 				}
 			}
 		}
@@ -115,7 +115,7 @@
 // every cancellation and the moment at which it must stop renewing leases.
 func (r *Reports) renewalWindow() time.Duration {
 	w := r.cfg.Params.Workers
-	return config.Secs(w.CancelS - w.LeaseS - cancelMargin*w.ReportS)
+	return config.Seconds(w.CancellationDeadline - w.LeaseDuration - cancelMargin*w.HeartbeatInterval)
 }
 
 // cancelMargin, in report intervals, is left for clocks that drift and for
@@ -133,7 +133,7 @@
 	switch {
 	case age > r.renewalWindow():
 		return true
-	case age <= min(r.renewalWindow()/2, config.Secs(r.cfg.Params.Workers.ReportS)):
+	case age <= min(r.renewalWindow()/2, config.Seconds(r.cfg.Params.Workers.HeartbeatInterval)):
 		return false
 	case r.to.Elsewhere() != "":
 		return true
@@ -146,7 +146,7 @@
 
 // contact is what is known of a machine; news is false for a copy or a report
 // older than one heard before: it says nothing of the machine as it is now.
-func (r *Reports) contact(rep *wire.Report) (k *contact, news bool) {
+func (r *Reports) contact(rep *wire.Heartbeat) (k *contact, news bool) {
 	k = r.last[rep.Machine]
 	if k == nil {
 		k = &contact{began: map[string]time.Time{}}
@@ -154,17 +154,17 @@
 			r.last[rep.Machine] = k
 		}
 	}
-	if rep.Session < k.session || rep.Session == k.session && rep.Seq <= k.seq {
+	if rep.Incarnation < k.session || rep.Incarnation == k.session && rep.Sequence <= k.seq {
 		return k, false
 	}
-	k.session, k.seq = rep.Session, rep.Seq
+	k.session, k.seq = rep.Incarnation, rep.Sequence
 	for i := range rep.Tasks {
 		t := &rep.Tasks[i]
 		if _, ok := k.began[t.Task]; !ok && t.State == wire.TaskRunning {
 			k.began[t.Task] = time.Now()
 		}
 	}
-	if rep.Token >= k.answered {
+	if rep.FencingToken >= k.answered {
 		k.answered, k.since, k.deaf = 0, time.Time{}, false
 	}
 	return k, true
@@ -173,7 +173,7 @@
 // Handle takes a report that came as an answer to direct commands: what it
 // proves counts, but nobody waits for orders. It is no sign that the machine's own
 // reports, which alone keep its lease, reach anybody.
-func (r *Reports) Handle(rep *wire.Report) {
+func (r *Reports) Handle(rep *wire.Heartbeat) {
 	r.Post(func() {
 		rec := r.view.Machines[rep.Machine]
 		if rec == nil {
@@ -186,11 +186,11 @@
 }
 
 // Report answers a worker; reply runs in the actor.
-func (r *Reports) Report(rep *wire.Report, reply func(Reply)) { r.answer(rep, reply, true) }
+func (r *Reports) Report(rep *wire.Heartbeat, reply func(Reply)) { r.answer(rep, reply, true) }
 
 // answer answers by the view as it is, or, if it may be too old for this report, once
 // after it was refreshed.
-func (r *Reports) answer(rep *wire.Report, reply func(Reply), mayRefresh bool) {
+func (r *Reports) answer(rep *wire.Heartbeat, reply func(Reply), mayRefresh bool) {
 	now := time.Now()
 	rec := r.view.Machines[rep.Machine]
 	if r.refuses(rep.Machine, now.Sub(r.fresh)) {
@@ -210,14 +210,14 @@
 	k, news := r.contact(rep)
 	proof := place.Reconcile(rec, rep, r.view.Active)
 	writer := r.forward(rep, k, &proof)
-	if writer != "" && now.Sub(k.sent) > config.Secs(2*r.cfg.Params.Workers.ReportS) {
+	if writer != "" && now.Sub(k.sent) > config.Seconds(2*r.cfg.Params.Workers.HeartbeatInterval) {
 		k.sent = now
 		r.hear(rep, k, news, now)
 		reply(Reply{ReportTo: writer})
 		return
 	}
-	if rep.Token > rec.Token {
-		slog.Warn("worker has seen a token beyond its record", "machine", rep.Machine, "token", rep.Token, "record", rec.Token)
+	if rep.FencingToken > rec.FencingToken {
+		slog.Warn("worker has seen a token beyond its record", "machine", rep.Machine, "token", rep.FencingToken, "record", rec.FencingToken)
 		reply(Reply{})
 		return
 	}
@@ -230,20 +230,20 @@
 		reply(Reply{})
 		return
 	}
-	if k.answered == 0 && rep.Token < rec.Token {
-		k.answered, k.since = rec.Token, now
+	if k.answered == 0 && rep.FencingToken < rec.FencingToken {
+		k.answered, k.since = rec.FencingToken, now
 	}
-	reply(Reply{Accept: true, Body: wire.ReportReply{Token: rec.Token, Orders: r.orders(&proof, now)}})
+	reply(Reply{Accept: true, Body: wire.HeartbeatResponse{FencingToken: rec.FencingToken, Commands: r.orders(&proof, now)}})
 }
 
 // outdated tells whether a report shows that its machine's record has changed since it was
 // read. A later session than the first is a reason to look, since another controller may
 // have written it.
-func outdated(rec *ledger.Machine, rep *wire.Report) bool {
-	return rec == nil || rep.Token > rec.Token || rep.Session > rec.Session && rec.Session > 0
+func outdated(rec *statecache.Machine, rep *wire.Heartbeat) bool {
+	return rec == nil || rep.FencingToken > rec.FencingToken || rep.Incarnation > rec.Incarnation && rec.Incarnation > 0
 }
 
-func (r *Reports) refreshAndAnswer(rep *wire.Report, reply func(Reply)) {
+func (r *Reports) refreshAndAnswer(rep *wire.Heartbeat, reply func(Reply)) {
 	r.ledger.Refresh(func(err error) {
 		r.Send(func() {
 			if err != nil {
@@ -257,7 +257,7 @@
 
 // refuse sends a worker away. It is heard all the same: after an outage the leader must
 // not take every machine for silent.
-func (r *Reports) refuse(rep *wire.Report, rec *ledger.Machine, reply func(Reply)) {
+func (r *Reports) refuse(rep *wire.Heartbeat, rec *statecache.Machine, reply func(Reply)) {
 	if rec != nil {
 		if k, news := r.contact(rep); news && !k.deaf {
 			r.heard[rep.Machine] = true
@@ -267,7 +267,7 @@
 }
 
 // hear counts a machine as heard if its report is news, and the machine hears too.
-func (r *Reports) hear(rep *wire.Report, k *contact, news bool, now time.Time) {
+func (r *Reports) hear(rep *wire.Heartbeat, k *contact, news bool, now time.Time) {
 	if news && !r.deaf(rep, k, now) {
 		r.heard[rep.Machine] = true
 	}
@@ -276,13 +276,13 @@
 // orders are those that a report calls for, but for launches if the view is too old for
 // them: a job may have been cancelled since. Its tasks that run are kept within cancel_s by
 // their lease, but none may start any more.
-func (r *Reports) orders(proof *place.Proof, now time.Time) []wire.Order {
+func (r *Reports) orders(proof *place.Proof, now time.Time) []wire.Command {
 	orders := proof.Orders
 	if now.Sub(r.fresh) > place.LaunchAge(r.cfg) {
-		orders = slices.DeleteFunc(orders, func(o wire.Order) bool { return o.Op == wire.OpStart })
+		orders = slices.DeleteFunc(orders, func(o wire.Command) bool { return o.Op == wire.OpLaunch })
 	}
 	if orders == nil {
-		return []wire.Order{}
+		return []wire.Command{}
 	}
 	return orders
 }
@@ -290,11 +290,11 @@
 // deaf tells whether a machine is heard, but doesn't hear: it was answered
 // with a token that its reports still don't show two reports later. Such a
 // machine doesn't count as heard, so the leader marks and returns it.
-func (r *Reports) deaf(rep *wire.Report, k *contact, now time.Time) bool {
+func (r *Reports) deaf(rep *wire.Heartbeat, k *contact, now time.Time) bool {
 	was := k.deaf
-	k.deaf = k.answered > 0 && now.Sub(k.since) > config.Secs(deafReports*r.cfg.Params.Workers.ReportS)
+	k.deaf = k.answered > 0 && now.Sub(k.since) > config.Seconds(deafReports*r.cfg.Params.Workers.HeartbeatInterval)
 	if k.deaf && !was {
-		slog.Info("machine doesn't hear", "machine", rep.Machine, "token", rep.Token, "answered", k.answered)
+		slog.Info("machine doesn't hear", "machine", rep.Machine, "token", rep.FencingToken, "answered", k.answered)
 	}
 	return k.deaf
 }
@@ -304,10 +304,10 @@
 const deafReports = 2.5
 
 // overdue tells whether a task of a job cancelled long ago is still bound.
-func (r *Reports) overdue(rec *ledger.Machine, now time.Time) bool {
-	for i := range rec.Tasks {
-		j := r.view.Jobs[rec.Tasks[i].Job]
-		if j != nil && j.State == wire.JobCancelled && now.Sub(time.UnixMilli(j.EndAt)) > r.renewalWindow() {
+func (r *Reports) overdue(rec *statecache.Machine, now time.Time) bool {
+	for i := range rec.Bindings {
+		j := r.view.Jobs[rec.Bindings[i].Job]
+		if j != nil && j.State == wire.JobCancelled && now.Sub(time.UnixMilli(j.FinishedAt)) > r.renewalWindow() {
 			return true
 		}
 	}
@@ -319,13 +319,13 @@
 // of reach, forward returns its name: the worker had better tell it. That each
 // controller wrote its own part would be many small writes that hinder each
 // other.
-func (r *Reports) forward(rep *wire.Report, k *contact, proof *place.Proof) (unreached string) {
+func (r *Reports) forward(rep *wire.Heartbeat, k *contact, proof *place.Proof) (unreached string) {
 	if !proof.Changes() {
 		return ""
 	}
 	n := place.Observation{Report: rep}
 	for i := range proof.Gone {
-		task := proof.Gone[i].Task()
+		task := proof.Gone[i].TaskName()
 		if begun, ok := k.began[task]; ok {
 			if n.RanS == nil {
 				n.RanS = map[string]float64{}
@@ -334,8 +334,8 @@
 		}
 	}
 	wait := time.Duration(0)
-	if w := r.writer(); w != "" && w != r.cfg.Name {
-		wait = config.Secs(2 * r.cfg.Params.Workers.ReportS)
+	if w := r.writer(); w != "" && w != r.cfg.MemberName {
+		wait = config.Seconds(2 * r.cfg.Params.Workers.HeartbeatInterval)
 		if !r.to.Tell(w, n) {
 			unreached = w
 		}
@@ -348,7 +348,7 @@
 // are handed to.
 func (r *Reports) writer() string {
 	for _, h := range r.view.Assignments {
-		if m := r.view.Members[h.Member]; m != nil && m.Boot == h.Boot {
+		if m := r.view.Members[h.Member]; m != nil && m.Incarnation == h.Incarnation {
 			return h.Member
 		}
 	}
--- a/internal/reports/reports_test.go
+++ b/internal/reports/reports_test.go
@@ -9,28 +9,28 @@
 
 	"lynxledge/internal/config"
 	"lynxledge/internal/fakes"
-	"lynxledge/internal/ledger"
 	"lynxledge/internal/place"
+	"lynxledge/internal/statecache"
 	"lynxledge/wire"
 )
 
 // bench is a Reports actor over a state service that holds one machine.
 type bench struct {
-	ledger    *ledger.Ledger
+	ledger    *statecache.Cache
 	reports   *Reports
 	elsewhere string
 	alone     bool
 }
 
-func newBench(ctx context.Context, t *testing.T, bind *ledger.Machine, job *ledger.Job) *bench {
-	cfg := &config.Config{Ops: config.DefaultOps()}
-	cfg.Params.Workers = config.Workers{ReportS: 3, LeaseS: 34, CancelS: 64}
-	cfg.Params.State = config.State{ValueKB: 8, TxnOps: 8, RPS: 150, WriteRPS: 50}
+func newBench(ctx context.Context, t *testing.T, bind *statecache.Machine, job *statecache.Job) *bench {
+	cfg := &config.Config{Operator: config.DefaultOperatorSettings()}
+	cfg.Params.Workers = config.WorkerTimings{HeartbeatInterval: 3, LeaseDuration: 34, CancellationDeadline: 64}
+	cfg.Params.Store = config.StoreLimits{MaxValueKB: 8, MaxTxnOps: 8, RequestRate: 150, WriteRate: 50}
 	conn := &fakes.Conn{State: fakes.NewState(), Net: fakes.NewNet(1, time.Millisecond), Node: "n0", Timeout: time.Second}
-	chunk := ledger.ChunkTasks(8)
-	l := ledger.Start(ctx, conn, ledger.Options{ChunkTasks: chunk, Hold: time.Second, MaxAge: time.Second, Backoff: 100 * time.Millisecond})
+	chunk := statecache.ChunkTasks(8)
+	l := statecache.Start(ctx, conn, statecache.Options{ChunkTasks: chunk, WatchHold: time.Second, MaxViewAge: time.Second, Backoff: 100 * time.Millisecond})
 	b := &bench{ledger: l}
-	placer := place.Start(ctx, cfg, 1, l, nil, func(*wire.Report) {})
+	placer := place.Start(ctx, cfg, 1, l, nil, func(*wire.Heartbeat) {})
 	b.reports = Start(ctx, cfg, 1, l, Links{
 		Elsewhere: func() string { return b.elsewhere }, Alone: func() bool { return b.alone },
 		Note: placer.Observe, Tell: func(string, place.Observation) bool { return false },
@@ -38,18 +38,18 @@
 	l.Run()
 	time.Sleep(time.Second)
 	bind.Name = "i-1"
-	ok := make(chan ledger.Outcome, 1)
-	l.Commit(ledger.Commit{Puts: []ledger.Put{
-		{Key: ledger.Key(ledger.KindBind, "g"), Rec: &ledger.Group{Type: "t", Zone: "z", Machines: []*ledger.Machine{bind}}}, {Key: ledger.Key(ledger.KindJob, "req-000001"), Rec: job},
-	}}, func(out ledger.Outcome) { ok <- out })
-	if out := <-ok; out != ledger.Committed {
+	ok := make(chan statecache.Outcome, 1)
+	l.Commit(statecache.Commit{Puts: []statecache.Put{
+		{Key: statecache.Key(statecache.KindMachineGroup, "g"), Record: &statecache.MachineGroup{MachineType: "t", Zone: "z", Machines: []*statecache.Machine{bind}}}, {Key: statecache.Key(statecache.KindJob, "req-000001"), Record: job},
+	}}, func(out statecache.Outcome) { ok <- out })
+	if out := <-ok; out != statecache.Committed {
 		t.Fatal(out)
 	}
 	return b
 }
 
-func (b *bench) report(rep wire.Report) Reply {
-	rep.Machine, rep.Addr, rep.Type, rep.Zone = "i-1", "i-1:1", "t", "z"
+func (b *bench) report(rep wire.Heartbeat) Reply {
+	rep.Machine, rep.Address, rep.MachineType, rep.Zone = "i-1", "i-1:1", "t", "z"
 	ch := make(chan Reply, 1)
 	b.reports.Send(func() { b.reports.Report(&rep, func(r Reply) { ch <- r }) })
 	r := <-ch
@@ -65,14 +65,14 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		b := newBench(ctx, t,
-			&ledger.Machine{Session: 1, Token: 9, Tasks: []ledger.BoundTask{{Job: "req-000001", Attempt: 1}}},
-			&ledger.Job{State: wire.JobCancelled, Tasks: 1, EndAt: time.Now().Add(-40 * time.Second).UnixMilli()})
-		running := []wire.TaskReport{{Task: "req-000001/0", Attempt: 1, State: wire.TaskRunning}}
-		if r := b.report(wire.Report{Session: 1, Seq: 1, Tasks: running}); r.Accept {
+			&statecache.Machine{Incarnation: 1, FencingToken: 9, Bindings: []statecache.TaskBinding{{Job: "req-000001", Attempt: 1}}},
+			&statecache.Job{State: wire.JobCancelled, TaskCount: 1, FinishedAt: time.Now().Add(-40 * time.Second).UnixMilli()})
+		running := []wire.TaskStatus{{Task: "req-000001/0", Attempt: 1, State: wire.TaskRunning}}
+		if r := b.report(wire.Heartbeat{Incarnation: 1, Sequence: 1, Tasks: running}); r.Accept {
 			t.Error("lease renewed for work cancelled long ago")
 		}
-		b.report(wire.Report{Session: 2, Seq: 2})
-		if r := b.report(wire.Report{Session: 2, Seq: 3}); !r.Accept {
+		b.report(wire.Heartbeat{Incarnation: 2, Sequence: 2})
+		if r := b.report(wire.Heartbeat{Incarnation: 2, Sequence: 3}); !r.Accept {
 			t.Error("refused though the cancelled work is gone")
 		}
 	})
@@ -86,16 +86,16 @@
 }
 
 // ask reports once and waits only for the answer.
-func (b *bench) ask(rep wire.Report) Reply {
-	rep.Machine, rep.Addr, rep.Type, rep.Zone = "i-1", "i-1:1", "t", "z"
+func (b *bench) ask(rep wire.Heartbeat) Reply {
+	rep.Machine, rep.Address, rep.MachineType, rep.Zone = "i-1", "i-1:1", "t", "z"
 	ch := make(chan Reply, 1)
 	b.reports.Send(func() { b.reports.Report(&rep, func(r Reply) { ch <- r }) })
 	return <-ch
 }
 
 // row is the machine's row as the reports actor knows it.
-func (b *bench) row() ledger.Machine {
-	ch := make(chan ledger.Machine)
+func (b *bench) row() statecache.Machine {
+	ch := make(chan statecache.Machine)
 	b.reports.Send(func() { ch <- *b.reports.view.Machines["i-1"] })
 	return <-ch
 }
@@ -114,21 +114,21 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		b := newBench(ctx, t, &ledger.Machine{Session: 1, Token: 9, Tasks: []ledger.BoundTask{{Job: "req-000001", Attempt: 1}}}, &ledger.Job{Tasks: 9})
-		b.ledger.Commit(ledger.Commit{Puts: []ledger.Put{
-			{Key: ledger.Key(ledger.KindAssignment, "red"), Rec: ledger.Assignment{Member: "n1", Boot: 4}},
-			{Key: ledger.Key(ledger.KindMember, "n1"), Rec: ledger.Member{Boot: 4}},
-		}}, func(ledger.Outcome) {})
+		b := newBench(ctx, t, &statecache.Machine{Incarnation: 1, FencingToken: 9, Bindings: []statecache.TaskBinding{{Job: "req-000001", Attempt: 1}}}, &statecache.Job{TaskCount: 9})
+		b.ledger.Commit(statecache.Commit{Puts: []statecache.Put{
+			{Key: statecache.Key(statecache.KindAssignment, "red"), Record: statecache.Assignment{Member: "n1", Incarnation: 4}},
+			{Key: statecache.Key(statecache.KindMember, "n1"), Record: statecache.Member{Incarnation: 4}},
+		}}, func(statecache.Outcome) {})
 		time.Sleep(time.Second)
-		ended := []wire.TaskReport{{Task: "req-000001/0", Attempt: 1, State: wire.TaskExited, Why: wire.WhyDone}}
-		if r := b.ask(wire.Report{Session: 1, Seq: 1, Token: 9, Tasks: ended}); r.Accept || r.ReportTo != "n1" {
+		ended := []wire.TaskStatus{{Task: "req-000001/0", Attempt: 1, State: wire.TaskExited, ExitReason: wire.ReasonCompleted}}
+		if r := b.ask(wire.Heartbeat{Incarnation: 1, Sequence: 1, FencingToken: 9, Tasks: ended}); r.Accept || r.ReportTo != "n1" {
 			t.Errorf("not sent to the controller that writes: %+v", r)
 		}
-		if r := b.ask(wire.Report{Session: 1, Seq: 2, Token: 9, Tasks: ended}); !r.Accept {
+		if r := b.ask(wire.Heartbeat{Incarnation: 1, Sequence: 2, FencingToken: 9, Tasks: ended}); !r.Accept {
 			t.Error("sent away again at once")
 		}
 		time.Sleep(10 * time.Second)
-		if n := len(b.row().Tasks); n > 0 {
+		if n := len(b.row().Bindings); n > 0 {
 			t.Error("nobody has written it")
 		}
 	})
@@ -142,23 +142,23 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		b := newBench(ctx, t, &ledger.Machine{Session: 1, Token: 9}, &ledger.Job{Tasks: 1})
+		b := newBench(ctx, t, &statecache.Machine{Incarnation: 1, FencingToken: 9}, &statecache.Job{TaskCount: 1})
 		half := b.reports.renewalWindow() * 3 / 4
 		b.stale(half)
-		if r := b.ask(wire.Report{Session: 1, Seq: 1}); !r.Accept {
+		if r := b.ask(wire.Heartbeat{Incarnation: 1, Sequence: 1}); !r.Accept {
 			t.Error("refused in an outage that all see")
 		}
 		b.alone = true
 		b.stale(half)
-		if r := b.ask(wire.Report{Session: 1, Seq: 2}); r.Accept {
+		if r := b.ask(wire.Heartbeat{Incarnation: 1, Sequence: 2}); r.Accept {
 			t.Error("held by a node that hears no other")
 		}
-		if r := b.ask(wire.Report{Session: 1, Seq: 3}); !r.Accept {
+		if r := b.ask(wire.Heartbeat{Incarnation: 1, Sequence: 3}); !r.Accept {
 			t.Error("refused though it found no better node")
 		}
 		b.alone, b.elsewhere = false, "n1"
 		b.stale(half)
-		if r := b.ask(wire.Report{Session: 1, Seq: 4}); r.Accept || r.ReportTo != "n1" {
+		if r := b.ask(wire.Heartbeat{Incarnation: 1, Sequence: 4}); r.Accept || r.ReportTo != "n1" {
 			t.Errorf("not sent to the node that has state: %+v", r)
 		}
 	})
@@ -171,26 +171,26 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		b := newBench(ctx, t, &ledger.Machine{Session: 2, Token: 9, Suspected: true, Drain: "faulty"}, &ledger.Job{Tasks: 1})
+		b := newBench(ctx, t, &statecache.Machine{Incarnation: 2, FencingToken: 9, Suspected: true, DrainReason: "faulty"}, &statecache.Job{TaskCount: 1})
 		before := b.row()
-		b.report(wire.Report{Session: 2, Seq: 7, Token: 8}) // from before the mark
-		b.report(wire.Report{Session: 1, Seq: 3, Token: 8}) // from an earlier session
+		b.report(wire.Heartbeat{Incarnation: 2, Sequence: 7, FencingToken: 8}) // from before the mark
+		b.report(wire.Heartbeat{Incarnation: 1, Sequence: 3, FencingToken: 8}) // from an earlier session
 		if now := b.row(); !reflect.DeepEqual(now, before) {
 			t.Errorf("late copies made %+v of %+v", now, before)
 		}
-		b.report(wire.Report{Session: 2, Seq: 8, Token: 9}) // it has seen the mark
-		if now := b.row(); now.Suspected || now.Drain != "faulty" {
+		b.report(wire.Heartbeat{Incarnation: 2, Sequence: 8, FencingToken: 9}) // it has seen the mark
+		if now := b.row(); now.Suspected || now.DrainReason != "faulty" {
 			t.Errorf("heard again, but %+v", now)
 		}
 		time.Sleep(5 * time.Second) // beats pass
-		b.ask(wire.Report{Session: 2, Seq: 8, Token: 9})
-		b.ask(wire.Report{Session: 1, Seq: 3, Token: 8})
+		b.ask(wire.Heartbeat{Incarnation: 2, Sequence: 8, FencingToken: 9})
+		b.ask(wire.Heartbeat{Incarnation: 1, Sequence: 3, FencingToken: 8})
 		if b.heard() {
 			t.Error("a copy counts as hearing the machine")
 		}
-		b.ledger.Commit(ledger.Commit{Delete: []string{ledger.Key(ledger.KindBind, "g")}}, func(ledger.Outcome) {})
+		b.ledger.Commit(statecache.Commit{Deletes: []string{statecache.Key(statecache.KindMachineGroup, "g")}}, func(statecache.Outcome) {})
 		time.Sleep(time.Second)
-		if r := b.report(wire.Report{Session: 2, Seq: 9, Token: 9}); r.Accept {
+		if r := b.report(wire.Heartbeat{Incarnation: 2, Sequence: 9, FencingToken: 9}); r.Accept {
 			t.Error("lease renewed without a record")
 		}
 		ch := make(chan int)
@@ -208,16 +208,16 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		b := newBench(ctx, t, &ledger.Machine{Session: 1, Token: 9}, &ledger.Job{Tasks: 1})
+		b := newBench(ctx, t, &statecache.Machine{Incarnation: 1, FencingToken: 9}, &statecache.Job{TaskCount: 1})
 		for seq := range uint64(6) {
-			b.ask(wire.Report{Session: 1, Seq: seq + 1, Token: 5})
+			b.ask(wire.Heartbeat{Incarnation: 1, Sequence: seq + 1, FencingToken: 5})
 			time.Sleep(3 * time.Second)
 		}
-		b.ask(wire.Report{Session: 1, Seq: 7, Token: 5})
+		b.ask(wire.Heartbeat{Incarnation: 1, Sequence: 7, FencingToken: 5})
 		if b.heard() {
 			t.Error("a machine that hears nothing counts as heard")
 		}
-		b.ask(wire.Report{Session: 1, Seq: 8, Token: 9})
+		b.ask(wire.Heartbeat{Incarnation: 1, Sequence: 8, FencingToken: 9})
 		if !b.heard() {
 			t.Error("not heard though it acknowledged")
 		}
@@ -229,12 +229,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		b := newBench(ctx, t, &ledger.Machine{Session: 1, Token: 9}, &ledger.Job{Tasks: 1})
-		if r := b.report(wire.Report{Session: 1, Seq: 1}); !r.Accept {
+		b := newBench(ctx, t, &statecache.Machine{Incarnation: 1, FencingToken: 9}, &statecache.Job{TaskCount: 1})
+		if r := b.report(wire.Heartbeat{Incarnation: 1, Sequence: 1}); !r.Accept {
 			t.Fatal("refused with a fresh view")
 		}
 		b.stale(b.reports.renewalWindow() + time.Second)
-		if r := b.ask(wire.Report{Session: 1, Seq: 2}); r.Accept {
+		if r := b.ask(wire.Heartbeat{Incarnation: 1, Sequence: 2}); r.Accept {
 			t.Error("lease renewed by a stale node")
 		}
 	})
@@ -247,23 +247,23 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		b := newBench(ctx, t, &ledger.Machine{Session: 1, Token: 9, Tasks: []ledger.BoundTask{{Job: "req-000001", Attempt: 8}}}, &ledger.Job{Tasks: 1})
-		left := []wire.TaskReport{{Task: "req-000002/0", Attempt: 1, State: wire.TaskExited, Why: wire.WhyDone}}
+		b := newBench(ctx, t, &statecache.Machine{Incarnation: 1, FencingToken: 9, Bindings: []statecache.TaskBinding{{Job: "req-000001", Attempt: 8}}}, &statecache.Job{TaskCount: 1})
+		left := []wire.TaskStatus{{Task: "req-000002/0", Attempt: 1, State: wire.TaskExited, ExitReason: wire.ReasonCompleted}}
 		verbs := func(seq uint64) (out []string) {
-			r := b.ask(wire.Report{Session: 1, Seq: seq, Tasks: left})
+			r := b.ask(wire.Heartbeat{Incarnation: 1, Sequence: seq, Tasks: left})
 			if !r.Accept {
 				t.Error("refused")
 			}
-			for _, o := range r.Body.Orders {
+			for _, o := range r.Body.Commands {
 				out = append(out, o.Op)
 			}
 			return out
 		}
-		if got := verbs(1); !reflect.DeepEqual(got, []string{wire.OpForget, wire.OpStart}) {
+		if got := verbs(1); !reflect.DeepEqual(got, []string{wire.OpAcknowledge, wire.OpLaunch}) {
 			t.Errorf("on a fresh view: %v", got)
 		}
 		b.stale(2900 * time.Millisecond)
-		if got := verbs(2); !reflect.DeepEqual(got, []string{wire.OpForget}) {
+		if got := verbs(2); !reflect.DeepEqual(got, []string{wire.OpAcknowledge}) {
 			t.Errorf("on a view almost a report old: %v", got)
 		}
 	})
@@ -275,12 +275,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		b := newBench(ctx, t, &ledger.Machine{Session: 1, Token: 9}, &ledger.Job{Tasks: 1})
-		b.reports.Handle(&wire.Report{Machine: "i-1", Addr: "i-1:1", Type: "t", Zone: "z", Session: 1, Seq: 5, Token: 9})
+		b := newBench(ctx, t, &statecache.Machine{Incarnation: 1, FencingToken: 9}, &statecache.Job{TaskCount: 1})
+		b.reports.Handle(&wire.Heartbeat{Machine: "i-1", Address: "i-1:1", MachineType: "t", Zone: "z", Incarnation: 1, Sequence: 5, FencingToken: 9})
 		if b.heard() {
 			t.Error("an answer to a command passes for a report")
 		}
-		b.ask(wire.Report{Session: 1, Seq: 6, Token: 9})
+		b.ask(wire.Heartbeat{Incarnation: 1, Sequence: 6, FencingToken: 9})
 		if !b.heard() {
 			t.Error("a report is not heard")
 		}
@@ -293,10 +293,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		b := newBench(ctx, t, &ledger.Machine{Session: 1, Token: 9}, &ledger.Job{Tasks: 1})
+		b := newBench(ctx, t, &statecache.Machine{Incarnation: 1, FencingToken: 9}, &statecache.Job{TaskCount: 1})
 		time.Sleep(100 * time.Millisecond) // the watch repeats what was just committed
 		b.stale(40 * time.Second)
-		if r := b.ask(wire.Report{Session: 1, Seq: 1, Token: 9}); r.Accept || !b.heard() {
+		if r := b.ask(wire.Heartbeat{Incarnation: 1, Sequence: 1, FencingToken: 9}); r.Accept || !b.heard() {
 			t.Errorf("accepted %v, heard %v", r.Accept, b.heard())
 		}
 	})
--- a/internal/standby/standby.go
+++ b/internal/standby/standby.go
@@ -14,13 +14,13 @@
 	"lynxledge/internal/actor"
 	"lynxledge/internal/config"
 	"lynxledge/internal/detector"
-	"lynxledge/internal/ledger"
+	"lynxledge/internal/statecache"
 )
 
 // Roles is what a standby may do; package election does it.
 type Roles interface {
-	Claim(version uint64)
-	Evict(member string, boot uint64)
+	ClaimLeadership(version uint64)
+	EvictMember(member string, boot uint64)
 }
 
 // Standby is the actor.
@@ -32,7 +32,7 @@
 	beat  time.Duration
 
 	detector *detector.Detector
-	view     *ledger.View // of members, the leader and assignments
+	view     *statecache.View // of members, the leader and assignments
 	fresh    time.Time
 
 	verdicts map[process]*verdict
@@ -74,8 +74,8 @@
 const looksPerBeat = 4
 
 // Start runs the actor; the settings' Standby section is set.
-func Start(ctx context.Context, cfg *config.Config, boot uint64, l *ledger.Ledger, roles Roles) *Standby {
-	section := cfg.Ops.Standby
+func Start(ctx context.Context, cfg *config.Config, boot uint64, l *statecache.Cache, roles Roles) *Standby {
+	section := cfg.Operator.Standby
 	beat := Heartbeat(cfg)
 	beats := func(n float64) time.Duration { return time.Duration(n * float64(beat)) }
 	var members []string
@@ -85,20 +85,20 @@
 	now := time.Now()
 	s := &Standby{
 		Actor: actor.Start(ctx, "standby", 512), cfg: cfg, boot: boot, roles: roles, beat: beat,
-		detector: detector.New(now, detector.Policy{Heartbeat: beat, SuspectAfter: beats(section.SuspectBeats), FailedAfter: beats(section.FailedBeats)}, members),
-		view:     ledger.NewRunningView(ledger.ChunkTasks(cfg.Params.State.ValueKB)),
+		detector: detector.New(now, detector.Policy{Heartbeat: beat, SuspectAfter: beats(section.SuspectAfterHeartbeats), FailedAfter: beats(section.FailedAfterHeartbeats)}, members),
+		view:     statecache.NewUnfinishedView(statecache.ChunkTasks(cfg.Params.Store.MaxValueKB)),
 		verdicts: map[process]*verdict{},
 		holds:    map[string]*hold{},
 		deposed:  map[process]bool{},
 	}
-	l.Subscribe(func(d ledger.Delta) { s.Send(func() { s.apply(d) }) })
+	l.Subscribe(func(d statecache.Update) { s.Send(func() { s.apply(d) }) })
 	s.Every(beat/looksPerBeat, s.look)
 	return s
 }
 
 // Heartbeat is the time between two heartbeats.
 func Heartbeat(cfg *config.Config) time.Duration {
-	return config.Secs(cfg.Ops.Standby.HeartbeatReports * cfg.Params.Workers.ReportS)
+	return config.Seconds(cfg.Operator.Standby.HeartbeatIntervalReports * cfg.Params.Workers.HeartbeatInterval)
 }
 
 // Opened notes a connection from a controller or to it.
@@ -133,23 +133,23 @@
 		h = &hold{}
 		s.holds[member] = h
 	}
-	section, report := s.cfg.Ops.Standby, s.cfg.Params.Workers.ReportS
+	section, report := s.cfg.Operator.Standby, s.cfg.Params.Workers.HeartbeatInterval
 	reports := min(section.HoldDownReports*float64(uint64(1)<<min(h.refuted, maxDoublings)), section.HoldDownMaxReports)
 	h.refuted++
-	h.until = now.Add(config.Secs(reports * report))
+	h.until = now.Add(config.Seconds(reports * report))
 	slog.Warn("a controller taken for failed is alive", "member", member, "times", h.refuted, "hold_s", int(reports*report))
 }
 
 // maxDoublings keeps the doubling of a hold-down from overflowing.
 const maxDoublings = 30
 
-func (s *Standby) apply(d ledger.Delta) {
-	s.fresh = d.Fresh
+func (s *Standby) apply(d statecache.Update) {
+	s.fresh = d.FreshAsOf
 	for _, c := range d.Changes {
 		switch c.Kind {
-		case ledger.KindMember, ledger.KindAssignment:
+		case statecache.KindMember, statecache.KindAssignment:
 			s.view.Apply(c)
-		case ledger.KindLeader:
+		case statecache.KindLeader:
 			s.leaderChanged(c)
 		}
 	}
@@ -157,12 +157,12 @@
 
 // leaderChanged notes a leader whose lead another has taken. One that resigned, or whose
 // lease ended first, has lost its record before.
-func (s *Standby) leaderChanged(c ledger.Change) {
+func (s *Standby) leaderChanged(c statecache.Change) {
 	before := s.view.Leader
 	s.view.Apply(c)
 	if after := s.view.Leader; before != nil && after != nil && before.Member != after.Member {
 		clear(s.deposed) // of those before, nothing was heard all the time
-		s.deposed[process{before.Member, before.Boot}] = true
+		s.deposed[process{before.Member, before.Incarnation}] = true
 	}
 }
 
@@ -170,7 +170,7 @@
 func (s *Standby) look() {
 	now := time.Now()
 	verdicts := s.detector.Look(now)
-	if now.Sub(s.fresh) > config.Secs(s.cfg.Params.Workers.ReportS) {
+	if now.Sub(s.fresh) > config.Seconds(s.cfg.Params.Workers.HeartbeatInterval) {
 		return // without the state service nothing could be written
 	}
 	standing := map[process]bool{}
@@ -195,7 +195,7 @@
 
 // longestHold is the longest time for which verdicts on a member are held down.
 func (s *Standby) longestHold() time.Duration {
-	return config.Secs(s.cfg.Ops.Standby.HoldDownMaxReports * s.cfg.Params.Workers.ReportS)
+	return config.Seconds(s.cfg.Operator.Standby.HoldDownMaxReports * s.cfg.Params.Workers.HeartbeatInterval)
 }
 
 // act claims the lead of a leader that has failed, when it is this controller's turn, or
@@ -204,19 +204,19 @@
 func (s *Standby) act(now time.Time, v detector.Verdict, standing *verdict) {
 	leader, member := s.view.Leader, s.view.Members[v.Member]
 	switch {
-	case leader != nil && leader.Member == v.Member && leader.Boot == v.Boot:
+	case leader != nil && leader.Member == v.Member && leader.Incarnation == v.Boot:
 		turn := s.turn(now, v.Member)
-		if turn < 0 || now.Sub(standing.since) < time.Duration(turn)*s.beat || !s.mayActOn(now, v, &standing.claimed, leader.Stamp) {
+		if turn < 0 || now.Sub(standing.since) < time.Duration(turn)*s.beat || !s.mayActOn(now, v, &standing.claimed, leader.ModRevision) {
 			return
 		}
 		s.note(now, standing, "claim", v)
-		s.roles.Claim(leader.Stamp)
-	case leader != nil && leader.Boot == s.boot && member != nil && member.Boot == v.Boot:
-		if !s.mayActOn(now, v, &standing.evicted, member.Stamp) {
+		s.roles.ClaimLeadership(leader.ModRevision)
+	case leader != nil && leader.Incarnation == s.boot && member != nil && member.Incarnation == v.Boot:
+		if !s.mayActOn(now, v, &standing.evicted, member.ModRevision) {
 			return
 		}
 		s.note(now, standing, "evict", v)
-		s.roles.Evict(v.Member, v.Boot)
+		s.roles.EvictMember(v.Member, v.Boot)
 	}
 }
 
@@ -243,14 +243,14 @@
 // turn is this controller's place among those that may claim the lead; below 0: it is not
 // a member.
 func (s *Standby) turn(now time.Time, dead string) int {
-	return slices.Index(s.order(now, dead), s.cfg.Name)
+	return slices.Index(s.order(now, dead), s.cfg.MemberName)
 }
 
 // order is who may claim a dead leader's lead, the first first.
 func (s *Standby) order(now time.Time, dead string) []string {
 	var candidates []string
 	for _, m := range slices.Sorted(maps.Keys(s.view.Members)) {
-		if m == s.cfg.Name || m != dead && s.detector.Level(now, m) != detector.Failed {
+		if m == s.cfg.MemberName || m != dead && s.detector.Level(now, m) != detector.Failed {
 			candidates = append(candidates, m)
 		}
 	}
@@ -258,7 +258,7 @@
 }
 
 func (s *Standby) zoneOf(member string) string {
-	if member == s.cfg.Name {
+	if member == s.cfg.MemberName {
 		return s.cfg.Zone
 	}
 	for _, p := range s.cfg.Peers {
--- a/internal/standby/status.go
+++ b/internal/standby/status.go
@@ -46,7 +46,7 @@
 }
 
 func (s *Standby) status(now time.Time) Status {
-	status := Status{Member: s.cfg.Name, Placer: s.placer(), Last: s.last}
+	status := Status{Member: s.cfg.MemberName, Placer: s.placer(), Last: s.last}
 	if s.view.Leader != nil {
 		status.Leader = s.view.Leader.Member
 		status.StandsBy = s.order(now, status.Leader)
--- a/internal/ledger/bench_test.go
+++ b/internal/statecache/bench_test.go
@@ -1,4 +1,4 @@
-package ledger
+package statecache
 
 import (
 	"context"
@@ -22,16 +22,16 @@
 )
 
 // benchGroup is a group whose machines are in use.
-func benchGroup(name string, first int) *Group {
-	g := &Group{Name: name, Type: "entoto-small", Zone: "bole", Spot: true, At: 1790000010788}
+func benchGroup(name string, first int) *MachineGroup {
+	g := &MachineGroup{Name: name, MachineType: "entoto-small", Zone: "bole", Spot: true, ProvisionedAt: 1790000010788}
 	for i := range benchMachines {
-		b := &Machine{Name: fmt.Sprintf("i-%06d", first+i), Addr: fmt.Sprintf("10.100.1.%d:9000", i), Session: 1, Token: Token(2) + 11}
+		b := &Machine{Name: fmt.Sprintf("i-%06d", first+i), Address: fmt.Sprintf("10.100.1.%d:9000", i), Incarnation: 1, FencingToken: FirstToken(2) + 11}
 		for n := range benchTasks {
-			b.Tasks = append(b.Tasks, BoundTask{Job: fmt.Sprintf("req-%06d", (first+i)%40), N: n, Attempt: Token(2) + 10})
+			b.Bindings = append(b.Bindings, TaskBinding{Job: fmt.Sprintf("req-%06d", (first+i)%40), TaskIndex: n, Attempt: FirstToken(2) + 10})
 		}
 		g.Machines = append(g.Machines, b)
 	}
-	g.Marks = map[string][]int{"req-000001": {3, 4, 5, 9}, "req-000002": {70, 71, 90}}
+	g.Completions = map[string][]int{"req-000001": {3, 4, 5, 9}, "req-000002": {70, 71, 90}}
 	return g
 }
 
@@ -45,20 +45,20 @@
 
 // benchLedger is a ledger that holds all groups, and one group's record before and
 // after a task of one machine was replaced.
-func benchLedger(ctx context.Context) (l *Ledger, records [2]json.RawMessage) {
+func benchLedger(ctx context.Context) (l *Cache, records [2]json.RawMessage) {
 	l = Start(ctx, nil, Options{ChunkTasks: ChunkTasks(4)})
-	l.Subscribe(func(Delta) {})
-	events := &wire.Events{Revision: 1}
+	l.Subscribe(func(Update) {})
+	events := &wire.WatchResponse{Revision: 1}
 	for i := range benchGroups {
 		name := fmt.Sprintf("g%03d", i)
-		events.Events = append(events.Events, wire.Event{Put: Key(KindBind, name), Value: mustMarshal(benchGroup(name, i*benchMachines)), Version: 1})
+		events.Events = append(events.Events, wire.Event{PutKey: Key(KindMachineGroup, name), Value: mustMarshal(benchGroup(name, i*benchMachines)), ModRevision: 1})
 	}
-	l.events(events, time.Now())
+	l.applyWatchResponse(events, time.Now())
 	g := benchGroup("g007", 7*benchMachines)
 	records[0] = mustMarshal(g)
 	row := g.Machines[5]
-	row.Token++
-	row.Tasks[0] = BoundTask{Job: "req-000039", N: 77, Attempt: row.Token}
+	row.FencingToken++
+	row.Bindings[0] = TaskBinding{Job: "req-000039", TaskIndex: 77, Attempt: row.FencingToken}
 	records[1] = mustMarshal(g)
 	return l, records
 }
@@ -70,8 +70,8 @@
 	revision := uint64(1)
 	for b.Loop() {
 		revision++
-		event := wire.Event{Put: Key(KindBind, "g007"), Value: records[revision%2], Version: revision}
-		l.events(&wire.Events{Revision: revision, Events: []wire.Event{event}}, time.Now())
+		event := wire.Event{PutKey: Key(KindMachineGroup, "g007"), Value: records[revision%2], ModRevision: revision}
+		l.applyWatchResponse(&wire.WatchResponse{Revision: revision, Events: []wire.Event{event}}, time.Now())
 	}
 }
 
@@ -80,17 +80,17 @@
 	items := map[string]json.RawMessage{}
 	for i := range benchGroups {
 		name := fmt.Sprintf("g%03d", i)
-		items[Key(KindBind, name)] = mustMarshal(benchGroup(name, i*benchMachines))
+		items[Key(KindMachineGroup, name)] = mustMarshal(benchGroup(name, i*benchMachines))
 	}
 	for i := range benchJobs {
-		items[Key(KindJob, fmt.Sprintf("req-%06d", i))] = mustMarshal(&Job{State: wire.JobDone, Tasks: 40, At: 1790000010788, EndAt: 1790000020788})
+		items[Key(KindJob, fmt.Sprintf("req-%06d", i))] = mustMarshal(&Job{State: wire.JobDone, TaskCount: 40, SubmittedAt: 1790000010788, FinishedAt: 1790000020788})
 	}
 	b.ReportAllocs()
 	for b.Loop() {
 		l := Start(b.Context(), nil, Options{ChunkTasks: ChunkTasks(4)})
 		var changes []Change
 		for key, raw := range items {
-			if c, ok := l.change(key, raw, 7); ok {
+			if c, ok := l.decodeChange(key, raw, 7); ok {
 				changes = append(changes, c)
 			}
 		}
@@ -103,10 +103,10 @@
 	l, _ := benchLedger(b.Context())
 	b.ReportAllocs()
 	for b.Loop() {
-		d := l.view.Draft("g007")
-		row := d.Edit(d.Machines[5].Name)
-		row.Tasks[0].Attempt = row.Token
-		mustMarshal(&d.Group)
+		d := l.view.UpdateGroup("g007")
+		row := d.UpdateMachine(d.Machines[5].Name)
+		row.Bindings[0].Attempt = row.FencingToken
+		mustMarshal(&d.MachineGroup)
 	}
 }
 
@@ -117,8 +117,8 @@
 	revision := uint64(1)
 	allocations := testing.AllocsPerRun(100, func() {
 		revision++
-		event := wire.Event{Put: Key(KindBind, "g007"), Value: records[revision%2], Version: revision}
-		l.events(&wire.Events{Revision: revision, Events: []wire.Event{event}}, time.Now())
+		event := wire.Event{PutKey: Key(KindMachineGroup, "g007"), Value: records[revision%2], ModRevision: revision}
+		l.applyWatchResponse(&wire.WatchResponse{Revision: revision, Events: []wire.Event{event}}, time.Now())
 	})
 	if allocations > maxWatchAllocations {
 		t.Errorf("%v allocations for one changed row", allocations)
@@ -126,7 +126,7 @@
 }
 
 // maxEndedJobBytes is a fifth above what operators are told.
-const maxEndedJobBytes = EndedJobBytes * 6 / 5
+const maxEndedJobBytes = FinishedJobBytes * 6 / 5
 
 // Ended jobs are kept for ever: what the ledger and the API server hold for each is small,
 // and an actor that has no use for them holds nothing.
@@ -139,8 +139,8 @@
 		return stats.HeapAlloc
 	}
 	l := Start(t.Context(), nil, Options{ChunkTasks: ChunkTasks(4)})
-	server, placer := NewView(ChunkTasks(4)), NewRunningView(ChunkTasks(4))
-	l.Subscribe(func(d Delta) {
+	server, placer := NewView(ChunkTasks(4)), NewUnfinishedView(ChunkTasks(4))
+	l.Subscribe(func(d Update) {
 		for _, c := range d.Changes {
 			server.Apply(c)
 			placer.Apply(c)
@@ -148,9 +148,9 @@
 	})
 	before := heap()
 	for i := range jobs {
-		raw := mustMarshal(&Job{State: wire.JobDone, Tasks: 40, At: 1790000010788, EndAt: 1790000020788})
-		event := wire.Event{Put: Key(KindJob, fmt.Sprintf("req-%06d", i)), Value: raw, Version: uint64(i + 1)}
-		l.events(&wire.Events{Revision: uint64(i + 1), Events: []wire.Event{event}}, time.Now())
+		raw := mustMarshal(&Job{State: wire.JobDone, TaskCount: 40, SubmittedAt: 1790000010788, FinishedAt: 1790000020788})
+		event := wire.Event{PutKey: Key(KindJob, fmt.Sprintf("req-%06d", i)), Value: raw, ModRevision: uint64(i + 1)}
+		l.applyWatchResponse(&wire.WatchResponse{Revision: uint64(i + 1), Events: []wire.Event{event}}, time.Now())
 	}
 	each := (heap() - before) / jobs
 	t.Logf("%d bytes for each ended job", each)
