--- a/internal/ledger/commit_test.go
+++ b/internal/statecache/commit_test.go
@@ -1,4 +1,4 @@
-package ledger
+package statecache
 
 import (
 	"context"
@@ -7,7 +7,7 @@
 	"testing/synctest"
 	"time"
 
-	"lynxledge/internal/state"
+	"lynxledge/internal/kvstore"
 	"lynxledge/wire"
 )
 
@@ -30,7 +30,7 @@
 // The ledger passes on what refusals say of the limits in force: a size says that the
 // limits to come are there, a rate may say so. Others say nothing.
 func TestRefusalsTellOfLimits(t *testing.T) {
-	tooLarge := fmt.Errorf("%w: value too large", state.ErrInvalid)
+	tooLarge := fmt.Errorf("%w: value too large", kvstore.ErrInvalidRequest)
 	for _, test := range []struct {
 		name             string
 		refusals         []error
@@ -41,27 +41,27 @@
 		pauseForOneWrite time.Duration
 	}{
 		{name: "none", want: Committed},
-		{name: "size", refusals: []error{tooLarge}, tooLarge: 1, want: Refused},
-		{name: "rate, then carried out", refusals: []error{state.ErrBusy, state.ErrBusy}, busy: 2, want: Committed,
+		{name: "size", refusals: []error{tooLarge}, tooLarge: 1, want: Rejected},
+		{name: "rate, then carried out", refusals: []error{kvstore.ErrThrottled, kvstore.ErrThrottled}, busy: 2, want: Committed,
 			patience: time.Minute, pauseForOneWrite: time.Second, atLeast: 2 * time.Second, atMost: 4 * time.Second},
-		{name: "lease", refusals: []error{state.ErrNoLease}, want: Refused},
-		{name: "outage", refusals: []error{state.ErrRefused, state.ErrRefused}, want: Committed, patience: time.Minute, atMost: time.Minute},
+		{name: "lease", refusals: []error{kvstore.ErrLeaseNotFound}, want: Rejected},
+		{name: "outage", refusals: []error{kvstore.ErrRejected, kvstore.ErrRejected}, want: Committed, patience: time.Minute, atMost: time.Minute},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
 			large, busy := 0, 0
 			l := Start(ctx, &refusingStore{refusals: test.refusals}, Options{
-				ChunkTasks: ChunkTasks(4),
-				Backoff:    100 * time.Millisecond,
-				WritePause: test.pauseForOneWrite,
-				Busy:       func(time.Time) { busy++ },
-				TooLarge:   func() { large++ },
+				ChunkTasks:     ChunkTasks(4),
+				Backoff:        100 * time.Millisecond,
+				WriteInterval:  test.pauseForOneWrite,
+				OnThrottled:    func(time.Time) { busy++ },
+				OnSizeRejected: func() { large++ },
 			})
 			begun := time.Now()
 			replied := make(chan Outcome, 1)
 			l.Commit(Commit{
-				Puts:     []Put{{Key: Key(KindJob, "req-000001"), Rec: &Job{Tasks: 1}}},
-				Patience: test.patience,
+				Puts:     []Put{{Key: Key(KindJob, "req-000001"), Record: &Job{TaskCount: 1}}},
+				RetryFor: test.patience,
 			}, func(out Outcome) { replied <- out })
 			if out := <-replied; out != test.want {
 				t.Errorf("%s: outcome %v, want %v", test.name, out, test.want)
--- a/internal/ledger/ledger_test.go
+++ b/internal/statecache/ledger_test.go
@@ -1,4 +1,4 @@
-package ledger
+package statecache
 
 import (
 	"bytes"
@@ -22,37 +22,37 @@
 	"lynxledge/wire"
 )
 
-func genGroup(t *rapid.T) *Group {
-	g := NewGroup("g", "t", "z", rapid.Bool().Draw(t, "spot"), 5, nil, 0)
+func genGroup(t *rapid.T) *MachineGroup {
+	g := NewMachineGroup("g", "t", "z", rapid.Bool().Draw(t, "spot"), 5, nil, 0)
 	for i := range rapid.IntRange(0, 6).Draw(t, "machines") {
 		b := &Machine{
-			Name: fmt.Sprintf("i-%06d", i), Group: "g", Type: "t", Zone: "z", Spot: g.Spot, At: 5,
-			Session: uint64(rapid.IntRange(0, 3).Draw(t, "session")), Token: Token(uint64(rapid.IntRange(3, 4).Draw(t, "term"))) + uint64(rapid.IntRange(0, 99).Draw(t, "token")),
-			Suspected: rapid.Bool().Draw(t, "quiet"), Closed: rapid.Bool().Draw(t, "closed"),
-			Drain: rapid.SampledFrom([]string{"", "idle", "spot-notice"}).Draw(t, "drain"),
+			Name: fmt.Sprintf("i-%06d", i), Group: "g", MachineType: "t", Zone: "z", Spot: g.Spot, ProvisionedAt: 5,
+			Incarnation: uint64(rapid.IntRange(0, 3).Draw(t, "session")), FencingToken: FirstToken(uint64(rapid.IntRange(3, 4).Draw(t, "term"))) + uint64(rapid.IntRange(0, 99).Draw(t, "token")),
+			Suspected: rapid.Bool().Draw(t, "quiet"), Terminating: rapid.Bool().Draw(t, "closed"),
+			DrainReason: rapid.SampledFrom([]string{"", "idle", "spot-notice"}).Draw(t, "drain"),
 		}
-		if b.Session > 0 {
-			b.Addr = rapid.SampledFrom([]string{"10.0.0.1:9000", "10.0.0.14:9000", "10.0.3.1:90", "host"}).Draw(t, "addr")
+		if b.Incarnation > 0 {
+			b.Address = rapid.SampledFrom([]string{"10.0.0.1:9000", "10.0.0.14:9000", "10.0.3.1:90", "host"}).Draw(t, "addr")
 		}
 		for n := range rapid.IntRange(0, 5).Draw(t, "n") {
-			task := BoundTask{Job: rapid.StringMatching(`req-[0-9]{6,9}`).Draw(t, "job"), N: n, Attempt: rapid.Uint64().Draw(t, "attempt")}
+			task := TaskBinding{Job: rapid.StringMatching(`req-[0-9]{6,9}`).Draw(t, "job"), TaskIndex: n, Attempt: rapid.Uint64().Draw(t, "attempt")}
 			if rapid.Bool().Draw(t, "stopped") {
-				task.Stop, task.Grace = 1+rapid.Uint64Max(1<<60).Draw(t, "stop"), rapid.IntRange(0, 90).Draw(t, "grace")
+				task.StopToken, task.GraceSeconds = 1+rapid.Uint64Max(1<<60).Draw(t, "stop"), rapid.IntRange(0, 90).Draw(t, "grace")
 			}
-			b.Tasks = append(b.Tasks, task)
+			b.Bindings = append(b.Bindings, task)
 		}
 		g.Machines = append(g.Machines, b)
 	}
 	for range rapid.IntRange(0, 3).Draw(t, "jobs") {
-		ns := rapid.SliceOfNDistinct(rapid.IntRange(0, wire.MaxTasks-1), 1, 9, rapid.ID).Draw(t, "marks")
+		ns := rapid.SliceOfNDistinct(rapid.IntRange(0, wire.MaxTasksPerJob-1), 1, 9, rapid.ID).Draw(t, "marks")
 		slices.Sort(ns)
-		if g.Marks == nil {
-			g.Marks = map[string][]int{}
+		if g.Completions == nil {
+			g.Completions = map[string][]int{}
 		}
-		g.Marks[rapid.StringMatching(`req-[0-9]{6}`).Draw(t, "marked")] = ns
+		g.Completions[rapid.StringMatching(`req-[0-9]{6}`).Draw(t, "marked")] = ns
 	}
 	for i := range rapid.IntRange(0, 3).Draw(t, "gone") {
-		g.Departures = append(g.Departures, Departure{Machine: "i-000001", Job: "req-000001", N: i, Why: wire.WhyDone, RanS: float64(i) * 1.5})
+		g.Terminations = append(g.Terminations, Termination{Machine: "i-000001", Job: "req-000001", TaskIndex: i, Reason: wire.ReasonCompleted, Runtime: float64(i) * 1.5})
 	}
 	return g
 }
@@ -62,7 +62,7 @@
 func TestGroupSurvives(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := genGroup(t)
-		size := g.Size()
+		size := g.EncodedSize()
 		raw, err := json.Marshal(g)
 		if err != nil {
 			t.Fatal(err)
@@ -74,9 +74,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		g.Stamp, g.same = 9, got.same
+		g.ModRevision, g.affixes = 9, got.affixes
 		for i, b := range g.Machines {
-			b.row = got.Machines[i].row
+			b.encoded = got.Machines[i].encoded
 		}
 		if len(g.Machines) == 0 {
 			g.Machines, got.Machines = nil, nil
@@ -102,26 +102,26 @@
 	rapid.Check(t, func(t *rapid.T) {
 		v := NewView(8)
 		g := genGroup(t)
-		for job := range g.Marks {
+		for job := range g.Completions {
 			state := rapid.SampledFrom([]string{"", wire.JobCancelled}).Draw(t, "state")
-			v.Apply(Change{Kind: KindJob, Name: job, Rec: &Job{State: state, Tasks: wire.MaxTasks}})
+			v.Apply(Change{Kind: KindJob, Name: job, Record: &Job{State: state, TaskCount: wire.MaxTasksPerJob}})
 		}
-		v.Apply(Change{Kind: KindBind, Name: "g", Rec: g})
-		d := v.Draft("g")
+		v.Apply(Change{Kind: KindMachineGroup, Name: "g", Record: g})
+		d := v.UpdateGroup("g")
 		for _, b := range g.Machines {
 			if rapid.Bool().Draw(t, "edit") {
-				if n := d.Edit(b.Name); n.Token <= b.Token || len(n.Tasks) != len(b.Tasks) {
+				if n := d.UpdateMachine(b.Name); n.FencingToken <= b.FencingToken || len(n.Bindings) != len(b.Bindings) {
 					t.Fatalf("%+v after %+v", n, b)
 				}
 			} else if rapid.Bool().Draw(t, "drop") {
-				d.Drop(b.Name)
+				d.RemoveMachine(b.Name)
 			}
 		}
-		d.Mark("req-000777", 3)
-		d.Mark("req-000777", 3)
+		d.MarkCompleted("req-000777", 3)
+		d.MarkCompleted("req-000777", 3)
 		limit := rapid.IntRange(100, 3000).Draw(t, "limit")
-		fits := d.Fit(limit)
-		raw, _ := json.Marshal(&d.Group)
+		fits := d.TrimToFit(limit)
+		raw, _ := json.Marshal(&d.MachineGroup)
 		if fits && len(raw) > limit {
 			t.Fatalf("%d bytes pass for %d", len(raw), limit)
 		}
@@ -129,12 +129,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if len(next.Marks["req-000777"]) != 1 {
-			t.Fatalf("marks %v", next.Marks)
+		if len(next.Completions["req-000777"]) != 1 {
+			t.Fatalf("marks %v", next.Completions)
 		}
-		for job, ns := range g.Marks {
-			if want := v.Jobs[job].Active(); want != slices.Equal(next.Marks[job], ns) {
-				t.Fatalf("%s: %v of %v", job, next.Marks[job], ns)
+		for job, ns := range g.Completions {
+			if want := v.Jobs[job].Active(); want != slices.Equal(next.Completions[job], ns) {
+				t.Fatalf("%s: %v of %v", job, next.Completions[job], ns)
 			}
 		}
 	})
@@ -143,7 +143,7 @@
 // A record of another layout is refused, never misread.
 func TestOtherLayoutIsRefused(t *testing.T) {
 	old := `{"type":"s","zone":"a","addr":"10.0.0.1:9","session":1,"token":4294967297,"tasks":[["req-000001/0",4294967297]],"at":5}`
-	if _, err := decodeGroup("i-000001", json.RawMessage(old), 1, nil); !errors.Is(err, ErrLayout) {
+	if _, err := decodeGroup("i-000001", json.RawMessage(old), 1, nil); !errors.Is(err, ErrUnknownLayout) {
 		t.Errorf("read as this layout: %v", err)
 	}
 }
@@ -154,28 +154,28 @@
 		valueKB := rapid.Float64Range(0.1, 64).Draw(t, "kb")
 		per := ChunkTasks(valueKB)
 		v := NewView(per)
-		v.Apply(Change{Kind: KindJob, Name: "req-000001", Rec: &Job{Tasks: wire.MaxTasks}})
+		v.Apply(Change{Kind: KindJob, Name: "req-000001", Record: &Job{TaskCount: wire.MaxTasksPerJob}})
 		want := map[int]bool{}
 		for range 50 {
 			n := rapid.IntRange(0, 99_999).Draw(t, "task")
 			want[n] = true
-			c, bit := v.Chunk(n)
-			d := v.Chunks["req-000001"][ChunkID{c, Whole}].With(bit)
+			c, bit := v.CompletionChunkOf(n)
+			d := v.CompletionChunks["req-000001"][CompletionChunkID{c, WholeChunk}].With(bit)
 			raw, _ := json.Marshal(d)
 			if float64(len(raw)) > valueKB*1024 {
 				t.Fatalf("%d bytes for a limit of %v KiB", len(raw), valueKB)
 			}
-			got, err := decode(KindDone, raw, 1)
+			got, err := decodeKind(KindCompletionChunk, raw, 1)
 			if err != nil {
 				t.Fatal(err)
 			}
-			v.Apply(Change{Kind: KindDone, Name: DoneKey("req-000001", ChunkID{c, Whole})[len(Root)+len(KindDone)+1:], Rec: got, Stamp: 1})
+			v.Apply(Change{Kind: KindCompletionChunk, Name: CompletionChunkKey("req-000001", CompletionChunkID{c, WholeChunk})[len(KeyPrefix)+len(KindCompletionChunk)+1:], Record: got, ModRevision: 1})
 		}
-		if v.DoneCount("req-000001") != len(want) {
-			t.Fatalf("%d of %d", v.DoneCount("req-000001"), len(want))
+		if v.CompletedCount("req-000001") != len(want) {
+			t.Fatalf("%d of %d", v.CompletedCount("req-000001"), len(want))
 		}
 		for n := range want {
-			if !v.IsDone("req-000001", n) {
+			if !v.IsCompleted("req-000001", n) {
 				t.Fatalf("%d lost", n)
 			}
 		}
@@ -186,24 +186,24 @@
 // the watch: it bound its tasks to a machine that was gone, and when the
 // deletion followed, they looked unbound though they were bound elsewhere.
 func TestOwnDeleteIsNotUndone(t *testing.T) {
-	l := &Ledger{view: NewView(8), epoch: 8, deleted: map[string]uint64{Key(KindBind, "m2"): 11}}
-	task := BoundTask{Job: "req-000001", Attempt: 1}
-	l.view.Apply(Change{Key: Key(KindBind, "m1"), Kind: KindBind, Name: "m1", Rec: &Group{Name: "m1", Machines: []*Machine{{Name: "m1", Tasks: []BoundTask{task}}}, Stamp: 12}, Stamp: 12})
-	old, _ := json.Marshal(&Group{Machines: []*Machine{{Name: "m2", Tasks: []BoundTask{task}}}})
-	l.Subscribe(func(d Delta) {
+	l := &Cache{view: NewView(8), revision: 8, ownDeletions: map[string]uint64{Key(KindMachineGroup, "m2"): 11}}
+	task := TaskBinding{Job: "req-000001", Attempt: 1}
+	l.view.Apply(Change{Key: Key(KindMachineGroup, "m1"), Kind: KindMachineGroup, Name: "m1", Record: &MachineGroup{Name: "m1", Machines: []*Machine{{Name: "m1", Bindings: []TaskBinding{task}}}, ModRevision: 12}, ModRevision: 12})
+	old, _ := json.Marshal(&MachineGroup{Machines: []*Machine{{Name: "m2", Bindings: []TaskBinding{task}}}})
+	l.Subscribe(func(d Update) {
 		for _, c := range d.Changes {
-			if c.Rec != nil {
-				t.Errorf("%s is back at %d", c.Key, c.Stamp)
+			if c.Record != nil {
+				t.Errorf("%s is back at %d", c.Key, c.ModRevision)
 			}
 		}
 	})
-	l.events(&wire.Events{Revision: 12, Events: []wire.Event{
-		{Put: Key(KindBind, "m2"), Value: old, Version: 9}, {Delete: Key(KindBind, "m2"), Version: 11},
+	l.applyWatchResponse(&wire.WatchResponse{Revision: 12, Events: []wire.Event{
+		{PutKey: Key(KindMachineGroup, "m2"), Value: old, ModRevision: 9}, {DeletedKey: Key(KindMachineGroup, "m2"), ModRevision: 11},
 	}}, time.Now())
-	if m := l.view.Bound["req-000001"][0]; m != "m1" {
+	if m := l.view.Bindings["req-000001"][0]; m != "m1" {
 		t.Errorf("task is bound to %q", m)
 	}
-	if len(l.deleted) > 0 {
+	if len(l.ownDeletions) > 0 {
 		t.Error("deletions are remembered for ever")
 	}
 }
@@ -214,33 +214,33 @@
 func TestGroupsMerge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		v := NewView(8)
-		v.Apply(Change{Key: Key(KindJob, "req-000001"), Kind: KindJob, Name: "req-000001", Stamp: 1, Rec: &Job{Tasks: 1000, Stamp: 1}})
-		raw := func(g *Group) json.RawMessage {
+		v.Apply(Change{Key: Key(KindJob, "req-000001"), Kind: KindJob, Name: "req-000001", ModRevision: 1, Record: &Job{TaskCount: 1000, ModRevision: 1}})
+		raw := func(g *MachineGroup) json.RawMessage {
 			b, err := json.Marshal(g)
 			if err != nil {
 				t.Fatal(err)
 			}
 			return b
 		}
-		put := func(g *Group, stamp uint64) Change {
+		put := func(g *MachineGroup, stamp uint64) Change {
 			rec, err := decodeGroup(g.Name, raw(g), stamp, v.Groups[g.Name])
 			if err != nil {
 				t.Fatal(err)
 			}
-			return Change{Key: Key(KindBind, g.Name), Kind: KindBind, Name: g.Name, Rec: rec, Stamp: stamp}
+			return Change{Key: Key(KindMachineGroup, g.Name), Kind: KindMachineGroup, Name: g.Name, Record: rec, ModRevision: stamp}
 		}
 		n := rapid.IntRange(2, 30).Draw(t, "machines")
-		groups := map[string]*Group{"a": {Name: "a", Type: "t", Zone: "z", At: 5}, "b": {Name: "b", Type: "t", Zone: "z", At: 7}}
+		groups := map[string]*MachineGroup{"a": {Name: "a", MachineType: "t", Zone: "z", ProvisionedAt: 5}, "b": {Name: "b", MachineType: "t", Zone: "z", ProvisionedAt: 7}}
 		for i := range n {
 			g := groups[rapid.SampledFrom([]string{"a", "b"}).Draw(t, "group")]
-			b := &Machine{Name: fmt.Sprintf("i-%06d", i), Addr: fmt.Sprintf("10.0.%d.1:9", i), Session: 1, Token: Token(1) + uint64(i)}
+			b := &Machine{Name: fmt.Sprintf("i-%06d", i), Address: fmt.Sprintf("10.0.%d.1:9", i), Incarnation: 1, FencingToken: FirstToken(1) + uint64(i)}
 			if rapid.Bool().Draw(t, "busy") {
-				b.Tasks = []BoundTask{{Job: "req-000001", N: i, Attempt: b.Token}}
+				b.Bindings = []TaskBinding{{Job: "req-000001", TaskIndex: i, Attempt: b.FencingToken}}
 			}
 			g.Machines = append(g.Machines, b)
 		}
-		groups["a"].Marks = map[string][]int{"req-000001": {100, 102}}
-		groups["b"].Marks = map[string][]int{"req-000001": {101, 102}}
+		groups["a"].Completions = map[string][]int{"req-000001": {100, 102}}
+		groups["b"].Completions = map[string][]int{"req-000001": {101, 102}}
 		for name, g := range groups {
 			if len(g.Machines) > 0 {
 				v.Apply(put(g, 2))
@@ -252,36 +252,36 @@
 			t.Skip()
 		}
 		want := maps.Clone(v.Machines)
-		into, other := v.Draft("a"), v.Draft("b")
-		into.Absorb(other)
+		into, other := v.UpdateGroup("a"), v.UpdateGroup("b")
+		into.Merge(other)
 		var c Commit
 		into.AddTo(&c)
-		other.Remove(&c)
-		if c.Ops() != 2 || len(c.Guards) != 2 {
+		other.AddDeletionTo(&c)
+		if c.Ops() != 2 || len(c.Preconditions) != 2 {
 			t.Fatalf("%+v", c)
 		}
-		for _, b := range v.Apply(put(&into.Group, 3)) {
-			if b.Old == nil || b.New == nil || b.Old.Token != b.New.Token || len(Left(b.Old, b.New)) > 0 {
+		for _, b := range v.Apply(put(&into.MachineGroup, 3)) {
+			if b.Old == nil || b.New == nil || b.Old.FencingToken != b.New.FencingToken || len(UnboundTasks(b.Old, b.New)) > 0 {
 				t.Fatalf("%s changed: %+v %+v", b.Machine, b.Old, b.New)
 			}
 		}
-		if out := v.Apply(Change{Key: Key(KindBind, "b"), Kind: KindBind, Name: "b", Stamp: 3}); len(out) > 0 {
+		if out := v.Apply(Change{Key: Key(KindMachineGroup, "b"), Kind: KindMachineGroup, Name: "b", ModRevision: 3}); len(out) > 0 {
 			t.Fatalf("taken for gone: %+v", out)
 		}
 		bound := 0
 		for m, b := range v.Machines {
 			w := want[m]
-			if w == nil || b.Group != "a" || b.Addr != w.Addr || b.Token != w.Token || !slices.Equal(b.Tasks, w.Tasks) {
+			if w == nil || b.Group != "a" || b.Address != w.Address || b.FencingToken != w.FencingToken || !slices.Equal(b.Bindings, w.Bindings) {
 				t.Fatalf("%s: %+v, was %+v", m, b, w)
 			}
-			for _, k := range b.Tasks {
-				if bound++; v.Bound[k.Job][k.N] != m {
-					t.Fatalf("%s is not known to be bound", k.Name())
+			for _, k := range b.Bindings {
+				if bound++; v.Bindings[k.Job][k.TaskIndex] != m {
+					t.Fatalf("%s is not known to be bound", k.TaskName())
 				}
 			}
 		}
-		if len(v.Machines) != n || bound != len(v.Bound["req-000001"]) || v.DoneCount("req-000001") != 3 {
-			t.Fatalf("%d machines, %d bound, %d done", len(v.Machines), len(v.Bound["req-000001"]), v.DoneCount("req-000001"))
+		if len(v.Machines) != n || bound != len(v.Bindings["req-000001"]) || v.CompletedCount("req-000001") != 3 {
+			t.Fatalf("%d machines, %d bound, %d done", len(v.Machines), len(v.Bindings["req-000001"]), v.CompletedCount("req-000001"))
 		}
 	})
 }
@@ -294,13 +294,13 @@
 		defer cancel()
 		store := fakes.NewState()
 		conn := &fakes.Conn{State: store, Net: fakes.NewNet(1, time.Millisecond), Node: "n0", Timeout: time.Second}
-		l := Start(ctx, conn, Options{ChunkTasks: 8, Hold: time.Second, MaxAge: time.Second, Backoff: 100 * time.Millisecond, MaxValue: 8 << 10})
+		l := Start(ctx, conn, Options{ChunkTasks: 8, WatchHold: time.Second, MaxViewAge: time.Second, Backoff: 100 * time.Millisecond, MaxValueBytes: 8 << 10})
 		l.Run()
 		time.Sleep(time.Second)
 		commit := func(writes int) Outcome {
 			var c Commit
 			for i := range writes {
-				c.Puts = append(c.Puts, Put{Key: Key(KindDone, fmt.Sprintf("req-000001/%04d", i)), Rec: &DoneChunk{Bits: make([]byte, 6000)}})
+				c.Puts = append(c.Puts, Put{Key: Key(KindCompletionChunk, fmt.Sprintf("req-000001/%04d", i)), Record: &CompletionChunk{Bits: make([]byte, 6000)}})
 			}
 			out := make(chan Outcome, 1)
 			l.Commit(c, func(o Outcome) { out <- o })
@@ -309,7 +309,7 @@
 		if out := commit(7); out != Committed {
 			t.Errorf("56 KB: %v", out)
 		}
-		if out := commit(9); out != Refused || strings.Contains(store.Dump(), "/0008") {
+		if out := commit(9); out != Rejected || strings.Contains(store.Dump(), "/0008") {
 			t.Errorf("72 KB: %v", out)
 		}
 	})
@@ -321,7 +321,7 @@
 	between func()
 }
 
-func (s *paged) List(ctx context.Context, prefix, after string, _ int) (*wire.Items, error) {
+func (s *paged) List(ctx context.Context, prefix, after string, _ int) (*wire.RangeResponse, error) {
 	page, err := s.Conn.List(ctx, prefix, after, 1)
 	if s.between != nil {
 		s.between()
@@ -338,11 +338,11 @@
 		defer cancel()
 		conn := &fakes.Conn{State: fakes.NewState(), Net: fakes.NewNet(1, time.Millisecond), Node: "n0", Timeout: time.Second}
 		write := func(key string, machines ...string) wire.Write {
-			raw, err := json.Marshal(NewGroup("", "t", "z", false, 5, machines, 9))
+			raw, err := json.Marshal(NewMachineGroup("", "t", "z", false, 5, machines, 9))
 			if err != nil {
 				t.Fatal(err)
 			}
-			return wire.Write{Put: Key(KindBind, key), Value: raw}
+			return wire.Write{PutKey: Key(KindMachineGroup, key), Value: raw}
 		}
 		commit := func(w ...wire.Write) {
 			if _, err := conn.Commit(ctx, &wire.Txn{Writes: w}); err != nil {
@@ -350,15 +350,15 @@
 			}
 		}
 		commit(write("a", "i-1"), write("b", "i-2"), write("c", "i-3"))
-		store := &paged{conn, func() { commit(write("a", "i-1", "i-2"), wire.Write{Delete: Key(KindBind, "b")}) }}
-		l := Start(ctx, store, Options{ChunkTasks: 8, Hold: time.Second, MaxAge: time.Second, Backoff: 100 * time.Millisecond})
+		store := &paged{conn, func() { commit(write("a", "i-1", "i-2"), wire.Write{DeleteKey: Key(KindMachineGroup, "b")}) }}
+		l := Start(ctx, store, Options{ChunkTasks: 8, WatchHold: time.Second, MaxViewAge: time.Second, Backoff: 100 * time.Millisecond})
 		v := NewView(8)
-		l.Subscribe(func(d Delta) {
+		l.Subscribe(func(d Update) {
 			for _, c := range d.Changes {
 				v.Apply(c)
 			}
 			if len(v.Machines) != 3 || v.Machines["i-2"].Group != "a" {
-				t.Errorf("%d machines at revision %d", len(v.Machines), d.Epoch)
+				t.Errorf("%d machines at revision %d", len(v.Machines), d.Revision)
 			}
 		})
 		l.Run()
@@ -375,9 +375,9 @@
 	before := slog.Default()
 	slog.SetDefault(slog.New(slog.NewTextHandler(&log, nil)))
 	defer slog.SetDefault(before)
-	l := Start(t.Context(), nil, Options{ChunkTasks: ChunkTasks(4), ManyJobs: 10})
+	l := Start(t.Context(), nil, Options{ChunkTasks: ChunkTasks(4), JobCountWarning: 10})
 	for i := range 30 {
-		job := Change{Kind: KindJob, Name: fmt.Sprintf("req-%06d", i), Rec: &Job{State: wire.JobDone, Stamp: 1}, Stamp: 1}
+		job := Change{Kind: KindJob, Name: fmt.Sprintf("req-%06d", i), Record: &Job{State: wire.JobDone, ModRevision: 1}, ModRevision: 1}
 		l.publish([]Change{job})
 		if warned := strings.Contains(log.String(), "finished jobs"); warned != (i >= 10) {
 			t.Fatalf("%d jobs: warned %v", i+1, warned)
--- a/internal/ledger/pipeline_test.go
+++ b/internal/statecache/pipeline_test.go
@@ -1,4 +1,4 @@
-package ledger
+package statecache
 
 import (
 	"context"
@@ -24,7 +24,7 @@
 	if j.State == wire.JobCancelled {
 		return true
 	}
-	for _, before := range j.Spec.Awaits {
+	for _, before := range j.Spec.Dependencies {
 		if s.doomed(before) {
 			return true
 		}
@@ -34,7 +34,7 @@
 
 // ready tells whether all jobs before one are done.
 func (s *story) ready(id string) bool {
-	for _, before := range s.jobs[id].Spec.Awaits {
+	for _, before := range s.jobs[id].Spec.Dependencies {
 		if s.jobs[before].State != wire.JobDone {
 			return false
 		}
@@ -44,9 +44,9 @@
 
 // rank is the highest of a job and of those that need it and are not over.
 func (s *story) rank(id string) wire.Priority {
-	r := s.jobs[id].Spec.Rank
+	r := s.jobs[id].Spec.Priority
 	for _, after := range s.ids {
-		for _, before := range s.jobs[after].Spec.Awaits {
+		for _, before := range s.jobs[after].Spec.Dependencies {
 			if before == id && s.jobs[after].State == "" && !s.doomed(after) {
 				r = max(r, s.rank(after))
 			}
@@ -61,19 +61,19 @@
 	least := int64(0)
 	for _, after := range s.ids {
 		j := s.jobs[after]
-		if !slices.Contains(j.Spec.Awaits, id) || j.State != "" || s.doomed(after) {
+		if !slices.Contains(j.Spec.Dependencies, id) || j.State != "" || s.doomed(after) {
 			continue
 		}
 		end := s.latestEnd(after)
-		if j.Spec.DeadlineS != nil {
-			if own := j.At + int64(1000**j.Spec.DeadlineS); end == 0 || own < end {
+		if j.Spec.Deadline != nil {
+			if own := j.SubmittedAt + int64(1000**j.Spec.Deadline); end == 0 || own < end {
 				end = own
 			}
 		}
 		if end == 0 {
 			continue
 		}
-		end -= int64(1000 * j.Spec.EstimateS)
+		end -= int64(1000 * j.Spec.EstimatedRuntime)
 		if least == 0 || end < least {
 			least = end
 		}
@@ -81,7 +81,7 @@
 	return least
 }
 
-func (s *story) check(t *rapid.T, l *Ledger, ranks bool) {
+func (s *story) check(t *rapid.T, l *Cache, ranks bool) {
 	for _, id := range s.ids {
 		stored, got := s.jobs[id], l.view.Jobs[id]
 		switch {
@@ -90,26 +90,26 @@
 				t.Fatalf("%s is done, and called %q", id, got.State)
 			}
 		case s.doomed(id):
-			if got.State != wire.JobCancelled || got.EndAt == 0 || got.Derived != (stored.State == "") {
+			if got.State != wire.JobCancelled || got.FinishedAt == 0 || got.CancelledByDependency != (stored.State == "") {
 				t.Fatalf("%s falls with a job before it, and is %+v", id, got)
 			}
 		default:
 			if got.State != "" || got.Blocked == s.ready(id) {
 				t.Fatalf("%s: ready %v, and is %+v", id, s.ready(id), got)
 			}
-			if ranks && got.Spec.Rank != s.rank(id) {
-				t.Fatalf("%s: rank %v, not %v", id, got.Spec.Rank, s.rank(id))
+			if ranks && got.Spec.Priority != s.rank(id) {
+				t.Fatalf("%s: rank %v, not %v", id, got.Spec.Priority, s.rank(id))
 			}
-			if ranks && s.latestEnd(id) != 0 && latest(got.DueAt, got.TailS) != s.latestEnd(id) {
-				t.Fatalf("%s: due by %d, not %d", id, latest(got.DueAt, got.TailS), s.latestEnd(id))
+			if ranks && s.latestEnd(id) != 0 && latestCompletion(got.InheritedDeadline, got.DownstreamRuntime) != s.latestEnd(id) {
+				t.Fatalf("%s: due by %d, not %d", id, latestCompletion(got.InheritedDeadline, got.DownstreamRuntime), s.latestEnd(id))
 			}
 			if s.ready(id) {
 				last := int64(0)
-				for _, before := range stored.Spec.Awaits {
-					last = max(last, s.jobs[before].EndAt)
+				for _, before := range stored.Spec.Dependencies {
+					last = max(last, s.jobs[before].FinishedAt)
 				}
-				if got.ReadyAt != last {
-					t.Fatalf("%s: ready at %d, not %d", id, got.ReadyAt, last)
+				if got.DependenciesDoneAt != last {
+					t.Fatalf("%s: ready at %d, not %d", id, got.DependenciesDoneAt, last)
 				}
 			}
 		}
@@ -126,9 +126,9 @@
 		s := &story{jobs: map[string]*Job{}}
 		l := Start(ctx, nil, Options{ChunkTasks: 8})
 		fallen := map[string]bool{}
-		l.Subscribe(func(d Delta) {
+		l.Subscribe(func(d Update) {
 			for _, c := range d.Changes {
-				j := c.Rec.(*Job)
+				j := c.Record.(*Job)
 				if fallen[c.Name] && j.State != wire.JobCancelled {
 					t.Fatalf("%s was cancelled, and is %q", c.Name, j.State)
 				}
@@ -136,15 +136,15 @@
 			}
 		})
 		rev := uint64(0)
-		put := func(l *Ledger, id string) {
+		put := func(l *Cache, id string) {
 			j := *s.jobs[id]
-			l.publish([]Change{{Key: Key(KindJob, id), Kind: KindJob, Name: id, Rec: &j, Stamp: j.Stamp}})
+			l.publish([]Change{{Key: Key(KindJob, id), Kind: KindJob, Name: id, Record: &j, ModRevision: j.ModRevision}})
 		}
 		step := func(id string, change func(j *Job)) {
 			rev++
 			j := *s.jobs[id]
 			change(&j)
-			j.Stamp = rev
+			j.ModRevision = rev
 			s.jobs[id] = &j
 			put(l, id)
 		}
@@ -152,18 +152,18 @@
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			if len(s.ids) == 0 || rapid.IntRange(0, 2).Draw(t, "what") == 0 {
 				id := fmt.Sprintf("req-%06d", len(s.ids))
-				spec := &wire.Job{ID: id, Rank: wire.Priority(rapid.IntRange(0, 3).Draw(t, "rank")), EstimateS: 1}
+				spec := &wire.Job{ID: id, Priority: wire.Priority(rapid.IntRange(0, 3).Draw(t, "rank")), EstimatedRuntime: 1}
 				for _, before := range s.ids {
 					if rapid.IntRange(0, 3).Draw(t, "needs") == 0 {
-						spec.Awaits = append(spec.Awaits, before)
+						spec.Dependencies = append(spec.Dependencies, before)
 					}
 				}
 				if rapid.Bool().Draw(t, "has a deadline") {
 					due := float64(rapid.IntRange(1, 99).Draw(t, "due"))
-					spec.DeadlineS = &due
+					spec.Deadline = &due
 				}
 				s.ids = append(s.ids, id)
-				s.jobs[id] = &Job{Spec: spec, Tasks: 1, At: int64(100_000 + rev)}
+				s.jobs[id] = &Job{Spec: spec, TaskCount: 1, SubmittedAt: int64(100_000 + rev)}
 				step(id, func(*Job) {})
 			} else {
 				id := rapid.SampledFrom(s.ids).Draw(t, "job")
@@ -172,11 +172,11 @@
 				}
 				if rapid.Bool().Draw(t, "done") {
 					if s.ready(id) && !s.doomed(id) {
-						step(id, func(j *Job) { j.State, j.EndAt = wire.JobDone, int64(100+rev) })
+						step(id, func(j *Job) { j.State, j.FinishedAt = wire.JobDone, int64(100+rev) })
 					}
 				} else if !s.doomed(id) {
 					cancels = true
-					step(id, func(j *Job) { j.State, j.EndAt = wire.JobCancelled, int64(100+rev) })
+					step(id, func(j *Job) { j.State, j.FinishedAt = wire.JobCancelled, int64(100+rev) })
 				}
 			}
 			s.check(t, l, !cancels) // a priority may outlive the job that lent it
@@ -186,7 +186,7 @@
 			put(fresh, s.ids[i])
 		}
 		s.check(t, fresh, false)
-		if n := len(l.chains.next); n > len(s.ids) {
+		if n := len(l.dependencies.successors); n > len(s.ids) {
 			t.Fatalf("%d jobs in the index", n)
 		}
 	})
@@ -200,29 +200,29 @@
 	const n = 5000
 	l := Start(ctx, nil, Options{ChunkTasks: 8})
 	told := 0
-	l.Subscribe(func(d Delta) { told += len(d.Changes) })
+	l.Subscribe(func(d Update) { told += len(d.Changes) })
 	id := func(i int) string { return fmt.Sprintf("req-%06d", i) }
 	rev := uint64(0)
 	put := func(i int, j *Job) {
 		rev++
-		j.Tasks, j.Stamp = 1, rev
-		l.publish([]Change{{Key: Key(KindJob, id(i)), Kind: KindJob, Name: id(i), Rec: j, Stamp: j.Stamp}})
+		j.TaskCount, j.ModRevision = 1, rev
+		l.publish([]Change{{Key: Key(KindJob, id(i)), Kind: KindJob, Name: id(i), Record: j, ModRevision: j.ModRevision}})
 	}
 	for i := range n {
-		spec := &wire.Job{ID: id(i), EstimateS: 1}
+		spec := &wire.Job{ID: id(i), EstimatedRuntime: 1}
 		if i > 0 {
-			spec.Awaits = []string{id(i - 1)}
+			spec.Dependencies = []string{id(i - 1)}
 		}
 		put(i, &Job{Spec: spec})
 	}
 	for i := range n { // all behind the chain's first
-		put(n+i, &Job{Spec: &wire.Job{ID: id(n + i), Awaits: []string{id(0)}}})
+		put(n+i, &Job{Spec: &wire.Job{ID: id(n + i), Dependencies: []string{id(0)}}})
 	}
 	if told != 2*n {
 		t.Errorf("%d changes told for %d jobs", told, 2*n)
 	}
 	told = 0
-	put(0, &Job{State: wire.JobCancelled, EndAt: 9, Spec: &wire.Job{ID: id(0)}})
+	put(0, &Job{State: wire.JobCancelled, FinishedAt: 9, Spec: &wire.Job{ID: id(0)}})
 	if told != 2*n {
 		t.Errorf("%d changes told for the fall of %d jobs", told, 2*n)
 	}
@@ -231,7 +231,7 @@
 			t.Fatalf("%s stands", id(i))
 		}
 	}
-	if len(l.chains.next)+len(l.chains.in) > 0 {
-		t.Errorf("%d and %d entries are kept", len(l.chains.next), len(l.chains.in))
+	if len(l.dependencies.successors)+len(l.dependencies.waiting) > 0 {
+		t.Errorf("%d and %d entries are kept", len(l.dependencies.successors), len(l.dependencies.waiting))
 	}
 }
--- a/internal/ledger/recovery_test.go
+++ b/internal/statecache/recovery_test.go
@@ -1,4 +1,4 @@
-package ledger
+package statecache
 
 import (
 	"encoding/json"
@@ -20,12 +20,12 @@
 	}
 	l := Start(t.Context(), nil, Options{ChunkTasks: 8})
 	for key, was := range records {
-		c, ok := l.change(key, was, 7)
+		c, ok := l.decodeChange(key, was, 7)
 		if !ok {
 			t.Errorf("%s is not understood", key)
 			continue
 		}
-		is, err := json.Marshal(c.Rec)
+		is, err := json.Marshal(c.Record)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -40,8 +40,8 @@
 // says nothing of any zone.
 func TestUnreadableRecovery(t *testing.T) {
 	for _, raw := range []string{`{"v":2,"zones":[{"zone":"a","phase":"lost"}]}`, `{}`, `[]`, `"x"`, `{"v":1,"zones":{}}`} {
-		r := decodeRecovery(json.RawMessage(raw), 5)
-		if !r.Unreadable || r.Stamp != 5 || r.Find("a") != nil {
+		r := decodeZoneRecoveries(json.RawMessage(raw), 5)
+		if !r.Unreadable || r.ModRevision != 5 || r.Find("a") != nil {
 			t.Errorf("%s: %+v", raw, r)
 		}
 	}
@@ -50,15 +50,15 @@
 // A capability counts only while every member announces it.
 func TestAnnounced(t *testing.T) {
 	v := NewView(8)
-	if v.Announced(CapabilityRecovery) {
+	if v.AllMembersSupport(CapabilityZoneRecovery) {
 		t.Error("announced by nobody")
 	}
-	v.Members["n0"] = &Member{Boot: 1, Capabilities: []string{"other", CapabilityRecovery}}
-	if !v.Announced(CapabilityRecovery) {
+	v.Members["n0"] = &Member{Incarnation: 1, Capabilities: []string{"other", CapabilityZoneRecovery}}
+	if !v.AllMembersSupport(CapabilityZoneRecovery) {
 		t.Error("not announced by the only member")
 	}
-	v.Members["n1"] = &Member{Boot: 2}
-	if v.Announced(CapabilityRecovery) {
+	v.Members["n1"] = &Member{Incarnation: 2}
+	if v.AllMembersSupport(CapabilityZoneRecovery) {
 		t.Error("announced though a member doesn't")
 	}
 }
--- a/internal/ledger/upgrade_test.go
+++ b/internal/statecache/upgrade_test.go
@@ -1,4 +1,4 @@
-package ledger
+package statecache
 
 import (
 	"encoding/json"
@@ -28,12 +28,12 @@
 	}
 	l := Start(t.Context(), nil, Options{ChunkTasks: 8})
 	for key, was := range records {
-		c, ok := l.change(key, was, 7)
+		c, ok := l.decodeChange(key, was, 7)
 		if !ok {
 			t.Errorf("%s is not understood", key)
 			continue
 		}
-		is, err := json.Marshal(c.Rec)
+		is, err := json.Marshal(c.Record)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -41,9 +41,9 @@
 		if json.Unmarshal(was, &a) != nil || json.Unmarshal(is, &b) != nil || !reflect.DeepEqual(a, b) {
 			t.Errorf("%s: was %s, is %s", key, was, is)
 		}
-		if g, ok := c.Rec.(*Group); ok { // and rows made anew
+		if g, ok := c.Record.(*MachineGroup); ok { // and rows made anew
 			for _, b := range g.Machines {
-				b.row = ""
+				b.encoded = ""
 			}
 			if again, _ := json.Marshal(g); string(again) != string(is) {
 				t.Errorf("rows: %s, not %s", again, is)
@@ -57,7 +57,7 @@
 
 // What derives from other jobs is not stored.
 func TestDerivedIsNotStored(t *testing.T) {
-	b, _ := json.Marshal(&Job{Tasks: 1, At: 2, Blocked: true, ReadyAt: 3, Derived: true, PriorityInherited: true, DueAt: 4, TailS: 5})
+	b, _ := json.Marshal(&Job{TaskCount: 1, SubmittedAt: 2, Blocked: true, DependenciesDoneAt: 3, CancelledByDependency: true, PriorityInherited: true, InheritedDeadline: 4, DownstreamRuntime: 5})
 	if string(b) != `{"n":1,"at":2}` {
 		t.Errorf("%s", b)
 	}
@@ -68,36 +68,36 @@
 func TestGroupsSplit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := genGroup(t)
-		for job, ns := range g.Marks { // as many as an old record may hold
+		for job, ns := range g.Completions { // as many as an old record may hold
 			for n := range rapid.IntRange(0, 200).Draw(t, "more") {
-				if next := ns[len(ns)-1] + 2 + n%2; next < wire.MaxTasks {
+				if next := ns[len(ns)-1] + 2 + n%2; next < wire.MaxTasksPerJob {
 					ns = append(ns, next)
 				}
 			}
-			g.Marks[job] = ns
+			g.Completions[job] = ns
 		}
-		g.Stamp, g.Departures = 9, nil
+		g.ModRevision, g.Terminations = 9, nil
 		fill := rapid.IntRange(300, 1500).Draw(t, "fill")
-		d := &Draft{Group: *g, fresh: map[string]*Machine{}}
-		all := append([]*Draft{d}, d.splitToFill(fill)...)
+		d := &GroupUpdate{MachineGroup: *g, updated: map[string]*Machine{}}
+		all := append([]*GroupUpdate{d}, d.splitToFill(fill)...)
 		names, rows, marks := map[string]bool{}, map[string]*Machine{}, map[string][]int{}
 		for _, part := range all {
 			if names[part.Name] {
 				t.Fatalf("%s twice", part.Name)
 			}
 			names[part.Name] = true
-			if len(all) > 1 && len(part.Machines)+len(part.Marks) == 0 {
+			if len(all) > 1 && len(part.Machines)+len(part.Completions) == 0 {
 				t.Fatal("an empty record")
 			}
 			lots := len(part.Machines)
-			for job, ns := range part.Marks {
-				lots += (len(ns) + marksPerPart - 1) / marksPerPart
+			for job, ns := range part.Completions {
+				lots += (len(ns) + completionsPerPart - 1) / completionsPerPart
 				marks[job] = append(marks[job], ns...)
 			}
-			if part.Kept() > fill && lots > 1 {
-				t.Fatalf("%d bytes of %d in a record of %d parts", part.Kept(), fill, lots)
+			if part.RetainedSize() > fill && lots > 1 {
+				t.Fatalf("%d bytes of %d in a record of %d parts", part.RetainedSize(), fill, lots)
 			}
-			raw, err := json.Marshal(&part.Group)
+			raw, err := json.Marshal(&part.MachineGroup)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -114,15 +114,15 @@
 		}
 		for _, b := range g.Machines {
 			got := rows[b.Name]
-			if got == nil || got.Token != b.Token || got.Session != b.Session || got.Addr != b.Addr || got.Drain != b.Drain || got.Suspected != b.Suspected ||
-				!slices.Equal(got.Tasks, b.Tasks) {
+			if got == nil || got.FencingToken != b.FencingToken || got.Incarnation != b.Incarnation || got.Address != b.Address || got.DrainReason != b.DrainReason || got.Suspected != b.Suspected ||
+				!slices.Equal(got.Bindings, b.Bindings) {
 				t.Fatalf("%+v became %+v", b, got)
 			}
 		}
-		if len(rows) != len(g.Machines) || len(marks) != len(g.Marks) {
-			t.Fatalf("%d machines of %d, marks of %d jobs of %d", len(rows), len(g.Machines), len(marks), len(g.Marks))
+		if len(rows) != len(g.Machines) || len(marks) != len(g.Completions) {
+			t.Fatalf("%d machines of %d, marks of %d jobs of %d", len(rows), len(g.Machines), len(marks), len(g.Completions))
 		}
-		for job, ns := range g.Marks {
+		for job, ns := range g.Completions {
 			got := slices.Sorted(slices.Values(marks[job]))
 			if !slices.Equal(got, ns) {
 				t.Fatalf("%s: marks %v became %v", job, ns, got)
@@ -146,8 +146,8 @@
 func TestSplitMachinesAreNeverGone(t *testing.T) {
 	for _, reversed := range []bool{false, true} {
 		l := Start(t.Context(), nil, Options{ChunkTasks: 8})
-		actor := NewRunningView(8)
-		l.Subscribe(func(d Delta) {
+		actor := NewUnfinishedView(8)
+		l.Subscribe(func(d Update) {
 			for _, c := range d.Changes {
 				for _, b := range actor.Apply(c) {
 					if b.New == nil {
@@ -156,37 +156,37 @@
 				}
 			}
 		})
-		change := func(g *Group, stamp uint64) Change {
+		change := func(g *MachineGroup, stamp uint64) Change {
 			raw, err := json.Marshal(g)
 			if err != nil {
 				t.Fatal(err)
 			}
-			c, ok := l.change(Key(KindBind, g.Name), raw, stamp)
+			c, ok := l.decodeChange(Key(KindMachineGroup, g.Name), raw, stamp)
 			if !ok {
 				t.Fatal("not understood")
 			}
 			return c
 		}
-		whole := NewGroup("g", "t", "z", false, 5, nil, 0)
+		whole := NewMachineGroup("g", "t", "z", false, 5, nil, 0)
 		for i := range 9 {
-			whole.Machines = append(whole.Machines, &Machine{Name: fmt.Sprintf("i-%06d", i), Addr: "x:1", Session: 1, Token: 8, Tasks: []BoundTask{{Job: "req-000001", N: i, Attempt: 7}}})
+			whole.Machines = append(whole.Machines, &Machine{Name: fmt.Sprintf("i-%06d", i), Address: "x:1", Incarnation: 1, FencingToken: 8, Bindings: []TaskBinding{{Job: "req-000001", TaskIndex: i, Attempt: 7}}})
 		}
 		l.publish([]Change{change(whole, 4)})
-		d := l.view.Draft("g")
+		d := l.view.UpdateGroup("g")
 		chs := []Change{}
 		for _, part := range d.splitToFill(300) {
-			chs = append(chs, change(&part.Group, 5))
+			chs = append(chs, change(&part.MachineGroup, 5))
 		}
-		if chs = append(chs, change(&d.Group, 5)); len(chs) < 2 {
+		if chs = append(chs, change(&d.MachineGroup, 5)); len(chs) < 2 {
 			t.Fatal("not split")
 		}
 		if reversed {
 			slices.Reverse(chs)
 		}
-		l.order(chs)
+		l.sortChanges(chs)
 		l.publish(chs)
-		if len(actor.Machines) != 9 || len(actor.Bound["req-000001"]) != 9 || len(actor.Groups["g"].Machines) == 9 {
-			t.Errorf("reversed %v: %d machines, %d tasks", reversed, len(actor.Machines), len(actor.Bound["req-000001"]))
+		if len(actor.Machines) != 9 || len(actor.Bindings["req-000001"]) != 9 || len(actor.Groups["g"].Machines) == 9 {
+			t.Errorf("reversed %v: %d machines, %d tasks", reversed, len(actor.Machines), len(actor.Bindings["req-000001"]))
 		}
 	}
 }
@@ -198,9 +198,9 @@
 	const tasks, presentKB, nextBytes = 100_000, 4.0, 2048
 	play := func(at, stride int) {
 		v := NewView(ChunkTasks(presentKB))
-		v.Apply(Change{Kind: KindJob, Name: "req-000001", Rec: &Job{Tasks: tasks}})
-		part := PartTasks(nextBytes)
-		if size := ValueBytes(part); size > nextBytes {
+		v.Apply(Change{Kind: KindJob, Name: "req-000001", Record: &Job{TaskCount: tasks}})
+		part := TasksPerCompletionPart(nextBytes)
+		if size := CompletionValueBytes(part); size > nextBytes {
 			t.Fatalf("a part of %d tasks takes %d bytes", part, size)
 		}
 		seen := map[int]bool{}
@@ -208,35 +208,35 @@
 		const lot, start = 1700, 12_345
 		for k := 0; k < tasks; k += lot {
 			lowered = k >= at
-			byID := map[ChunkID][]int{}
+			byID := map[CompletionChunkID][]int{}
 			for i := range min(lot, tasks-k) {
 				n := (start + (k+i)*stride) % tasks
 				seen[n] = true
-				chunk, bit := v.Chunk(n)
-				id := ChunkID{chunk, Whole}
+				chunk, bit := v.CompletionChunkOf(n)
+				id := CompletionChunkID{chunk, WholeChunk}
 				if lowered {
-					id.From = bit / part * part
+					id.FirstTask = bit / part * part
 				}
-				byID[id] = append(byID[id], bit-max(0, id.From))
+				byID[id] = append(byID[id], bit-max(0, id.FirstTask))
 			}
-			for _, id := range slices.SortedFunc(maps.Keys(byID), func(a, b ChunkID) int { return a.Chunk - b.Chunk }) {
-				rec := v.Chunks["req-000001"][id].With(byID[id]...)
+			for _, id := range slices.SortedFunc(maps.Keys(byID), func(a, b CompletionChunkID) int { return a.Chunk - b.Chunk }) {
+				rec := v.CompletionChunks["req-000001"][id].With(byID[id]...)
 				raw, _ := json.Marshal(rec)
 				if limit := map[bool]int{false: presentKB * 1024, true: nextBytes}[lowered]; len(raw) > limit {
 					t.Fatalf("%d bytes of %d", len(raw), limit)
 				}
-				var back DoneChunk
+				var back CompletionChunk
 				if err := json.Unmarshal(raw, &back); err != nil {
 					t.Fatal(err)
 				}
-				v.Apply(Change{Kind: KindDone, Name: DoneKey("req-000001", id)[len(Root)+len(KindDone)+1:], Rec: &back, Stamp: uint64(k + 1)})
+				v.Apply(Change{Kind: KindCompletionChunk, Name: CompletionChunkKey("req-000001", id)[len(KeyPrefix)+len(KindCompletionChunk)+1:], Record: &back, ModRevision: uint64(k + 1)})
 			}
-			if v.DoneCount("req-000001") != len(seen) || v.Complete("req-000001") != (len(seen) == tasks) {
-				t.Fatalf("%d tasks done, %d counted", len(seen), v.DoneCount("req-000001"))
+			if v.CompletedCount("req-000001") != len(seen) || v.AllTasksCompleted("req-000001") != (len(seen) == tasks) {
+				t.Fatalf("%d tasks done, %d counted", len(seen), v.CompletedCount("req-000001"))
 			}
 		}
-		if !v.Complete("req-000001") {
-			t.Fatalf("never done: %d", v.DoneCount("req-000001"))
+		if !v.AllTasksCompleted("req-000001") {
+			t.Fatalf("never done: %d", v.CompletedCount("req-000001"))
 		}
 	}
 	for _, at := range []int{0, 20_000, 61_000, tasks} {
--- a/internal/worker/client.go
+++ b/internal/worker/client.go
@@ -29,16 +29,16 @@
 
 // Do sends commands. The worker's report comes back whether or not it
 // executed them.
-func (c *Client) Do(ctx context.Context, addr string, cmd wire.Commands) (*wire.Report, error) {
+func (c *Client) Do(ctx context.Context, addr string, cmd wire.CommandBatch) (*wire.Heartbeat, error) {
 	return c.report(ctx, http.MethodPost, "http://"+addr+"/do", cmd)
 }
 
 // Inspect reads a worker's report.
-func (c *Client) Inspect(ctx context.Context, addr string) (*wire.Report, error) {
+func (c *Client) Inspect(ctx context.Context, addr string) (*wire.Heartbeat, error) {
 	return c.report(ctx, http.MethodGet, "http://"+addr+"/inspect", nil)
 }
 
-func (c *Client) report(ctx context.Context, method, url string, in any) (*wire.Report, error) {
+func (c *Client) report(ctx context.Context, method, url string, in any) (*wire.Heartbeat, error) {
 	select {
 	case c.slots <- struct{}{}:
 		defer func() { <-c.slots }()
@@ -54,9 +54,9 @@
 	if status != http.StatusOK && status != http.StatusConflict {
 		return nil, fmt.Errorf("status %d", status)
 	}
-	var r wire.Report
+	var r wire.Heartbeat
 	if err := json.Unmarshal(b, &r); err != nil {
 		return nil, err
 	}
-	return &r, r.Check()
+	return &r, r.Validate()
 }
--- a/internal/zonecontrol/controller.go
+++ b/internal/zonecontrol/controller.go
@@ -10,9 +10,9 @@
 	"lynxledge/internal/actor"
 	"lynxledge/internal/config"
 	"lynxledge/internal/election"
-	"lynxledge/internal/ledger"
 	"lynxledge/internal/place"
 	"lynxledge/internal/plan"
+	"lynxledge/internal/statecache"
 	"lynxledge/internal/zonehealth"
 	"lynxledge/wire"
 )
@@ -22,12 +22,12 @@
 	*actor.Actor
 	cfg    *config.Config
 	boot   uint64
-	ledger *ledger.Ledger
+	ledger *statecache.Cache
 	placer ClusterOwner
 	policy zonehealth.Policy
 	period time.Duration // between two looks
 
-	view  *ledger.View // of machines, members and the recovery; it has no jobs
+	view  *statecache.View // of machines, members and the recovery; it has no jobs
 	epoch uint64
 	fresh time.Time
 	types []wire.MachineType
@@ -52,7 +52,7 @@
 const looksPerReport = 4
 
 // Start runs the actor; the settings' ZoneRecovery section is set.
-func Start(ctx context.Context, cfg *config.Config, boot uint64, l *ledger.Ledger, placer ClusterOwner) *Controller {
+func Start(ctx context.Context, cfg *config.Config, boot uint64, l *statecache.Cache, placer ClusterOwner) *Controller {
 	policy := zonehealth.PolicyOf(cfg)
 	now := time.Now()
 	c := &Controller{
@@ -62,14 +62,14 @@
 		ledger:  l,
 		placer:  placer,
 		policy:  policy,
-		period:  config.Secs(cfg.Params.Workers.ReportS / looksPerReport),
-		view:    ledger.NewRunningView(ledger.ChunkTasks(cfg.Params.State.ValueKB)),
+		period:  config.Seconds(cfg.Params.Workers.HeartbeatInterval / looksPerReport),
+		view:    statecache.NewUnfinishedView(statecache.ChunkTasks(cfg.Params.Store.MaxValueKB)),
 		census:  zonehealth.NewCensus(now, policy.Silence),
 		tracker: zonehealth.NewTracker(policy),
 		refused: map[plan.Pool]time.Time{},
 		looked:  now,
 	}
-	l.Subscribe(func(d ledger.Delta) { c.Send(func() { c.apply(d) }) })
+	l.Subscribe(func(d statecache.Update) { c.Send(func() { c.apply(d) }) })
 	c.Every(c.period, c.look)
 	return c
 }
@@ -87,17 +87,17 @@
 	c.Post(func() { c.refused[pool] = until })
 }
 
-func (c *Controller) apply(d ledger.Delta) {
-	c.epoch, c.fresh = d.Epoch, d.Fresh
+func (c *Controller) apply(d statecache.Update) {
+	c.epoch, c.fresh = d.Revision, d.FreshAsOf
 	for _, change := range d.Changes {
 		switch change.Kind {
-		case ledger.KindJob, ledger.KindDone:
+		case statecache.KindJob, statecache.KindCompletionChunk:
 			continue // nothing here depends on them
 		}
 		for _, m := range c.view.Apply(change) {
 			c.machineChanged(m)
 		}
-		if change.Kind == ledger.KindRecovery {
+		if change.Kind == statecache.KindZoneRecovery {
 			c.recordChanged()
 		}
 	}
@@ -105,25 +105,25 @@
 
 // machineChanged keeps the census. A machine that is drained for another reason than
 // its silence or failure goes in an orderly way, and is no evidence.
-func (c *Controller) machineChanged(m ledger.MachineChange) {
+func (c *Controller) machineChanged(m statecache.MachineChange) {
 	switch {
 	case m.New == nil:
 		c.census.Dismiss(m.Machine, false)
-	case m.New.Session == 0:
-	case m.New.Drain == "" && !m.New.Closed:
+	case m.New.Incarnation == 0:
+	case m.New.DrainReason == "" && !m.New.Terminating:
 		c.census.Expect(m.Machine, m.New.Zone)
 	default:
-		c.census.Dismiss(m.Machine, m.New.Drain == ledger.DrainFailed || m.New.Drain == ledger.DrainSilent)
+		c.census.Dismiss(m.Machine, m.New.DrainReason == statecache.DrainFailed || m.New.DrainReason == statecache.DrainUnreachable)
 	}
 }
 
 // recordChanged takes over what another process has written.
 func (c *Controller) recordChanged() {
-	record := c.view.Recovery
+	record := c.view.ZoneRecoveries
 	switch {
 	case record != nil && record.Unreadable:
 		if !c.unreadable {
-			slog.Warn("recovery record is in the layout of another version; zones are treated as without recovery", "key", ledger.RecoveryKey)
+			slog.Warn("recovery record is in the layout of another version; zones are treated as without recovery", "key", statecache.ZoneRecoveryKey)
 		}
 		c.unreadable = true
 		return
@@ -134,7 +134,7 @@
 	c.restore()
 }
 
-func (c *Controller) restore() { c.tracker.Restore(time.Now(), statusesOf(c.view.Recovery)) }
+func (c *Controller) restore() { c.tracker.Restore(time.Now(), statusesOf(c.view.ZoneRecoveries)) }
 
 // look judges the evidence, if this process leads, and records what follows.
 func (c *Controller) look() {
@@ -156,9 +156,9 @@
 
 // lead is the leadership of this process, if it is confirmed. A new leader goes on from
 // the record.
-func (c *Controller) lead() (election.Lead, bool) {
-	maxAge := config.Secs(maxViewReports * c.cfg.Params.Workers.ReportS)
-	lead, ok := election.Confirm(c.view, c.boot, c.epoch, c.fresh, maxAge)
+func (c *Controller) lead() (election.Leadership, bool) {
+	maxAge := config.Seconds(maxViewReports * c.cfg.Params.Workers.HeartbeatInterval)
+	lead, ok := election.ConfirmLeadership(c.view, c.boot, c.epoch, c.fresh, maxAge)
 	if ok && c.term != lead.Term() {
 		c.term, c.serial = lead.Term(), 0
 		c.restore()
@@ -175,7 +175,7 @@
 	all := c.census.Evidence()
 	// A process that began after a zone had lost its last machine knows the zone from the
 	// record alone: it has to be judged all the same, or it would stay lost for ever.
-	for name := range statusesOf(c.view.Recovery) {
+	for name := range statusesOf(c.view.ZoneRecoveries) {
 		if _, known := all[name]; !known {
 			all[name] = zonehealth.Evidence{}
 		}
@@ -198,7 +198,7 @@
 			e.ControllersGone++
 		}
 	}
-	count(c.cfg.Name, c.cfg.Zone)
+	count(c.cfg.MemberName, c.cfg.Zone)
 	for _, p := range c.cfg.Peers {
 		count(p.Name, p.Zone)
 	}
--- a/internal/zonecontrol/controller_test.go
+++ b/internal/zonecontrol/controller_test.go
@@ -10,15 +10,15 @@
 
 	"lynxledge/internal/config"
 	"lynxledge/internal/fakes"
-	"lynxledge/internal/ledger"
 	"lynxledge/internal/place"
+	"lynxledge/internal/statecache"
 )
 
 // noCluster has nothing placed.
 type noCluster struct{}
 
 func (noCluster) WithCluster(f func(place.Cluster)) bool {
-	f(place.Cluster{View: ledger.NewRunningView(8)})
+	f(place.Cluster{View: statecache.NewUnfinishedView(8)})
 	return true
 }
 
@@ -26,7 +26,7 @@
 type member struct {
 	name  string
 	boot  uint64
-	led   *ledger.Ledger
+	led   *statecache.Cache
 	zones *Controller
 }
 
@@ -41,19 +41,19 @@
 
 func newBench(ctx context.Context, t *testing.T) *bench {
 	section := config.DefaultZoneRecovery()
-	cfg := config.Config{Ops: config.DefaultOps()}
-	cfg.Ops.ZoneRecovery = &section
-	cfg.Params.Workers = config.Workers{ReportS: 3, LeaseS: 34, CancelS: 64}
-	cfg.Params.State = config.State{ValueKB: 4, TxnOps: 8, RPS: 150, WriteRPS: 50}
+	cfg := config.Config{Operator: config.DefaultOperatorSettings()}
+	cfg.Operator.ZoneRecovery = &section
+	cfg.Params.Workers = config.WorkerTimings{HeartbeatInterval: 3, LeaseDuration: 34, CancellationDeadline: 64}
+	cfg.Params.Store = config.StoreLimits{MaxValueKB: 4, MaxTxnOps: 8, RequestRate: 150, WriteRate: 50}
 	return &bench{t: t, ctx: ctx, state: fakes.NewState(), net: fakes.NewNet(1, time.Millisecond), cfg: cfg}
 }
 
 func (b *bench) member(name string, boot uint64) *member {
 	conn := &fakes.Conn{State: b.state, Net: b.net, Node: name, Timeout: time.Second}
 	m := &member{name: name, boot: boot}
-	m.led = ledger.Start(b.ctx, conn, ledger.Options{ChunkTasks: 8, Hold: time.Second, MaxAge: time.Second, Backoff: 100 * time.Millisecond})
+	m.led = statecache.Start(b.ctx, conn, statecache.Options{ChunkTasks: 8, WatchHold: time.Second, MaxViewAge: time.Second, Backoff: 100 * time.Millisecond})
 	cfg := b.cfg
-	cfg.Name, cfg.Zone = name, "a"
+	cfg.MemberName, cfg.Zone = name, "a"
 	m.zones = Start(b.ctx, &cfg, boot, m.led, noCluster{})
 	m.led.Run()
 	time.Sleep(time.Second)
@@ -61,28 +61,28 @@
 }
 
 // put writes records as they are.
-func (m *member) put(puts ...ledger.Put) {
-	m.led.Commit(ledger.Commit{Puts: puts}, func(ledger.Outcome) {})
+func (m *member) put(puts ...statecache.Put) {
+	m.led.Commit(statecache.Commit{Puts: puts}, func(statecache.Outcome) {})
 	time.Sleep(500 * time.Millisecond)
 }
 
 func (m *member) lead(term uint64) {
-	m.put(ledger.Put{Key: ledger.LeaderKey, Rec: ledger.Leader{Member: m.name, Boot: m.boot, Term: term}}, ledger.Put{Key: ledger.TermKey, Rec: ledger.Term{Term: term}})
+	m.put(statecache.Put{Key: statecache.LeaderKey, Record: statecache.Leader{Member: m.name, Incarnation: m.boot, Term: term}}, statecache.Put{Key: statecache.TermKey, Record: statecache.Term{Number: term}})
 }
 
-func announce(name string, boot uint64, capabilities ...string) ledger.Put {
-	return ledger.Put{Key: ledger.Key(ledger.KindMember, name), Rec: ledger.Member{Boot: boot, Capabilities: capabilities}}
+func announce(name string, boot uint64, capabilities ...string) statecache.Put {
+	return statecache.Put{Key: statecache.Key(statecache.KindMember, name), Record: statecache.Member{Incarnation: boot, Capabilities: capabilities}}
 }
 
-func machines(zone string, n int) (ledger.Put, []string) {
-	g := &ledger.Group{Name: "g-" + zone, Type: "s", Zone: zone}
+func machines(zone string, n int) (statecache.Put, []string) {
+	g := &statecache.MachineGroup{Name: "g-" + zone, MachineType: "s", Zone: zone}
 	var names []string
 	for i := range n {
 		name := fmt.Sprintf("i-%s%02d", zone, i)
 		names = append(names, name)
-		g.Machines = append(g.Machines, &ledger.Machine{Name: name, Addr: "x:1", Session: 1, Token: 9})
+		g.Machines = append(g.Machines, &statecache.Machine{Name: name, Address: "x:1", Incarnation: 1, FencingToken: 9})
 	}
-	return ledger.Put{Key: ledger.Key(ledger.KindBind, g.Name), Rec: g}, names
+	return statecache.Put{Key: statecache.Key(statecache.KindMachineGroup, g.Name), Record: g}, names
 }
 
 // hear lets seconds pass in which machines are heard by a member.
@@ -94,12 +94,12 @@
 }
 
 // record is the record as it stands, or nil.
-func (b *bench) record() *ledger.Recovery {
-	raw := b.state.Value(ledger.RecoveryKey)
+func (b *bench) record() *statecache.ZoneRecoveries {
+	raw := b.state.Value(statecache.ZoneRecoveryKey)
 	if raw == nil {
 		return nil
 	}
-	r := &ledger.Recovery{}
+	r := &statecache.ZoneRecoveries{}
 	if err := json.Unmarshal(raw, r); err != nil {
 		b.t.Error(err)
 	}
@@ -130,13 +130,13 @@
 		m := b.member("n0", 1)
 		groupA, _ := machines("a", 8)
 		groupB, heard := machines("b", 8)
-		m.put(groupA, groupB, announce("n0", 1, ledger.CapabilityRecovery), announce("n1", 2))
+		m.put(groupA, groupB, announce("n0", 1, statecache.CapabilityZoneRecovery), announce("n1", 2))
 		m.lead(1)
 		hear(30, m, heard)
 		if r := b.record(); r != nil {
 			t.Errorf("written beside a member that doesn't know it: %+v", r)
 		}
-		m.put(announce("n1", 3, ledger.CapabilityRecovery))
+		m.put(announce("n1", 3, statecache.CapabilityZoneRecovery))
 		hear(5, m, heard)
 		if p := b.phase("a"); p != "lost" {
 			t.Errorf("zone a is %s", p)
@@ -156,11 +156,11 @@
 		groupA, _ := machines("a", 8)
 		groupB, heard := machines("b", 8)
 		later := map[string]any{"v": 2, "zones": map[string]string{"a": "lost"}}
-		m.put(groupA, groupB, announce("n0", 1, ledger.CapabilityRecovery), ledger.Put{Key: ledger.RecoveryKey, Rec: later})
+		m.put(groupA, groupB, announce("n0", 1, statecache.CapabilityZoneRecovery), statecache.Put{Key: statecache.ZoneRecoveryKey, Record: later})
 		m.lead(1)
 		hear(30, m, heard)
-		if got, _ := json.Marshal(later); string(b.state.Value(ledger.RecoveryKey)) != string(got) {
-			t.Errorf("rewritten: %s", b.state.Value(ledger.RecoveryKey))
+		if got, _ := json.Marshal(later); string(b.state.Value(statecache.ZoneRecoveryKey)) != string(got) {
+			t.Errorf("rewritten: %s", b.state.Value(statecache.ZoneRecoveryKey))
 		}
 		status, err := m.zones.Status(b.ctx)
 		if err != nil || status.Recorded {
@@ -175,7 +175,7 @@
 		first, second := b.member("n0", 1), b.member("n1", 2)
 		groupA, lost := machines("a", 8)
 		groupB, heard := machines("b", 8)
-		first.put(groupA, groupB, announce("n0", 1, ledger.CapabilityRecovery), announce("n1", 2, ledger.CapabilityRecovery))
+		first.put(groupA, groupB, announce("n0", 1, statecache.CapabilityZoneRecovery), announce("n1", 2, statecache.CapabilityZoneRecovery))
 		first.lead(1)
 		both := func(seconds int, heard []string) {
 			for range seconds {
@@ -210,10 +210,10 @@
 	in(t, func(b *bench) {
 		m := b.member("n0", 1)
 		groupB, heard := machines("b", 8)
-		lost := &ledger.Recovery{Version: ledger.RecoveryVersion, Term: 1, Serial: 4, Zones: []ledger.ZoneRecovery{
+		lost := &statecache.ZoneRecoveries{LayoutVersion: statecache.ZoneRecoveryLayoutVersion, Term: 1, Serial: 4, Zones: []statecache.ZoneRecovery{
 			{Zone: "a", Phase: "lost", Since: time.Now().UnixMilli(), Losses: 1},
 		}}
-		m.put(groupB, announce("n0", 1, ledger.CapabilityRecovery), ledger.Put{Key: ledger.RecoveryKey, Rec: lost})
+		m.put(groupB, announce("n0", 1, statecache.CapabilityZoneRecovery), statecache.Put{Key: statecache.ZoneRecoveryKey, Record: lost})
 		m.lead(2)
 		hear(60, m, heard)
 		if p := b.phase("a"); p != "healthy" && p != "none" {
@@ -228,7 +228,7 @@
 		m := b.member("n0", 1)
 		groupA, a := machines("a", 8)
 		groupB, heard := machines("b", 8)
-		m.put(groupA, groupB, announce("n0", 1, ledger.CapabilityRecovery))
+		m.put(groupA, groupB, announce("n0", 1, statecache.CapabilityZoneRecovery))
 		m.lead(1)
 		hear(20, m, append(a, heard...))
 		hear(60, m, nil)
@@ -240,15 +240,15 @@
 
 // The record fits the smallest value that is accepted, whatever the zones are named.
 func TestRecordFits(t *testing.T) {
-	var zones []ledger.ZoneRecovery
+	var zones []statecache.ZoneRecovery
 	for i := range 8 {
 		phase := []string{"lost", "degraded"}[i%2]
-		zones = append(zones, ledger.ZoneRecovery{
+		zones = append(zones, statecache.ZoneRecovery{
 			Zone: fmt.Sprintf("zone-with-a-name-%d", i), Phase: phase, Since: 1e12, Losses: 3, HoldUntil: 1e12, Evidence: []int{100, 90, 10, 3, 2, 1, 8, 4},
 		})
 	}
 	kept := fitting(zones, 1024)
-	b, _ := json.Marshal(ledger.Recovery{Version: 1, Term: 1 << 40, Serial: 1 << 40, Zones: kept})
+	b, _ := json.Marshal(statecache.ZoneRecoveries{LayoutVersion: 1, Term: 1 << 40, Serial: 1 << 40, Zones: kept})
 	if len(b) > 1024 || len(kept) < 4 {
 		t.Errorf("%d zones in %d bytes", len(kept), len(b))
 	}
--- a/internal/zonecontrol/record.go
+++ b/internal/zonecontrol/record.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"lynxledge/internal/election"
-	"lynxledge/internal/ledger"
+	"lynxledge/internal/statecache"
 	"lynxledge/internal/zonehealth"
 	"lynxledge/wire"
 )
@@ -16,41 +16,41 @@
 // record writes how far the zones are, if that differs from what stands. The write is
 // guarded on leadership and on the record as it was seen: of two leaders, or two writes
 // of one, only one can stand.
-func (c *Controller) record(lead election.Lead, changes []zonehealth.Change) {
+func (c *Controller) record(lead election.Leadership, changes []zonehealth.Change) {
 	zones := c.zoneRecords()
-	standing := c.view.Recovery
-	commit := ledger.Commit{
-		Guards: []wire.Guard{
-			lead.Guard(),
-			{Key: ledger.RecoveryKey, Version: stampOf(standing)},
+	standing := c.view.ZoneRecoveries
+	commit := statecache.Commit{
+		Preconditions: []wire.Precondition{
+			lead.Precondition(),
+			{Key: statecache.ZoneRecoveryKey, ModRevision: stampOf(standing)},
 		},
-		Settle:   true,
-		Patience: 2 * c.period,
+		RetryUntilCertain: true,
+		RetryFor:          2 * c.period,
 	}
 	switch {
-	case !c.view.Announced(ledger.CapabilityRecovery) || len(zones) == 0:
+	case !c.view.AllMembersSupport(statecache.CapabilityZoneRecovery) || len(zones) == 0:
 		// A version that doesn't know the record serves, or nothing is left to say.
 		if standing == nil {
 			return
 		}
-		commit.Delete = []string{ledger.RecoveryKey}
+		commit.Deletes = []string{statecache.ZoneRecoveryKey}
 	case standing != nil && slices.EqualFunc(zones, standing.Zones, sameZone):
 		return
 	default:
 		c.serial++
-		commit.Puts = []ledger.Put{{Key: ledger.RecoveryKey, Rec: &ledger.Recovery{
-			Version: ledger.RecoveryVersion, Term: lead.Term(), Serial: c.serial, Zones: zones,
+		commit.Puts = []statecache.Put{{Key: statecache.ZoneRecoveryKey, Record: &statecache.ZoneRecoveries{
+			LayoutVersion: statecache.ZoneRecoveryLayoutVersion, Term: lead.Term(), Serial: c.serial, Zones: zones,
 		}}}
 	}
 	c.writing = true
-	c.ledger.Commit(commit, func(out ledger.Outcome) { c.Send(func() { c.recorded(out, changes) }) })
+	c.ledger.Commit(commit, func(out statecache.Outcome) { c.Send(func() { c.recorded(out, changes) }) })
 }
 
 // recorded takes the outcome of a write. What did not come to stand is judged again
 // from what does.
-func (c *Controller) recorded(out ledger.Outcome, changes []zonehealth.Change) {
+func (c *Controller) recorded(out statecache.Outcome, changes []zonehealth.Change) {
 	c.writing = false
-	if out != ledger.Committed {
+	if out != statecache.Committed {
 		c.serial++ // should the write come to stand all the same, it isn't known here
 		c.restore()
 		return
@@ -76,9 +76,9 @@
 }
 
 // zoneRecords are the zones of which there is anything to say, as many as fit a value.
-func (c *Controller) zoneRecords() []ledger.ZoneRecovery {
+func (c *Controller) zoneRecords() []statecache.ZoneRecovery {
 	statuses := c.tracker.Statuses()
-	var zones []ledger.ZoneRecovery
+	var zones []statecache.ZoneRecovery
 	for _, name := range slices.Sorted(maps.Keys(statuses)) {
 		status := statuses[name]
 		if status.Phase == zonehealth.Healthy && status.Losses == 0 {
@@ -86,14 +86,14 @@
 		}
 		zones = append(zones, zoneRecordOf(name, status))
 	}
-	return fitting(zones, c.cfg.Params.State.ValueBytes())
+	return fitting(zones, c.cfg.Params.Store.ValueSizeLimit())
 }
 
 // fitting drops what matters least until the zones fit a value: evidence first, then
 // zones that aren't recovering.
-func fitting(zones []ledger.ZoneRecovery, valueBytes int) []ledger.ZoneRecovery {
+func fitting(zones []statecache.ZoneRecovery, valueBytes int) []statecache.ZoneRecovery {
 	fits := func() bool {
-		b, err := json.Marshal(ledger.Recovery{Zones: zones})
+		b, err := json.Marshal(statecache.ZoneRecoveries{Zones: zones})
 		return err == nil && len(b)+recordMargin <= valueBytes
 	}
 	if fits() {
@@ -105,7 +105,7 @@
 	if fits() {
 		return zones
 	}
-	return slices.DeleteFunc(zones, func(z ledger.ZoneRecovery) bool {
+	return slices.DeleteFunc(zones, func(z statecache.ZoneRecovery) bool {
 		phase, err := zonehealth.ParsePhase(z.Phase)
 		return err != nil || !phase.Recovering()
 	})
@@ -114,15 +114,15 @@
 // recordMargin is for the record's own figures, which are not known yet.
 const recordMargin = 64
 
-func stampOf(r *ledger.Recovery) uint64 {
+func stampOf(r *statecache.ZoneRecoveries) uint64 {
 	if r == nil {
 		return 0
 	}
-	return r.Stamp
+	return r.ModRevision
 }
 
-func zoneRecordOf(name string, status zonehealth.Status) ledger.ZoneRecovery {
-	return ledger.ZoneRecovery{
+func zoneRecordOf(name string, status zonehealth.Status) statecache.ZoneRecovery {
+	return statecache.ZoneRecovery{
 		Zone:      name,
 		Phase:     status.Phase.String(),
 		Since:     status.Since.UnixMilli(),
@@ -134,7 +134,7 @@
 }
 
 // statusesOf reads a record; zones in a phase that is not known are left out.
-func statusesOf(record *ledger.Recovery) map[string]zonehealth.Status {
+func statusesOf(record *statecache.ZoneRecoveries) map[string]zonehealth.Status {
 	statuses := map[string]zonehealth.Status{}
 	if record == nil {
 		return statuses
@@ -158,7 +158,7 @@
 }
 
 // sameZone compares all but the evidence, which changes all the time.
-func sameZone(a, b ledger.ZoneRecovery) bool {
+func sameZone(a, b statecache.ZoneRecovery) bool {
 	a.Evidence, b.Evidence = nil, nil
 	return a.Zone == b.Zone && a.Phase == b.Phase && a.Since == b.Since && a.Losses == b.Losses &&
 		a.HoldUntil == b.HoldUntil && a.Step == b.Step
--- a/internal/zonecontrol/status.go
+++ b/internal/zonecontrol/status.go
@@ -9,9 +9,9 @@
 	"slices"
 	"time"
 
-	"lynxledge/internal/ledger"
 	"lynxledge/internal/place"
 	"lynxledge/internal/recovery"
+	"lynxledge/internal/statecache"
 	"lynxledge/internal/zonehealth"
 )
 
@@ -97,12 +97,12 @@
 var errBusy = fmt.Errorf("the controller is too busy to tell")
 
 func (c *Controller) zoneStatus(now time.Time) *Status {
-	status := &Status{Member: c.cfg.Name, Recorded: c.view.Announced(ledger.CapabilityRecovery) && !c.unreadable}
+	status := &Status{Member: c.cfg.MemberName, Recorded: c.view.AllMembersSupport(statecache.CapabilityZoneRecovery) && !c.unreadable}
 	if c.view.Leader != nil {
 		status.Leader = c.view.Leader.Member
 	}
 	evidence := c.evidence(now)
-	recorded := statusesOf(c.view.Recovery)
+	recorded := statusesOf(c.view.ZoneRecoveries)
 	names := slices.Collect(maps.Keys(evidence))
 	for name := range recorded {
 		if _, seen := evidence[name]; !seen {
--- a/internal/zonehealth/policy.go
+++ b/internal/zonehealth/policy.go
@@ -24,9 +24,9 @@
 
 // PolicyOf is the policy that settings ask for; their ZoneRecovery section is set.
 func PolicyOf(cfg *config.Config) Policy {
-	section, workers := cfg.Ops.ZoneRecovery, cfg.Params.Workers
-	reports := func(n float64) time.Duration { return config.Secs(n * workers.ReportS) }
-	leases := func(n float64) time.Duration { return config.Secs(n * workers.LeaseS) }
+	section, workers := cfg.Operator.ZoneRecovery, cfg.Params.Workers
+	reports := func(n float64) time.Duration { return config.Seconds(n * workers.HeartbeatInterval) }
+	leases := func(n float64) time.Duration { return config.Seconds(n * workers.LeaseDuration) }
 	return Policy{
 		DegradedShare: section.DegradedShare,
 		LostShare:     section.LostShare,
--- a/wire/job.go
+++ b/wire/job.go
@@ -16,17 +16,17 @@
 
 // Limits that the protocol states.
 const (
-	MaxBody     = 64 << 10 // bytes of a request body
-	MaxTasks    = 100_000  // tasks of one job
-	maxNameSize = 128      // bytes of a name inside a job: keeps records well under any value limit
-	maxAmount   = 1e9      // amounts and durations beyond this are mistakes
-	maxBuilds   = 64
+	MaxBodyBytes    = 64 << 10 // bytes of a request body
+	MaxTasksPerJob  = 100_000  // tasks of one job
+	maxNameBytes    = 128      // bytes of a name inside a job: keeps records well under any value limit
+	maxAmount       = 1e9      // amounts and durations beyond this are mistakes
+	maxMachineTypes = 64
 )
 
 // Shapes of a job.
 const (
-	ShapeArray   = "array"
-	ShapeService = "service"
+	KindArray   = "array"
+	KindService = "service"
 )
 
 // Priority is the priority of a job; a larger one is more urgent.
@@ -34,15 +34,15 @@
 
 // The priorities, from the least urgent.
 const (
-	RankIdle Priority = iota
-	RankNormal
-	RankHigh
-	RankProd
+	PriorityIdle Priority = iota
+	PriorityNormal
+	PriorityHigh
+	PriorityProduction
 )
 
-var rankNames = [...]string{"idle", "normal", "high", "prod"}
+var priorityNames = [...]string{"idle", "normal", "high", "prod"}
 
-func (r Priority) String() string { return rankNames[r] }
+func (r Priority) String() string { return priorityNames[r] }
 
 // MarshalJSON writes the protocol's word.
 func (r Priority) MarshalJSON() ([]byte, error) { return json.Marshal(r.String()) }
@@ -53,7 +53,7 @@
 	if err := json.Unmarshal(b, &s); err != nil {
 		return err
 	}
-	for i, n := range rankNames {
+	for i, n := range priorityNames {
 		if n == s {
 			*r = Priority(i)
 			return nil
@@ -64,58 +64,58 @@
 
 // Job is what a user submits.
 type Job struct {
-	ID          string   `json:"id"`
-	Class       string   `json:"lane"`
-	Team        string   `json:"crew"`
-	Shape       string   `json:"shape"`
-	Rank        Priority `json:"rank"`
-	Tasks       int      `json:"legs"`
-	CPUs        float64  `json:"cores"`
-	GPUs        float64  `json:"gpus"`
-	MemoryGB    float64  `json:"memoryGb"`
-	Image       string   `json:"bundle"`
-	ImageGB     float64  `json:"sizeGb"`
-	Types       []string `json:"builds,omitempty"`
-	Zone        string   `json:"yard,omitempty"`
-	OneZone     bool     `json:"oneZone"`
-	Spread      bool     `json:"scatter"`
-	Spot        bool     `json:"loaners"`
-	EstimateS   float64  `json:"expectS"`
-	CheckpointS float64  `json:"waypointS"`
-	SaveS       float64  `json:"stashS"`
-	DeadlineS   *float64 `json:"dueS,omitempty"`
+	ID                 string   `json:"id"`
+	Class              string   `json:"lane"`
+	Team               string   `json:"crew"`
+	Kind               string   `json:"shape"`
+	Priority           Priority `json:"rank"`
+	TaskCount          int      `json:"legs"`
+	CPUs               float64  `json:"cores"`
+	GPUs               float64  `json:"gpus"`
+	MemoryGB           float64  `json:"memoryGb"`
+	Image              string   `json:"bundle"`
+	ImageGB            float64  `json:"sizeGb"`
+	MachineTypes       []string `json:"builds,omitempty"`
+	Zone               string   `json:"yard,omitempty"`
+	SingleZone         bool     `json:"oneZone"`
+	SpreadZones        bool     `json:"scatter"`
+	AllowSpot          bool     `json:"loaners"`
+	EstimatedRuntime   float64  `json:"expectS"`
+	CheckpointInterval float64  `json:"waypointS"`
+	CheckpointDuration float64  `json:"stashS"`
+	Deadline           *float64 `json:"dueS,omitempty"`
 	// Awaits names the predecessors: jobs that have to be done before any task of
 	// this one starts.
-	Awaits []string `json:"awaits,omitempty"`
+	Dependencies []string `json:"awaits,omitempty"`
 }
 
-// Service tells whether the job's tasks run until it is cancelled.
-func (j *Job) Service() bool { return j.Shape == ShapeService }
+// IsService tells whether the job's tasks run until it is cancelled.
+func (j *Job) IsService() bool { return j.Kind == KindService }
 
-// rawJob has every field as a pointer: a field that is missing, or null where
+// jobDocument has every field as a pointer: a field that is missing, or null where
 // null is not allowed, must be told from a zero.
-type rawJob struct {
-	ID          *string   `json:"id"`
-	Class       *string   `json:"lane"`
-	Team        *string   `json:"crew"`
-	Shape       *string   `json:"shape"`
-	Rank        *Priority `json:"rank"`
-	Tasks       *int      `json:"legs"`
-	CPUs        *float64  `json:"cores"`
-	GPUs        *float64  `json:"gpus"`
-	MemoryGB    *float64  `json:"memoryGb"`
-	Image       *string   `json:"bundle"`
-	ImageGB     *float64  `json:"sizeGb"`
-	Types       *[]string `json:"builds"`
-	Zone        *string   `json:"yard"`
-	OneZone     *bool     `json:"oneZone"`
-	Spread      *bool     `json:"scatter"`
-	Spot        *bool     `json:"loaners"`
-	EstimateS   *float64  `json:"expectS"`
-	CheckpointS *float64  `json:"waypointS"`
-	SaveS       *float64  `json:"stashS"`
-	DeadlineS   *float64  `json:"dueS"`
-	Awaits      []string  `json:"awaits"`
+type jobDocument struct {
+	ID                 *string   `json:"id"`
+	Class              *string   `json:"lane"`
+	Team               *string   `json:"crew"`
+	Kind               *string   `json:"shape"`
+	Priority           *Priority `json:"rank"`
+	TaskCount          *int      `json:"legs"`
+	CPUs               *float64  `json:"cores"`
+	GPUs               *float64  `json:"gpus"`
+	MemoryGB           *float64  `json:"memoryGb"`
+	Image              *string   `json:"bundle"`
+	ImageGB            *float64  `json:"sizeGb"`
+	MachineTypes       *[]string `json:"builds"`
+	Zone               *string   `json:"yard"`
+	SingleZone         *bool     `json:"oneZone"`
+	SpreadZones        *bool     `json:"scatter"`
+	AllowSpot          *bool     `json:"loaners"`
+	EstimatedRuntime   *float64  `json:"expectS"`
+	CheckpointInterval *float64  `json:"waypointS"`
+	CheckpointDuration *float64  `json:"stashS"`
+	Deadline           *float64  `json:"dueS"`
+	Dependencies       []string  `json:"awaits"`
 }
 
 // ErrMalformed is wrapped by every error of ParseJob.
@@ -140,9 +140,9 @@
 	return nil
 }
 
-// PeekID reads only the id of a submission, so that a repeat of a known job
+// PeekJobID reads only the id of a submission, so that a repeat of a known job
 // can be recognised whatever the rest of its body says.
-func PeekID(b []byte) (string, bool) {
+func PeekJobID(b []byte) (string, bool) {
 	var p struct {
 		ID *string `json:"id"`
 	}
@@ -154,7 +154,7 @@
 
 // ParseJob reads and checks a submission.
 func ParseJob(b []byte) (*Job, error) {
-	var r rawJob
+	var r jobDocument
 	if err := Decode(b, &r); err != nil {
 		return nil, err
 	}
@@ -163,11 +163,11 @@
 		absent bool
 	}{
 		{"id", r.ID == nil}, {"lane", r.Class == nil}, {"crew", r.Team == nil},
-		{"shape", r.Shape == nil}, {"rank", r.Rank == nil}, {"legs", r.Tasks == nil},
+		{"shape", r.Kind == nil}, {"rank", r.Priority == nil}, {"legs", r.TaskCount == nil},
 		{"cores", r.CPUs == nil}, {"gpus", r.GPUs == nil}, {"memoryGb", r.MemoryGB == nil},
-		{"bundle", r.Image == nil}, {"sizeGb", r.ImageGB == nil}, {"oneZone", r.OneZone == nil},
-		{"scatter", r.Spread == nil}, {"loaners", r.Spot == nil}, {"expectS", r.EstimateS == nil},
-		{"waypointS", r.CheckpointS == nil}, {"stashS", r.SaveS == nil},
+		{"bundle", r.Image == nil}, {"sizeGb", r.ImageGB == nil}, {"oneZone", r.SingleZone == nil},
+		{"scatter", r.SpreadZones == nil}, {"loaners", r.AllowSpot == nil}, {"expectS", r.EstimatedRuntime == nil},
+		{"waypointS", r.CheckpointInterval == nil}, {"stashS", r.CheckpointDuration == nil},
 	}
 	for _, m := range missing {
 		if m.absent {
@@ -175,17 +175,17 @@
 		}
 	}
 	j := &Job{
-		ID: *r.ID, Class: *r.Class, Team: *r.Team, Shape: *r.Shape, Rank: *r.Rank,
-		Tasks: *r.Tasks, CPUs: *r.CPUs, GPUs: *r.GPUs, MemoryGB: *r.MemoryGB,
-		Image: *r.Image, ImageGB: *r.ImageGB, OneZone: *r.OneZone, Spread: *r.Spread,
-		Spot: *r.Spot, EstimateS: *r.EstimateS, CheckpointS: *r.CheckpointS,
-		SaveS: *r.SaveS, DeadlineS: r.DeadlineS,
+		ID: *r.ID, Class: *r.Class, Team: *r.Team, Kind: *r.Kind, Priority: *r.Priority,
+		TaskCount: *r.TaskCount, CPUs: *r.CPUs, GPUs: *r.GPUs, MemoryGB: *r.MemoryGB,
+		Image: *r.Image, ImageGB: *r.ImageGB, SingleZone: *r.SingleZone, SpreadZones: *r.SpreadZones,
+		AllowSpot: *r.AllowSpot, EstimatedRuntime: *r.EstimatedRuntime, CheckpointInterval: *r.CheckpointInterval,
+		CheckpointDuration: *r.CheckpointDuration, Deadline: r.Deadline,
 	}
-	if r.Types != nil {
-		if len(*r.Types) == 0 || len(*r.Types) > maxBuilds {
-			return nil, malformed("builds must name 1 to %d types", maxBuilds)
+	if r.MachineTypes != nil {
+		if len(*r.MachineTypes) == 0 || len(*r.MachineTypes) > maxMachineTypes {
+			return nil, malformed("builds must name 1 to %d types", maxMachineTypes)
 		}
-		j.Types = *r.Types
+		j.MachineTypes = *r.MachineTypes
 	}
 	if r.Zone != nil {
 		if *r.Zone == "" {
@@ -193,42 +193,42 @@
 		}
 		j.Zone = *r.Zone
 	}
-	for _, p := range r.Awaits {
+	for _, p := range r.Dependencies {
 		if !ValidJobID(p) {
 			return nil, malformed("awaits: %.40q is not of the form req-000412", p)
 		}
-		if !slices.Contains(j.Awaits, p) {
-			j.Awaits = append(j.Awaits, p)
+		if !slices.Contains(j.Dependencies, p) {
+			j.Dependencies = append(j.Dependencies, p)
 		}
 	}
-	return j, j.check()
+	return j, j.validate()
 }
 
-func (j *Job) check() error {
+func (j *Job) validate() error {
 	if !ValidJobID(j.ID) {
 		return malformed("id %.40q is not of the form req-000412", j.ID)
 	}
-	if j.Shape != ShapeArray && j.Shape != ShapeService {
-		return malformed("shape %.40q", j.Shape)
+	if j.Kind != KindArray && j.Kind != KindService {
+		return malformed("shape %.40q", j.Kind)
 	}
-	if j.Tasks < 1 || j.Tasks > MaxTasks {
-		return malformed("legs must be 1 to %d", MaxTasks)
+	if j.TaskCount < 1 || j.TaskCount > MaxTasksPerJob {
+		return malformed("legs must be 1 to %d", MaxTasksPerJob)
 	}
-	names := append([]string{j.Class, j.Team, j.Image}, j.Types...)
+	names := append([]string{j.Class, j.Team, j.Image}, j.MachineTypes...)
 	for _, n := range names {
-		if n == "" || len(n) > maxNameSize {
-			return malformed("a name is empty or longer than %d bytes", maxNameSize)
+		if n == "" || len(n) > maxNameBytes {
+			return malformed("a name is empty or longer than %d bytes", maxNameBytes)
 		}
 	}
-	if len(j.Zone) > maxNameSize {
-		return malformed("yard is longer than %d bytes", maxNameSize)
+	if len(j.Zone) > maxNameBytes {
+		return malformed("yard is longer than %d bytes", maxNameBytes)
 	}
 	if !(j.CPUs > 0) {
 		return malformed("cores must be more than 0")
 	}
-	amounts := []float64{j.CPUs, j.GPUs, j.MemoryGB, j.ImageGB, j.EstimateS, j.CheckpointS, j.SaveS}
-	if j.DeadlineS != nil {
-		amounts = append(amounts, *j.DeadlineS)
+	amounts := []float64{j.CPUs, j.GPUs, j.MemoryGB, j.ImageGB, j.EstimatedRuntime, j.CheckpointInterval, j.CheckpointDuration}
+	if j.Deadline != nil {
+		amounts = append(amounts, *j.Deadline)
 	}
 	for _, a := range amounts {
 		if math.IsNaN(a) || a < 0 || a > maxAmount {
@@ -255,8 +255,8 @@
 // TaskName is the name that workers know a task by.
 func TaskName(job string, n int) string { return fmt.Sprintf("%s/%d", job, n) }
 
-// SplitTask is the reverse of TaskName.
-func SplitTask(s string) (job string, n int, ok bool) {
+// ParseTaskName is the reverse of TaskName.
+func ParseTaskName(s string) (job string, n int, ok bool) {
 	job, num, found := strings.Cut(s, "/")
 	if !found || !ValidJobID(job) || num == "" || len(num) > 6 || (num[0] == '0' && num != "0") {
 		return "", 0, false
@@ -267,7 +267,7 @@
 		}
 		n = n*10 + int(c-'0')
 	}
-	return job, n, n < MaxTasks
+	return job, n, n < MaxTasksPerJob
 }
 
 // States of a job as users see them.
@@ -280,13 +280,13 @@
 
 // JobStatus answers users.
 type JobStatus struct {
-	ID      string `json:"id"`
-	State   string `json:"status"`
-	Done    int    `json:"done"`
-	Running int    `json:"running"`
+	ID             string `json:"id"`
+	State          string `json:"status"`
+	CompletedTasks int    `json:"done"`
+	RunningTasks   int    `json:"running"`
 }
 
-// Problem is the body of every refusal.
-type Problem struct {
-	Error string `json:"error"`
+// ErrorResponse is the body of every refusal.
+type ErrorResponse struct {
+	Message string `json:"error"`
 }
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -17,17 +17,17 @@
 	amount := rapid.Float64Range(0, 1e6)
 	j := &Job{
 		ID: rapid.StringMatching(`req-[0-9]{6,12}`).Draw(t, "id"), Class: name.Draw(t, "class"), Team: name.Draw(t, "team"),
-		Shape: rapid.SampledFrom([]string{ShapeArray, ShapeService}).Draw(t, "shape"),
-		Rank:  Priority(rapid.IntRange(0, 3).Draw(t, "rank")), Tasks: rapid.IntRange(1, MaxTasks).Draw(t, "tasks"),
+		Kind:     rapid.SampledFrom([]string{KindArray, KindService}).Draw(t, "shape"),
+		Priority: Priority(rapid.IntRange(0, 3).Draw(t, "rank")), TaskCount: rapid.IntRange(1, MaxTasksPerJob).Draw(t, "tasks"),
 		CPUs: rapid.Float64Range(0.1, 1e3).Draw(t, "cpus"), GPUs: amount.Draw(t, "gpus"), MemoryGB: amount.Draw(t, "mem"),
-		Image: name.Draw(t, "image"), ImageGB: amount.Draw(t, "gb"), EstimateS: amount.Draw(t, "estimate"),
-		OneZone: rapid.Bool().Draw(t, "one"), Spread: rapid.Bool().Draw(t, "spread"), Spot: rapid.Bool().Draw(t, "spot"),
+		Image: name.Draw(t, "image"), ImageGB: amount.Draw(t, "gb"), EstimatedRuntime: amount.Draw(t, "estimate"),
+		SingleZone: rapid.Bool().Draw(t, "one"), SpreadZones: rapid.Bool().Draw(t, "spread"), AllowSpot: rapid.Bool().Draw(t, "spot"),
 	}
 	if rapid.Bool().Draw(t, "limited") {
 		d := amount.Draw(t, "deadline")
-		j.DeadlineS, j.Zone = &d, name.Draw(t, "zone")
-		j.Types = rapid.SliceOfN(name, 1, 4).Draw(t, "types")
-		j.Awaits = rapid.SliceOfNDistinct(rapid.StringMatching(`req-[0-9]{6,12}`), 1, 5, rapid.ID).Draw(t, "awaits")
+		j.Deadline, j.Zone = &d, name.Draw(t, "zone")
+		j.MachineTypes = rapid.SliceOfN(name, 1, 4).Draw(t, "types")
+		j.Dependencies = rapid.SliceOfNDistinct(rapid.StringMatching(`req-[0-9]{6,12}`), 1, 5, rapid.ID).Draw(t, "awaits")
 	}
 	return j
 }
@@ -49,7 +49,7 @@
 		j := genJob(t)
 		m := fields(t, j)
 		m["unknown"] = []int{1}
-		if j.DeadlineS == nil {
+		if j.Deadline == nil {
 			m["dueS"], m["builds"], m["yard"], m["awaits"] = nil, nil, nil, rapid.SampledFrom([]any{nil, []string{}}).Draw(t, "none")
 		}
 		b, _ := json.Marshal(m)
@@ -67,7 +67,7 @@
 func TestJobWithOneBadField(t *testing.T) {
 	bad := map[string][]any{
 		"id": {"", 7, "req-12", "job-000412", "req-00041x"}, "lane": {"", 1}, "crew": {"", strings.Repeat("x", 200)},
-		"shape": {"group", 1}, "rank": {"urgent", 3}, "legs": {0, -1, MaxTasks + 1, 1.5, "4"}, "cores": {0, -1, "8", 1e12},
+		"shape": {"group", 1}, "rank": {"urgent", 3}, "legs": {0, -1, MaxTasksPerJob + 1, 1.5, "4"}, "cores": {0, -1, "8", 1e12},
 		"gpus": {-1, "x"}, "memoryGb": {-1, true}, "bundle": {"", 3}, "sizeGb": {-0.5, "1"}, "oneZone": {"true", 1},
 		"scatter": {0}, "loaners": {"no"}, "expectS": {-1, "3"}, "waypointS": {-2}, "stashS": {-3, []int{}},
 		"awaits": {"req-000001", []int{1}, []string{"req-1"}, []string{"req-000001", ""}, []any{nil}},
@@ -104,7 +104,7 @@
 		m := fields(t, genJob(t))
 		m["awaits"] = []string{"req-000002", "req-000001", "req-000002"}
 		b, _ := json.Marshal(m)
-		if j, err := ParseJob(b); err != nil || !reflect.DeepEqual(j.Awaits, []string{"req-000002", "req-000001"}) {
+		if j, err := ParseJob(b); err != nil || !reflect.DeepEqual(j.Dependencies, []string{"req-000002", "req-000001"}) {
 			t.Fatalf("%v, %v", j, err)
 		}
 	})
@@ -126,13 +126,13 @@
 
 func TestTaskNames(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		id, n := rapid.StringMatching(`req-[0-9]{6,9}`).Draw(t, "id"), rapid.IntRange(0, MaxTasks-1).Draw(t, "n")
-		if j, m, ok := SplitTask(TaskName(id, n)); !ok || j != id || m != n {
+		id, n := rapid.StringMatching(`req-[0-9]{6,9}`).Draw(t, "id"), rapid.IntRange(0, MaxTasksPerJob-1).Draw(t, "n")
+		if j, m, ok := ParseTaskName(TaskName(id, n)); !ok || j != id || m != n {
 			t.Fatalf("%s %d became %s %d %v", id, n, j, m, ok)
 		}
 	})
 	for _, s := range []string{"req-000001", "req-000001/", "req-000001/-1", "req-000001/01", "req-000001/100000", "x/1", "req-000001/1/2"} {
-		if _, _, ok := SplitTask(s); ok {
+		if _, _, ok := ParseTaskName(s); ok {
 			t.Errorf("%q accepted", s)
 		}
 	}
@@ -140,13 +140,13 @@
 
 func TestReportCheck(t *testing.T) {
 	neg := -1.0
-	for name, r := range map[string]Report{
-		"no machine": {Addr: "x:1", Type: "t", Zone: "z", Session: 1},
-		"slash":      {Machine: "a/b", Addr: "x:1", Type: "t", Zone: "z", Session: 1},
-		"no session": {Machine: "a", Addr: "x:1", Type: "t", Zone: "z"},
-		"notice":     {Machine: "a", Addr: "x:1", Type: "t", Zone: "z", Session: 1, NoticeS: &neg},
+	for name, r := range map[string]Heartbeat{
+		"no machine": {Address: "x:1", MachineType: "t", Zone: "z", Incarnation: 1},
+		"slash":      {Machine: "a/b", Address: "x:1", MachineType: "t", Zone: "z", Incarnation: 1},
+		"no session": {Machine: "a", Address: "x:1", MachineType: "t", Zone: "z"},
+		"notice":     {Machine: "a", Address: "x:1", MachineType: "t", Zone: "z", Incarnation: 1, PreemptionNotice: &neg},
 	} {
-		if r.Check() == nil {
+		if r.Validate() == nil {
 			t.Errorf("%s accepted", name)
 		}
 	}
--- a/wire/worker.go
+++ b/wire/worker.go
@@ -4,70 +4,70 @@
 
 // States of a task on a worker.
 const (
-	TaskFetching = "fetching"
-	TaskRunning  = "running"
-	TaskSaving   = "saving"
-	TaskExited   = "ended"
+	TaskFetchingImage = "fetching"
+	TaskRunning       = "running"
+	TaskCheckpointing = "saving"
+	TaskExited        = "ended"
 )
 
 // Reasons for which a task exited.
 const (
-	WhyDone    = "done"
-	WhyStopped = "halted"
-	WhyError   = "error"
-	WhyNoRoom  = "no_room"
-	WhyBusy    = "in_use"
-	WhyUnknown = "unknown"
+	ReasonCompleted            = "done"
+	ReasonStopped              = "halted"
+	ReasonError                = "error"
+	ReasonInsufficientCapacity = "no_room"
+	ReasonAttemptConflict      = "in_use"
+	ReasonUnknown              = "unknown"
 )
 
 // Verbs of orders.
 const (
-	OpStart  = "launch"
-	OpStop   = "stop"
-	OpForget = "clear"
+	OpLaunch      = "launch"
+	OpStop        = "stop"
+	OpAcknowledge = "clear"
 )
 
-// TaskReport is one task in a report.
-type TaskReport struct {
-	Task    string `json:"leg"`
-	Attempt uint64 `json:"try"`
-	State   string `json:"status"`
-	Why     string `json:"cause,omitempty"`
-	Saved   bool   `json:"stored,omitempty"`
+// TaskStatus is one task in a report.
+type TaskStatus struct {
+	Task         string `json:"leg"`
+	Attempt      uint64 `json:"try"`
+	State        string `json:"status"`
+	ExitReason   string `json:"cause,omitempty"`
+	Checkpointed bool   `json:"stored,omitempty"`
 }
 
-// Report is what a worker says of itself.
-type Report struct {
-	Machine string       `json:"nest"`
-	Addr    string       `json:"address"`
-	Type    string       `json:"build"`
-	Zone    string       `json:"yard"`
-	Spot    bool         `json:"loaners"`
-	Session uint64       `json:"shift"`
-	Seq     uint64       `json:"tick"`
-	Token   uint64       `json:"baton"`
-	NoticeS *float64     `json:"recallS"`
-	Tasks   []TaskReport `json:"legs"`
+// Heartbeat is what a worker says of itself.
+type Heartbeat struct {
+	Machine          string       `json:"nest"`
+	Address          string       `json:"address"`
+	MachineType      string       `json:"build"`
+	Zone             string       `json:"yard"`
+	Spot             bool         `json:"loaners"`
+	Incarnation      uint64       `json:"shift"`
+	Sequence         uint64       `json:"tick"`
+	FencingToken     uint64       `json:"baton"`
+	PreemptionNotice *float64     `json:"recallS"`
+	Tasks            []TaskStatus `json:"legs"`
 }
 
-// Check refuses a report that no sound worker sends.
-func (r *Report) Check() error {
+// Validate refuses a report that no sound worker sends.
+func (r *Heartbeat) Validate() error {
 	switch {
-	case !ValidMachine(r.Machine):
+	case !ValidMachineName(r.Machine):
 		return malformed("nest %.40q", r.Machine)
-	case !ValidMachine(r.Addr) || r.Type == "" || r.Zone == "":
+	case !ValidMachineName(r.Address) || r.MachineType == "" || r.Zone == "":
 		return malformed("address, build and yard must be set")
-	case r.Session == 0:
+	case r.Incarnation == 0:
 		return malformed("shift must be 1 or more")
-	case r.NoticeS != nil && (math.IsNaN(*r.NoticeS) || *r.NoticeS < 0):
+	case r.PreemptionNotice != nil && (math.IsNaN(*r.PreemptionNotice) || *r.PreemptionNotice < 0):
 		return malformed("recallS is negative")
 	}
 	return nil
 }
 
-// ValidMachine tells whether s can name a machine inside a key.
-func ValidMachine(s string) bool {
-	if s == "" || len(s) > maxNameSize {
+// ValidMachineName tells whether s can name a machine inside a key.
+func ValidMachineName(s string) bool {
+	if s == "" || len(s) > maxNameBytes {
 		return false
 	}
 	for _, c := range []byte(s) {
@@ -78,28 +78,28 @@
 	return true
 }
 
-// Order is one command to a worker.
-type Order struct {
-	Op      string   `json:"verb"`
-	Task    string   `json:"leg"`
-	Attempt uint64   `json:"try"`
-	GraceS  *float64 `json:"windS,omitempty"`
+// Command is one command to a worker.
+type Command struct {
+	Op          string   `json:"verb"`
+	Task        string   `json:"leg"`
+	Attempt     uint64   `json:"try"`
+	GracePeriod *float64 `json:"windS,omitempty"`
 }
 
-// ReportReply answers a report.
-type ReportReply struct {
-	Token  uint64  `json:"baton"`
-	Orders []Order `json:"orders"`
+// HeartbeatResponse answers a report.
+type HeartbeatResponse struct {
+	FencingToken uint64    `json:"baton"`
+	Commands     []Command `json:"orders"`
 }
 
-// Redirect sends a worker to another node.
-type Redirect struct {
-	ReportTo string `json:"reportsTo,omitempty"`
+// RedirectResponse sends a worker to another node.
+type RedirectResponse struct {
+	RedirectTo string `json:"reportsTo,omitempty"`
 }
 
-// Commands go straight to a worker.
-type Commands struct {
-	Token   uint64  `json:"baton"`
-	Session uint64  `json:"shift"`
-	Orders  []Order `json:"orders"`
+// CommandBatch go straight to a worker.
+type CommandBatch struct {
+	FencingToken uint64    `json:"baton"`
+	Incarnation  uint64    `json:"shift"`
+	Commands     []Command `json:"orders"`
 }
