--- a/internal/place/advice_test.go
+++ b/internal/scheduler/advice_test.go
@@ -1,4 +1,4 @@
-package place
+package scheduler
 
 import (
 	"fmt"
@@ -14,7 +14,7 @@
 // silentAdvisor never has any advice.
 type silentAdvisor struct{}
 
-func (silentAdvisor) Advise(time.Time, Cluster) Advice { return nil }
+func (silentAdvisor) Advise(time.Time, ClusterState) Advice { return nil }
 
 // zoneAdvice withholds a zone from arrays, and reserves room on a machine.
 type zoneAdvice struct {
@@ -22,25 +22,25 @@
 	reserved map[*Node]Resources
 }
 
-func (a zoneAdvice) Advise(time.Time, Cluster) Advice            { return a }
+func (a zoneAdvice) Advise(time.Time, ClusterState) Advice       { return a }
 func (a zoneAdvice) Admits(n *Node, j *wire.Job) bool            { return j.IsService() || n.Zone != a.zone }
-func (a zoneAdvice) LastResort(*Node, *wire.Job) bool            { return false }
-func (a zoneAdvice) Preferred(string) []*Node                    { return nil }
-func (a zoneAdvice) Position(string) int                         { return 0 }
-func (a zoneAdvice) Reserved() map[*Node]Resources               { return a.reserved }
+func (a zoneAdvice) IsFallback(*Node, *wire.Job) bool            { return false }
+func (a zoneAdvice) PreferredNodes(string) []*Node                    { return nil }
+func (a zoneAdvice) RecoveryOrder(string) int                         { return 0 }
+func (a zoneAdvice) ReservedCapacity() map[*Node]Resources               { return a.reserved }
 func (a zoneAdvice) with(m map[*Node]Resources) (out zoneAdvice) { a.reserved = m; return a }
 
 // advised makes a placer with machines in two zones, an urgent array of the highest
 // priority but one, and a service of the lowest.
-func advised(advisor Advisor) *Placer {
+func advised(advisor Advisor) *Scheduler {
 	cfg := &config.Config{Operator: config.DefaultOperatorSettings()}
 	cfg.Params.Workers = config.WorkerTimings{HeartbeatInterval: 3, LeaseDuration: 34, CancellationDeadline: 64}
 	cfg.Params.Store = config.StoreLimits{MaxValueKB: 8, MaxTxnOps: 24, RequestRate: 150, WriteRate: 50}
 	cfg.Params.Teams = []config.TeamQuota{{Name: "red"}}
-	p := newPlacer(cfg, 2)
+	p := newScheduler(cfg, 2)
 	p.advisor = advisor
-	p.types["s"] = &wire.MachineType{Name: "s", CPUs: 4, MemoryGB: 16, Zones: []string{"a", "b"}}
-	p.offers = Offers{"a": 1, "b": 1}
+	p.machineTypes["s"] = &wire.MachineType{Name: "s", CPUs: 4, MemoryGB: 16, Zones: []string{"a", "b"}}
+	p.zoneOffers = ZoneOffers{"a": 1, "b": 1}
 	now := time.Now()
 	job := func(id, shape string, rank wire.Priority, tasks int) *statecache.Job {
 		return &statecache.Job{TaskCount: tasks, SubmittedAt: now.UnixMilli(), ModRevision: 1, Spec: &wire.Job{
@@ -52,10 +52,10 @@
 		"req-000002": job("req-000002", wire.KindService, wire.PriorityIdle, 6),
 	} {
 		p.view.Apply(statecache.Change{Kind: statecache.KindJob, Name: id, Record: j, ModRevision: 1})
-		p.active[id] = j
+		p.activeJobs[id] = j
 	}
 	p.view.Apply(statecache.Change{Kind: statecache.KindAssignment, Name: "red", Record: &statecache.Assignment{Member: "n0", Incarnation: 2, ModRevision: 1}, ModRevision: 1})
-	p.epoch, p.fresh = 9, now
+	p.revision, p.freshAsOf = 9, now
 	for _, zone := range []string{"a", "b"} {
 		g := groupOf(zone, 3)
 		g.Zone, g.ModRevision = zone, 1
@@ -63,16 +63,16 @@
 			m.Bindings, m.Group, m.Zone, m.MachineType = nil, g.Name, zone, "s"
 		}
 		for _, m := range p.view.Apply(statecache.Change{Kind: statecache.KindMachineGroup, Name: g.Name, Record: g, ModRevision: 1}) {
-			p.bindChanged(m, now)
+			p.applyMachineChange(m, now)
 		}
 	}
 	return p
 }
 
 // starts counts what a round starts: by job and zone.
-func starts(p *Placer) map[string]int {
+func starts(p *Scheduler) map[string]int {
 	out := map[string]int{}
-	for machine, orders := range p.assemble(time.Now(), 24).starts {
+	for machine, orders := range p.planCycle(time.Now(), 24).launches {
 		for _, o := range orders {
 			id, _, _ := wire.ParseTaskName(o.Task)
 			out[fmt.Sprint(id, " ", p.nodes[machine].Zone)]++
@@ -102,9 +102,9 @@
 	}
 	p = advised(nil)
 	reserved := map[*Node]Resources{}
-	for _, n := range p.all {
+	for _, n := range p.allNodes {
 		if n.Zone == "b" {
-			reserved[n] = Resources{CPUs: 3, Mem: 3}
+			reserved[n] = Resources{CPUs: 3, MemoryGB: 3}
 		}
 	}
 	p.advisor = advice.with(reserved)
@@ -116,9 +116,9 @@
 // lastResortAdvice admits services to no machine, but as a last resort to all.
 type lastResortAdvice struct{ zoneAdvice }
 
-func (a lastResortAdvice) Advise(time.Time, Cluster) Advice { return a }
-func (a lastResortAdvice) Admits(_ *Node, j *wire.Job) bool { return !j.IsService() }
-func (a lastResortAdvice) LastResort(_ *Node, j *wire.Job) bool {
+func (a lastResortAdvice) Advise(time.Time, ClusterState) Advice { return a }
+func (a lastResortAdvice) Admits(_ *Node, j *wire.Job) bool      { return !j.IsService() }
+func (a lastResortAdvice) IsFallback(_ *Node, j *wire.Job) bool {
 	return j.IsService()
 }
 
@@ -126,18 +126,18 @@
 // array got its room, while a service that could go nowhere else was not shown it.
 func TestLastResortOfThisRound(t *testing.T) {
 	p := advised(lastResortAdvice{})
-	p.advise(time.Now())
-	p.roomy = nil
-	r := newRound(time.Now(), 24, Usage{})
-	service := p.active["req-000002"].Spec
-	if n := len(p.lastResort(r, service)); n != 0 {
+	p.consultAdvisor(time.Now())
+	p.nodesWithCapacity = nil
+	r := newCycle(time.Now(), 24, Usage{})
+	service := p.activeJobs["req-000002"].Spec
+	if n := len(p.fallbackNodes(r, service)); n != 0 {
 		t.Errorf("%d machines before any is opened", n)
 	}
-	p.open(r, "b")
-	if n := len(p.lastResort(r, service)); n != 3 {
+	p.openGroup(r, "b")
+	if n := len(p.fallbackNodes(r, service)); n != 3 {
 		t.Errorf("%d of the three machines that the round writes", n)
 	}
-	if n := len(p.lastResort(r, p.active["req-000001"].Spec)); n != 0 {
+	if n := len(p.fallbackNodes(r, p.activeJobs["req-000001"].Spec)); n != 0 {
 		t.Errorf("%d machines for an array", n)
 	}
 }
@@ -146,24 +146,24 @@
 // could not have the room that they leave, and an array took it.
 func TestReplicasThatLeaveInThisRound(t *testing.T) {
 	p := advised(lastResortAdvice{})
-	p.advise(time.Now())
+	p.consultAdvisor(time.Now())
 	g := groupOf("a", 3)
 	g.Zone, g.ModRevision = "a", 2
 	for i, m := range g.Machines {
 		m.Bindings, m.Group, m.Zone, m.MachineType = []statecache.TaskBinding{{Job: "req-000002", TaskIndex: i, Attempt: 1}}, "a", "a", "s"
 	}
 	p.view.Apply(statecache.Change{Kind: statecache.KindMachineGroup, Name: "a", Record: g, ModRevision: 2})
-	r := newRound(time.Now(), 24, Usage{})
-	if z := p.zonesInRound(r, "req-000002"); z["a"] != 3 {
+	r := newCycle(time.Now(), 24, Usage{})
+	if z := p.zoneCountsInCycle(r, "req-000002"); z["a"] != 3 {
 		t.Errorf("%v before anything has left", z)
 	}
-	row := p.open(r, "a").UpdateMachine("i-a001")
+	row := p.openGroup(r, "a").UpdateMachine("i-a001")
 	row.Bindings = nil
-	if z := p.zonesInRound(r, "req-000002"); z["a"] != 2 {
+	if z := p.zoneCountsInCycle(r, "req-000002"); z["a"] != 2 {
 		t.Errorf("%v after one has left", z)
 	}
 	p.advice = nil // as without zone recovery
-	if z := p.zonesInRound(r, "req-000002"); z["a"] != 3 {
+	if z := p.zoneCountsInCycle(r, "req-000002"); z["a"] != 3 {
 		t.Errorf("%v without advice", z)
 	}
 }
--- a/internal/place/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -1,4 +1,4 @@
-package place
+package scheduler
 
 import (
 	"fmt"
@@ -24,16 +24,16 @@
 
 // busyPlacer is a placer without its actors, for a fleet whose machines all hold a task,
 // and a queue that grows with the fleet.
-func busyPlacer(machines int) *Placer {
+func busyPlacer(machines int) *Scheduler {
 	slog.SetDefault(slog.New(slog.NewTextHandler(io.Discard, nil)))
 	cfg := &config.Config{Operator: config.DefaultOperatorSettings()}
 	cfg.Params.Workers = config.WorkerTimings{HeartbeatInterval: 8, LeaseDuration: 44, CancellationDeadline: 74}
 	cfg.Params.Store = config.StoreLimits{MaxValueKB: 4, MaxTxnOps: 8, RequestRate: 200, WriteRate: 20}
 	cfg.Params.Teams = []config.TeamQuota{{Name: "red"}}
-	p := newPlacer(cfg, 1)
-	p.types["s"] = &wire.MachineType{Name: "s", CPUs: 4, MemoryGB: 32, Zones: []string{"a"}}
-	p.offers = Offers{"a": 1}
-	p.scheduled = true // rounds are begun by hand
+	p := newScheduler(cfg, 1)
+	p.machineTypes["s"] = &wire.MachineType{Name: "s", CPUs: 4, MemoryGB: 32, Zones: []string{"a"}}
+	p.zoneOffers = ZoneOffers{"a": 1}
+	p.cycleScheduled = true // rounds are begun by hand
 	at := time.Now().UnixMilli()
 	changes := []statecache.Change{{Kind: statecache.KindAssignment, Name: "red", Record: &statecache.Assignment{Member: "n0", Incarnation: 1}}}
 	jobs := machines/machinesPerJob + 1
@@ -62,27 +62,27 @@
 }
 
 // endOn reports the tasks of some machines of a group as done.
-func (p *Placer) endOn(group string, machines int, now time.Time) {
+func (p *Scheduler) endOn(group string, machines int, now time.Time) {
 	for _, b := range p.view.Groups[group].Machines[:machines] {
 		report := &wire.Heartbeat{Machine: b.Name, Incarnation: 1, Sequence: 1, FencingToken: 9}
 		for i := range b.Bindings {
 			report.Tasks = append(report.Tasks, wire.TaskStatus{Task: b.Bindings[i].TaskName(), Attempt: b.Bindings[i].Attempt, State: wire.TaskExited, ExitReason: wire.ReasonCompleted})
 		}
-		p.file(group, b.Name, &pendingObservation{Observation{Report: report}, now, 1})
+		p.storeEvidence(group, b.Name, &pendingEvidence{Evidence{Heartbeat: report}, now, 1})
 	}
 }
 
 // benchRound puts one round together: in each of four groups a quarter of the machines
 // have ended their tasks, and get others.
-func (p *Placer) benchRound() *round {
+func (p *Scheduler) benchRound() *cycle {
 	now := time.Now()
 	for i := range benchRoundLimit {
 		p.endOn(fmt.Sprintf("g%05d", i*benchGroupSize), benchGroupSize/4, now)
 	}
-	r := p.assemble(now, benchRoundLimit)
-	for _, d := range r.drafts {
+	r := p.planCycle(now, benchRoundLimit)
+	for _, d := range r.groupUpdates {
 		for _, b := range d.Machines {
-			p.renew(b.Name, p.view.Machines[b.Name])
+			p.refreshNode(b.Name, p.view.Machines[b.Name])
 		}
 	}
 	return r
@@ -107,9 +107,9 @@
 	const fewJobs = 1000 / machinesPerJob
 	rounds := func(machines int) float64 {
 		p := busyPlacer(machines)
-		for id := range p.active {
+		for id := range p.activeJobs {
 			if id >= fmt.Sprintf("req-%06d", fewJobs) {
-				delete(p.active, id)
+				delete(p.activeJobs, id)
 			}
 		}
 		// A quarter of the writes is left for groups with nothing to prove.
--- a/internal/place/choose.go
+++ b/internal/scheduler/choose.go
@@ -1,6 +1,6 @@
 // Package place binds tasks to machines: the choice is pure, and an actor
 // makes it through the state service for the teams handed to this controller.
-package place
+package scheduler
 
 import (
 	"math"
@@ -19,51 +19,51 @@
 		(j.Zone == "" || j.Zone == zone) && (j.AllowSpot || !spot)
 }
 
-// Task is one task on a node, as far as the choice cares.
-type Task struct {
-	Job        *wire.Job // nil when its job is unknown
-	N          int
-	Stops      bool      // ordered to stop
-	Guaranteed bool      // its job fits its team's guarantee with the team's earlier jobs
-	Last       bool      // its job has no task waiting: stopping it delays the job
-	Since      time.Time // when it was first seen bound
-	Spent      float64   // seconds since then
+// RunningTask is one task on a node, as far as the choice cares.
+type RunningTask struct {
+	Job             *wire.Job // nil when its job is unknown
+	TaskIndex       int
+	Stopping        bool      // ordered to stop
+	WithinGuarantee bool      // its job fits its team's guarantee with the team's earlier jobs
+	LastOfJob       bool      // its job has no task waiting: stopping it delays the job
+	BoundSince      time.Time // when it was first seen bound
+	RuntimeSoFar    float64   // seconds since then
 }
 
 // Node is a machine that may take tasks.
 type Node struct {
-	Name  string
-	Group string
-	Type  *wire.MachineType
-	Zone  string
-	Spot  bool
-	Open  bool      // tasks may be bound to it
-	Used  Resources // of tasks that are to stay
-	Tasks []Task
-	Image func(image string) bool
+	Name        string
+	Group       string
+	MachineType *wire.MachineType
+	Zone        string
+	Spot        bool
+	Schedulable bool      // tasks may be bound to it
+	Used        Resources // of tasks that are to stay
+	Tasks       []RunningTask
+	HasImage    func(image string) bool
 	// Reserved is kept for replicas that are about to be placed anew: work that may wait
 	// leaves it alone.
 	Reserved Resources
 	// NeedsOwnWrite: using it takes a write of its own. Few groups are written at once.
 	NeedsOwnWrite bool
 
-	roomy int         // place in the index of nodes with room, from 1
-	all   int         // place among all nodes, from 1
-	held  []*wire.Job // one for each task that the sums count
-	pool  *pool       // the pool that counts it as open
+	capacityIndex int         // place in the index of nodes with room, from 1
+	nodeIndex     int         // place among all nodes, from 1
+	countedTasks  []*wire.Job // one for each task that the sums count
+	countedPool   *nodePool   // the pool that counts it as open
 }
 
-// HasRoom tells whether the node has any of its processors and memory left.
-func (n *Node) HasRoom() bool {
-	return n.Open && n.Used.CPUs < n.Type.CPUs-slack && (n.Type.MemoryGB == 0 || n.Used.Mem < n.Type.MemoryGB-slack)
+// HasCapacity tells whether the node has any of its processors and memory left.
+func (n *Node) HasCapacity() bool {
+	return n.Schedulable && n.Used.CPUs < n.MachineType.CPUs-roundingTolerance && (n.MachineType.MemoryGB == 0 || n.Used.MemoryGB < n.MachineType.MemoryGB-roundingTolerance)
 }
 
-// Zones counts a job's tasks by zone, those that are stopping included.
-type Zones map[string]int
+// ZoneCounts counts a job's tasks by zone, those that are stopping included.
+type ZoneCounts map[string]int
 
-// ZonesOf counts a job's bound tasks by zone.
-func ZonesOf(v *statecache.View, job string) Zones {
-	z := Zones{}
+// ZoneCountsOf counts a job's bound tasks by zone.
+func ZoneCountsOf(v *statecache.View, job string) ZoneCounts {
+	z := ZoneCounts{}
 	for _, m := range v.Bindings[job] {
 		z[v.Machines[m].Zone]++
 	}
@@ -71,7 +71,7 @@
 }
 
 // Allows tells whether one more task of the job may be in a zone now.
-func (z Zones) Allows(j *wire.Job, zone string) bool {
+func (z ZoneCounts) Allows(j *wire.Job, zone string) bool {
 	if j.SingleZone {
 		for other, n := range z {
 			if n > 0 && other != zone {
@@ -111,27 +111,27 @@
 
 // CanTake tells whether the node has room for one more task of a job, which needs that
 // much, and the job allows it, given the zones of its other tasks.
-func (n *Node) CanTake(j *wire.Job, need Resources, zones Zones) bool {
-	return Allowed(j, n.Type.Name, n.Zone, n.Spot) && zones.Allows(j, n.Zone) && n.hasRoomFor(j, need)
+func (n *Node) CanTake(j *wire.Job, need Resources, zones ZoneCounts) bool {
+	return Allowed(j, n.MachineType.Name, n.Zone, n.Spot) && zones.Allows(j, n.Zone) && n.hasCapacityFor(j, need)
 }
 
-// hasRoomFor tells whether one more task of a job fits into what the node has free for it.
-func (n *Node) hasRoomFor(j *wire.Job, need Resources) bool {
+// hasCapacityFor tells whether one more task of a job fits into what the node has free for it.
+func (n *Node) hasCapacityFor(j *wire.Job, need Resources) bool {
 	used := n.Used
 	if !j.IsService() && j.Priority < wire.PriorityHigh {
 		used = used.Plus(n.Reserved, 1)
 	}
-	return used.Plus(need, 1).Fits(Capacity(n.Type))
+	return used.Plus(need, 1).Fits(Capacity(n.MachineType))
 }
 
-// Offers tells how many machine types can be rented in a zone, as a share of
+// ZoneOffers tells how many machine types can be rented in a zone, as a share of
 // the zone that offers most.
-type Offers map[string]float64
+type ZoneOffers map[string]float64
 
-// Pick returns the node with room that suits a task of the job best, or nil.
+// PickNode returns the node with room that suits a task of the job best, or nil.
 // Urgent work goes where its image is; the rest packs machines that are in
 // use already, and spot machines before ordinary ones.
-func Pick(j *wire.Job, zones Zones, offers Offers, nodes []*Node) *Node {
+func PickNode(j *wire.Job, zones ZoneCounts, offers ZoneOffers, nodes []*Node) *Node {
 	var best *Node
 	bestScore := math.Inf(1)
 	need := RequestOf(j)
@@ -139,7 +139,7 @@
 		if !n.CanTake(j, need, zones) {
 			continue
 		}
-		if s := score(j, zones, offers, n, Capacity(n.Type)); s < bestScore {
+		if s := score(j, zones, offers, n, Capacity(n.MachineType)); s < bestScore {
 			best, bestScore = n, s
 		}
 	}
@@ -148,9 +148,9 @@
 
 // score orders the nodes that have room; the lowest is best. Its parts are
 // shares of one machine.
-func score(j *wire.Job, zones Zones, offers Offers, n *Node, limit Resources) float64 {
+func score(j *wire.Job, zones ZoneCounts, offers ZoneOffers, n *Node, limit Resources) float64 {
 	s := 1 - n.Used.Share(limit)
-	if !n.Image(j.Image) {
+	if !n.HasImage(j.Image) {
 		if j.Priority >= wire.PriorityHigh {
 			s += 4
 		} else {
--- a/internal/place/choose_test.go
+++ b/internal/scheduler/choose_test.go
@@ -1,4 +1,4 @@
-package place
+package scheduler
 
 import (
 	"fmt"
@@ -29,15 +29,15 @@
 	var nodes []*Node
 	for i := range rapid.IntRange(0, 8).Draw(t, "nodes") {
 		n := &Node{
-			Name: fmt.Sprint(i), Type: &testTypes[rapid.IntRange(0, 1).Draw(t, "type")],
+			Name: fmt.Sprint(i), MachineType: &testTypes[rapid.IntRange(0, 1).Draw(t, "type")],
 			Zone: rapid.SampledFrom([]string{"p", "q"}).Draw(t, "zone"), Spot: rapid.Bool().Draw(t, "spotm"),
-			Image: func(string) bool { return i%2 == 0 },
+			HasImage: func(string) bool { return i%2 == 0 },
 		}
 		for k := range rapid.IntRange(0, 4).Draw(t, "held") {
 			j := genSpec(t, 100+k)
-			if n.Used.Plus(RequestOf(j), 1).Fits(Capacity(n.Type)) {
+			if n.Used.Plus(RequestOf(j), 1).Fits(Capacity(n.MachineType)) {
 				n.Used = n.Used.Plus(RequestOf(j), 1)
-				n.Tasks = append(n.Tasks, Task{Job: j, N: i, Guaranteed: rapid.Bool().Draw(t, "guaranteed")})
+				n.Tasks = append(n.Tasks, RunningTask{Job: j, TaskIndex: i, WithinGuarantee: rapid.Bool().Draw(t, "guaranteed")})
 			}
 		}
 		nodes = append(nodes, n)
@@ -49,13 +49,13 @@
 func TestPick(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		j, nodes := genSpec(t, 1), genNodes(t)
-		zones := Zones{"p": rapid.IntRange(0, 2).Draw(t, "inP"), "q": rapid.IntRange(0, 2).Draw(t, "inQ")}
+		zones := ZoneCounts{"p": rapid.IntRange(0, 2).Draw(t, "inP"), "q": rapid.IntRange(0, 2).Draw(t, "inQ")}
 		ok := func(n *Node) bool {
 			inOther := zones["p"] + zones["q"] - zones[n.Zone]
 			return (j.AllowSpot || !n.Spot) && (!j.SingleZone || inOther == 0) && (!j.SpreadZones || 2*zones[n.Zone] < j.TaskCount) &&
-				n.Used.Plus(RequestOf(j), 1).Fits(Capacity(n.Type))
+				n.Used.Plus(RequestOf(j), 1).Fits(Capacity(n.MachineType))
 		}
-		got := Pick(j, zones, Offers{}, nodes)
+		got := PickNode(j, zones, ZoneOffers{}, nodes)
 		if got != nil && !ok(got) {
 			t.Fatalf("picked %+v for %+v", got, j)
 		}
@@ -79,7 +79,7 @@
 				tally[task.Job.Team] = tally[task.Job.Team].Plus(RequestOf(task.Job), 1)
 			}
 		}
-		v := Preempt(j, Zones{}, Offers{}, nodes, tally, team)
+		v := FindVictims(j, ZoneCounts{}, ZoneOffers{}, nodes, tally, team)
 		if v == nil {
 			return
 		}
@@ -94,7 +94,7 @@
 			if victim.Job.Priority < j.Priority {
 				continue
 			}
-			if victim.Guaranteed {
+			if victim.WithinGuarantee {
 				t.Fatal("what a team is guaranteed is taken from it")
 			}
 			if victim.Job.Team == j.Team {
@@ -108,7 +108,7 @@
 			}
 			left -= victim.Job.CPUs
 		}
-		if !used.Plus(RequestOf(j), 1).Fits(Capacity(v.Node.Type)) {
+		if !used.Plus(RequestOf(j), 1).Fits(Capacity(v.Node.MachineType)) {
 			t.Fatal("victims make no room")
 		}
 	})
@@ -119,7 +119,7 @@
 func TestEarlierJobsAreGuaranteed(t *testing.T) {
 	team := func(string) config.TeamQuota { return config.TeamQuota{Name: "a", GuaranteedCPUs: 10} }
 	job := func(id string, cpus float64) *wire.Job { return &wire.Job{ID: id, Team: "a", CPUs: cpus} }
-	guaranteed := GuaranteedJobs([]Claim{
+	guaranteed := JobsWithinGuarantee([]QuotaClaim{
 		{job("req-000003", 4), 30, 20}, {job("req-000001", 2), 10, 2}, {job("req-000004", 2), 40, 1}, {job("req-000002", 2), 20, 3},
 	}, team)
 	for id, want := range map[string]bool{"req-000001": true, "req-000002": true, "req-000003": false, "req-000004": false} {
@@ -135,16 +135,16 @@
 		return &wire.Job{ID: fmt.Sprintf("req-%06d", n), Kind: wire.KindService, Priority: wire.PriorityProduction, TaskCount: 1 + n%2, CPUs: 4, Image: "x", SpreadZones: spread}
 	}
 	has := func(string) bool { return true }
-	full := &Node{Name: "f", Type: &testTypes[0], Zone: "p", Image: has, Used: Resources{CPUs: 4}, Tasks: []Task{{Job: replica(2, false)}}}
-	other := &Node{Name: "g", Type: &testTypes[0], Zone: "p", Image: has, Used: Resources{CPUs: 4}, Tasks: []Task{{Job: replica(4, false)}}}
-	free := &Node{Name: "h", Type: &testTypes[0], Zone: "q", Image: has}
+	full := &Node{Name: "f", MachineType: &testTypes[0], Zone: "p", HasImage: has, Used: Resources{CPUs: 4}, Tasks: []RunningTask{{Job: replica(2, false)}}}
+	other := &Node{Name: "g", MachineType: &testTypes[0], Zone: "p", HasImage: has, Used: Resources{CPUs: 4}, Tasks: []RunningTask{{Job: replica(4, false)}}}
+	free := &Node{Name: "h", MachineType: &testTypes[0], Zone: "q", HasImage: has}
 	nodes := []*Node{full, other, free}
-	first := Move(replica(1, true), Zones{"q": 1}, nodes)
+	first := FindReplicaToMove(replica(1, true), ZoneCounts{"q": 1}, nodes)
 	if first == nil || first.Node != full {
 		t.Fatalf("not moved: %+v", first)
 	}
-	full.Tasks[0].Stops = true
-	if second := Move(replica(3, true), Zones{"q": 1}, nodes); second != nil {
+	full.Tasks[0].Stopping = true
+	if second := FindReplicaToMove(replica(3, true), ZoneCounts{"q": 1}, nodes); second != nil {
 		t.Fatalf("moved without room: %+v", second)
 	}
 }
--- a/internal/place/estimate_test.go
+++ b/internal/scheduler/estimate_test.go
@@ -1,4 +1,4 @@
-package place
+package scheduler
 
 import (
 	"fmt"
@@ -18,30 +18,30 @@
 func TestEstimatesAreCorrected(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		factor := rapid.Float64Range(0.3, 3).Draw(t, "factor")
-		e := NewEstimates()
+		e := NewRuntimeEstimator()
 		jobs := map[string]*statecache.Job{}
 		for i := range 40 {
 			id := fmt.Sprintf("req-%06d", i)
 			est := rapid.Float64Range(5, 100).Draw(t, "estimate")
 			jobs[id] = &statecache.Job{Spec: &wire.Job{ID: id, Class: "c", EstimatedRuntime: est}}
-			e.Learn([]statecache.Termination{
+			e.Observe([]statecache.Termination{
 				{Job: id, TaskIndex: 0, Reason: wire.ReasonCompleted, Runtime: est * factor},
 				{Job: id, TaskIndex: 1, Reason: wire.ReasonStopped, Runtime: 1000},
 				{Job: id, TaskIndex: 2, Reason: wire.ReasonCompleted},
 			}, jobs)
 		}
 		next := &wire.Job{ID: "req-000099", Class: "c", EstimatedRuntime: 10}
-		if got := e.RunS(next); math.Abs(math.Log(got/(10*factor))) > 0.05 {
+		if got := e.Estimate(next); math.Abs(math.Log(got/(10*factor))) > 0.05 {
 			t.Fatalf("expects %v of 10, owners are off by %v", got, factor)
 		}
-		if got := e.RunS(&wire.Job{ID: "req-000100", Class: "other", EstimatedRuntime: 10}); got != 10 {
+		if got := e.Estimate(&wire.Job{ID: "req-000100", Class: "other", EstimatedRuntime: 10}); got != 10 {
 			t.Fatalf("another class expects %v", got)
 		}
 		jobs[next.ID] = &statecache.Job{Spec: next}
-		for range enoughOf {
-			e.Learn([]statecache.Termination{{Job: next.ID, Reason: wire.ReasonCompleted, Runtime: 77}}, jobs)
+		for range minSamples {
+			e.Observe([]statecache.Termination{{Job: next.ID, Reason: wire.ReasonCompleted, Runtime: 77}}, jobs)
 		}
-		if got := e.RunS(next); math.Abs(got-77) > 1e-9 {
+		if got := e.Estimate(next); math.Abs(got-77) > 1e-9 {
 			t.Fatalf("job's own tasks ran 77, expects %v", got)
 		}
 	})
--- a/internal/place/order_test.go
+++ b/internal/scheduler/order_test.go
@@ -1,4 +1,4 @@
-package place
+package scheduler
 
 import (
 	"math"
@@ -13,17 +13,17 @@
 
 // onTime is how many of the jobs in a set are in time when they run one after
 // the other in order of their latest starts.
-func onTime(jobs []claimant, set uint, from float64) int {
-	var in []claimant
+func onTime(jobs []deadlineCandidate, set uint, from float64) int {
+	var in []deadlineCandidate
 	for i := range jobs {
 		if set&(1<<i) != 0 {
 			in = append(in, jobs[i])
 		}
 	}
-	slices.SortFunc(in, func(a, b claimant) int { return int(math.Copysign(1, a.latest(0)-b.latest(0))) })
+	slices.SortFunc(in, func(a, b deadlineCandidate) int { return int(math.Copysign(1, a.latestStart(0)-b.latestStart(0))) })
 	n := 0
 	for _, j := range in {
-		if from += j.work; from <= j.latest(0) {
+		if from += j.clusterTime; from <= j.latestStart(0) {
 			n++
 		}
 	}
@@ -35,12 +35,12 @@
 func TestStagesKeepAsManyAsCanBe(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		from := rapid.Float64Range(0, 20).Draw(t, "from")
-		jobs := make([]claimant, rapid.IntRange(1, 7).Draw(t, "jobs"))
+		jobs := make([]deadlineCandidate, rapid.IntRange(1, 7).Draw(t, "jobs"))
 		for i := range jobs {
 			d := rapid.Float64Range(-10, 100).Draw(t, "due")
-			jobs[i] = claimant{work: rapid.Float64Range(0.1, 30).Draw(t, "work"), run: rapid.Float64Range(0, 20).Draw(t, "run"), due: []float64{d, 2 * max(d, 1)}}
+			jobs[i] = deadlineCandidate{clusterTime: rapid.Float64Range(0.1, 30).Draw(t, "work"), runtime: rapid.Float64Range(0, 20).Draw(t, "run"), deadlines: []float64{d, 2 * max(d, 1)}}
 		}
-		stage, _ := stages(jobs, from)
+		stage, _ := assignStages(jobs, from)
 		var kept uint
 		for i, s := range stage {
 			if s == 0 {
--- a/internal/place/reconcile_test.go
+++ b/internal/scheduler/reconcile_test.go
@@ -1,4 +1,4 @@
-package place
+package scheduler
 
 import (
 	"fmt"
@@ -39,11 +39,11 @@
 		}
 		p := Reconcile(rec, rep, func(j string) bool { return !cancelled[j] })
 		gone := map[string]bool{}
-		for _, g := range p.Gone {
+		for _, g := range p.Terminated {
 			gone[g.TaskName()] = true
 		}
 		launched := map[string]bool{}
-		for _, o := range p.Orders {
+		for _, o := range p.Commands {
 			if o.Op == wire.OpLaunch {
 				launched[o.Task] = true
 			}
--- a/internal/place/round_test.go
+++ b/internal/scheduler/round_test.go
@@ -1,4 +1,4 @@
-package place
+package scheduler
 
 import (
 	"context"
@@ -9,24 +9,24 @@
 	"time"
 
 	"lynxledge/internal/config"
-	"lynxledge/internal/fakes"
+	"lynxledge/internal/simulation"
 	"lynxledge/internal/statecache"
 	"lynxledge/wire"
 )
 
 // placing runs a placer over a state service that holds groups of machines, each
 // with one task of one job on every machine.
-func placing(t *testing.T, groups map[string]int, f func(l *statecache.Cache, p *Placer)) {
+func placing(t *testing.T, groups map[string]int, f func(l *statecache.Cache, p *Scheduler)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		cfg := &config.Config{Operator: config.DefaultOperatorSettings()}
 		cfg.Params.Workers = config.WorkerTimings{HeartbeatInterval: 8, LeaseDuration: 44, CancellationDeadline: 74}
 		cfg.Params.Store = config.StoreLimits{MaxValueKB: 4, MaxTxnOps: 8, RequestRate: 180, WriteRate: 18}
 		cfg.Params.Teams = []config.TeamQuota{{Name: "red"}}
-		conn := &fakes.Conn{State: fakes.NewState(), Net: fakes.NewNet(1, time.Millisecond), Node: "n0", Timeout: time.Second}
+		conn := &simulation.StoreConn{Store: simulation.NewStore(), Net: simulation.NewNetwork(1, time.Millisecond), Node: "n0", Timeout: time.Second}
 		l := statecache.Start(ctx, conn, statecache.Options{ChunkTasks: statecache.ChunkTasks(4), WatchHold: time.Second, MaxViewAge: time.Second, Backoff: 100 * time.Millisecond})
 		p := Start(ctx, cfg, 2, l, nil, func(*wire.Heartbeat) {})
-		p.SetTypes([]wire.MachineType{{Name: "s", CPUs: 4, MemoryGB: 16, HourlyPrice: 1, Zones: []string{"a"}}})
+		p.SetMachineTypes([]wire.MachineType{{Name: "s", CPUs: 4, MemoryGB: 16, HourlyPrice: 1, Zones: []string{"a"}}})
 		l.Run()
 		time.Sleep(time.Second)
 		c := statecache.Commit{Puts: []statecache.Put{
@@ -59,15 +59,15 @@
 }
 
 // endedOn is a report that a machine's one task has completed.
-func endedOn(g *statecache.MachineGroup, i int) Observation {
+func endedOn(g *statecache.MachineGroup, i int) Evidence {
 	b := g.Machines[i]
-	return Observation{Report: &wire.Heartbeat{Machine: b.Name, Address: "x:1", MachineType: "s", Zone: "a", Incarnation: 1, Sequence: 1, FencingToken: 9, Tasks: []wire.TaskStatus{
+	return Evidence{Heartbeat: &wire.Heartbeat{Machine: b.Name, Address: "x:1", MachineType: "s", Zone: "a", Incarnation: 1, Sequence: 1, FencingToken: 9, Tasks: []wire.TaskStatus{
 		{Task: b.Bindings[0].TaskName(), Attempt: 1, State: wire.TaskExited, ExitReason: wire.ReasonCompleted},
 	}}}
 }
 
 // in runs f in the placer's actor.
-func in(p *Placer, f func()) {
+func in(p *Scheduler, f func()) {
 	done := make(chan bool)
 	p.Send(func() { f(); done <- true })
 	<-done
@@ -77,12 +77,12 @@
 // them, however long it takes: each write of its own would make the writer's
 // guards fail. Once nobody writes any more, it does.
 func TestOthersLeaveASlowWriterAlone(t *testing.T) {
-	placing(t, map[string]int{"a": 1, "b": 1}, func(l *statecache.Cache, p *Placer) {
+	placing(t, map[string]int{"a": 1, "b": 1}, func(l *statecache.Cache, p *Scheduler) {
 		gone := func() (out bool) {
 			in(p, func() { out = len(p.view.Machines["i-a000"].Bindings) == 0 })
 			return out
 		}
-		p.Observe(endedOn(groupOf("a", 1), 0), 16*time.Second)
+		p.HandleEvidence(endedOn(groupOf("a", 1), 0), 16*time.Second)
 		other := groupOf("b", 1)
 		other.Terminations = []statecache.Termination{{Machine: "i-b000", Job: "req-000001", TaskIndex: 7, Reason: wire.ReasonCompleted}}
 		for range 12 { // 36 s
@@ -102,22 +102,22 @@
 // A round with few writes takes the groups whose places have stood empty longest,
 // all taken together; but none waits for more than a report.
 func TestEmptiestGroupsFirst(t *testing.T) {
-	placing(t, map[string]int{"a": 1, "b": 30}, func(_ *statecache.Cache, p *Placer) {
+	placing(t, map[string]int{"a": 1, "b": 30}, func(_ *statecache.Cache, p *Scheduler) {
 		pick := func(aWaits, bWaits time.Duration) (first []string) {
 			in(p, func() {
 				now := time.Now()
-				p.file("a", "i-a000", &pendingObservation{endedOn(groupOf("a", 1), 0), now.Add(-aWaits), 1})
+				p.storeEvidence("a", "i-a000", &pendingEvidence{endedOn(groupOf("a", 1), 0), now.Add(-aWaits), 1})
 				for i := range 30 {
 					n := endedOn(groupOf("b", 30), i)
-					p.file("b", n.Report.Machine, &pendingObservation{n, now.Add(-bWaits), 1})
+					p.storeEvidence("b", n.Heartbeat.Machine, &pendingEvidence{n, now.Add(-bWaits), 1})
 				}
-				r := newRound(now, 1, Usage{})
-				p.takeObservations(r, true, false)
-				for g := range r.drafts {
+				r := newCycle(now, 1, Usage{})
+				p.applyPendingEvidence(r, true, false)
+				for g := range r.groupUpdates {
 					first = append(first, g)
 				}
 				for m := range p.nodes {
-					p.undo([]string{m})
+					p.resetNodes([]string{m})
 				}
 			})
 			return first
@@ -134,21 +134,21 @@
 // What a record says of tasks that have just left is gone with the next write:
 // no marks are folded to make room for it.
 func TestFoldingIgnoresWhatLeft(t *testing.T) {
-	placing(t, map[string]int{"a": 30}, func(_ *statecache.Cache, p *Placer) {
-		fold := func(fill func(d *draft)) (n int) {
+	placing(t, map[string]int{"a": 30}, func(_ *statecache.Cache, p *Scheduler) {
+		fold := func(fill func(d *groupUpdate)) (n int) {
 			in(p, func() {
-				r := newRound(time.Now(), 8, Usage{})
-				d := p.open(r, "a")
+				r := newCycle(time.Now(), 8, Usage{})
+				d := p.openGroup(r, "a")
 				fill(d)
-				if d.EncodedSize() <= p.valueBytes(foldFill) {
+				if d.EncodedSize() <= p.valueSizeShare(compactionFillShare) {
 					t.Error("the record has room")
 				}
-				p.fold(r, d)
-				n = len(r.doneSets)
+				p.compactCompletions(r, d)
+				n = len(r.completionChunks)
 			})
 			return n
 		}
-		if n := fold(func(d *draft) {
+		if n := fold(func(d *groupUpdate) {
 			d.MarkCompleted("req-000001", 1)
 			for i := range 80 {
 				d.Terminations = append(d.Terminations, statecache.Termination{Machine: "i-a000", Job: "req-000001", TaskIndex: 1000 + i, Reason: wire.ReasonCompleted, Runtime: 20.5})
@@ -156,7 +156,7 @@
 		}); n != 0 {
 			t.Errorf("%d folds for tasks that left", n)
 		}
-		if n := fold(func(d *draft) {
+		if n := fold(func(d *groupUpdate) {
 			for i := range 700 {
 				d.MarkCompleted("req-000001", 2*i)
 			}
@@ -170,22 +170,22 @@
 // full: new ones would fill the record before themselves, and replicas waited
 // beside machines with room.
 func TestOnlyFullGroupsMerge(t *testing.T) {
-	placing(t, map[string]int{"a": 4, "b": 2}, func(_ *statecache.Cache, p *Placer) {
+	placing(t, map[string]int{"a": 4, "b": 2}, func(_ *statecache.Cache, p *Scheduler) {
 		merged := func(cpus float64) bool {
 			out := false
 			in(p, func() {
-				p.view.Assignments["red"] = &statecache.Assignment{Member: "n0", Incarnation: p.boot}
+				p.view.Assignments["red"] = &statecache.Assignment{Member: "n0", Incarnation: p.incarnation}
 				p.view.Jobs["req-000001"].Spec.CPUs = cpus
 				for m, b := range p.view.Machines {
-					p.renew(m, b)
+					p.refreshNode(m, b)
 				}
-				r := newRound(time.Now(), 8, Usage{})
-				p.open(r, "a")
-				p.open(r, "b")
+				r := newCycle(time.Now(), 8, Usage{})
+				p.openGroup(r, "a")
+				p.openGroup(r, "b")
 				var c statecache.Commit
-				p.merge(r, &c)
-				if out = len(r.drafts) == 1; out && (len(c.Deletes) != 1 || len(r.drafts["a"].Machines) != 6 || r.assignments["red"] != p.view.Assignments["red"].ModRevision) {
-					t.Errorf("%+v, %d machines", c, len(r.drafts["a"].Machines))
+				p.mergeGroups(r, &c)
+				if out = len(r.groupUpdates) == 1; out && (len(c.Deletes) != 1 || len(r.groupUpdates["a"].Machines) != 6 || r.assignmentPreconditions["red"] != p.view.Assignments["red"].ModRevision) {
+					t.Errorf("%+v, %d machines", c, len(r.groupUpdates["a"].Machines))
 				}
 			})
 			return out
@@ -222,24 +222,24 @@
 // there are, and by so many of the waiting jobs, however many wait.
 func TestLookingIsBounded(t *testing.T) {
 	for _, size := range []struct{ machines, jobs int }{{100, 10}, {2000, 500}} {
-		placing(t, map[string]int{}, func(l *statecache.Cache, p *Placer) {
+		placing(t, map[string]int{}, func(l *statecache.Cache, p *Scheduler) {
 			crowd(l, size.machines, size.jobs)
 			in(p, func() {
-				p.view.Assignments["red"] = &statecache.Assignment{Member: "n0", Incarnation: p.boot}
-				q := p.queue(p.mine(), time.Now())
-				share := searchShares(q)[wire.PriorityProduction]
-				if want := min(1, float64(maxSearches)/float64(size.jobs)); share != want {
+				p.view.Assignments["red"] = &statecache.Assignment{Member: "n0", Incarnation: p.incarnation}
+				q := p.queue(p.ownAssignments(), time.Now())
+				share := victimSearchShares(q)[wire.PriorityProduction]
+				if want := min(1, float64(maxVictimSearches)/float64(size.jobs)); share != want {
 					t.Errorf("%v of %d jobs look, not %v", share, size.jobs, want)
 				}
-				r := newRound(time.Now(), 8, Usage{})
-				r.searchShare = map[wire.Priority]float64{wire.PriorityProduction: 1}
+				r := newCycle(time.Now(), 8, Usage{})
+				r.victimSearchShare = map[wire.Priority]float64{wire.PriorityProduction: 1}
 				p.placeJob(r, q[0])
-				if n := len(r.judged); n != maxSample {
+				if n := len(r.victimFactsUpdated); n != maxSample {
 					t.Errorf("%d of %d machines looked at for one job", n, size.machines)
 				}
-				r.searchShare[wire.PriorityProduction] = 0
-				r.judged = map[*Node]bool{}
-				if p.placeJob(r, q[0]); len(r.judged) > 0 {
+				r.victimSearchShare[wire.PriorityProduction] = 0
+				r.victimFactsUpdated = map[*Node]bool{}
+				if p.placeJob(r, q[0]); len(r.victimFactsUpdated) > 0 {
 					t.Error("looked out of turn")
 				}
 			})
@@ -250,7 +250,7 @@
 // What one changed machine costs does not grow with the fleet.
 func TestChangeCostsTheSameInAnyFleet(t *testing.T) {
 	allocs := func(machines int) (n float64) {
-		placing(t, map[string]int{"z": 50}, func(l *statecache.Cache, p *Placer) {
+		placing(t, map[string]int{"z": 50}, func(l *statecache.Cache, p *Scheduler) {
 			crowd(l, machines, 10)
 			in(p, func() {
 				g := *p.view.Groups["z"]
@@ -279,20 +279,20 @@
 // What a report proves goes to the mesh, and to this placer, which may put it
 // together with an earlier one: a map that both held ended the process.
 func TestNoteIsNotWrittenTo(t *testing.T) {
-	placing(t, map[string]int{"a": 1}, func(_ *statecache.Cache, p *Placer) {
+	placing(t, map[string]int{"a": 1}, func(_ *statecache.Cache, p *Scheduler) {
 		first, second := endedOn(groupOf("a", 1), 0), endedOn(groupOf("a", 1), 0)
-		first.RanS = map[string]float64{"req-000001/0": 4}
-		second.Report.Sequence, second.RanS = 2, map[string]float64{"req-000001/1": 5}
-		p.Observe(first, time.Minute)
-		p.Observe(second, time.Minute)
+		first.TaskRuntimes = map[string]float64{"req-000001/0": 4}
+		second.Heartbeat.Sequence, second.TaskRuntimes = 2, map[string]float64{"req-000001/1": 5}
+		p.HandleEvidence(first, time.Minute)
+		p.HandleEvidence(second, time.Minute)
 		in(p, func() {
-			n := p.observations["a"]["i-a000"]
-			if n == nil || len(n.RanS) != 2 {
+			n := p.pendingEvidence["a"]["i-a000"]
+			if n == nil || len(n.TaskRuntimes) != 2 {
 				t.Errorf("not put together: %+v", n)
 			}
 		})
-		if len(second.RanS) != 1 {
-			t.Errorf("the sender's map was written to: %v", second.RanS)
+		if len(second.TaskRuntimes) != 1 {
+			t.Errorf("the sender's map was written to: %v", second.TaskRuntimes)
 		}
 	})
 }
@@ -300,15 +300,15 @@
 // A commit that took long, or a process that stood still behind it, launches
 // nothing itself: the job may have been cancelled meanwhile.
 func TestNothingLaunchedLongAfterTheRound(t *testing.T) {
-	placing(t, map[string]int{"a": 1}, func(_ *statecache.Cache, p *Placer) {
+	placing(t, map[string]int{"a": 1}, func(_ *statecache.Cache, p *Scheduler) {
 		launched := func(ago time.Duration) (n int) {
 			c := make(commands, 1)
 			in(p, func() {
-				p.worker = c
+				p.workers = c
 				rec := &statecache.Machine{Name: "i-a000", Address: "x:1", Incarnation: 1, FencingToken: 10}
-				p.launch(&round{
-					now: time.Now().Add(-ago), rows: map[string]*statecache.Machine{"i-a000": rec},
-					starts: map[string][]wire.Command{"i-a000": {{Op: wire.OpLaunch, Task: "req-000001/7", Attempt: 10}}},
+				p.launch(&cycle{
+					now: time.Now().Add(-ago), launchedMachines: map[string]*statecache.Machine{"i-a000": rec},
+					launches: map[string][]wire.Command{"i-a000": {{Op: wire.OpLaunch, Task: "req-000001/7", Attempt: 10}}},
 				})
 			})
 			synctest.Wait()
@@ -323,7 +323,7 @@
 // commands counts what is sent to workers.
 type commands chan wire.CommandBatch
 
-func (c commands) Do(_ context.Context, _ string, cmd wire.CommandBatch) (*wire.Heartbeat, error) {
+func (c commands) SendCommands(_ context.Context, _ string, cmd wire.CommandBatch) (*wire.Heartbeat, error) {
 	c <- cmd
 	return nil, context.Canceled
 }
@@ -331,13 +331,13 @@
 // However often a job's tasks have failed, it is tried again before it has waited
 // for long beside machines with room.
 func TestBackOffEnds(t *testing.T) {
-	placing(t, map[string]int{"a": 1}, func(_ *statecache.Cache, p *Placer) {
+	placing(t, map[string]int{"a": 1}, func(_ *statecache.Cache, p *Scheduler) {
 		in(p, func() {
 			now := time.Now()
 			for range 20 {
-				p.fail("req-000001", "i-a000", wire.ReasonError, now)
+				p.backOffJob("req-000001", "i-a000", wire.ReasonError, now)
 			}
-			if wait := p.failed["req-000001"].until.Sub(now); wait != 44*time.Second {
+			if wait := p.failures["req-000001"].until.Sub(now); wait != 44*time.Second {
 				t.Errorf("%v after 20 failures, not a lease", wait)
 			}
 		})
@@ -347,26 +347,26 @@
 // Marks go to whole chunks until the service refuses their size; then what doesn't
 // fit goes to parts, beside what whole chunks hold already.
 func TestMarksGoToPartsUnderALowerLimit(t *testing.T) {
-	placing(t, map[string]int{"a": 1}, func(_ *statecache.Cache, p *Placer) {
+	placing(t, map[string]int{"a": 1}, func(_ *statecache.Cache, p *Scheduler) {
 		in(p, func() {
-			p.cfg.Params.Store.Upcoming = &config.UpcomingStoreLimits{WriteRate: 15, MaxValueKB: 1, MaxTxnOps: 4}
-			p.cfg.StoreRates = &config.StoreRates{}
+			p.config.Params.Store.Upcoming = &config.UpcomingStoreLimits{WriteRate: 15, MaxValueKB: 1, MaxTxnOps: 4}
+			p.config.StoreRates = &config.StoreRates{}
 			part := statecache.TasksPerCompletionPart(1024)
-			r := &round{doneSets: map[string]*statecache.CompletionChunk{}}
+			r := &cycle{completionChunks: map[string]*statecache.CompletionChunk{}}
 			for _, task := range []int{0, part - 1, part, 9000} {
-				if id := p.recordOf(r, "req-000001", task); id != (statecache.CompletionChunkID{FirstTask: statecache.WholeChunk}) {
+				if id := p.completionChunkFor(r, "req-000001", task); id != (statecache.CompletionChunkID{FirstTask: statecache.WholeChunk}) {
 					t.Errorf("before: task %d goes to %v", task, id)
 				}
 			}
-			p.cfg.StoreRates.ObserveLowerSizeLimit()
+			p.config.StoreRates.ObserveLowerSizeLimit()
 			for task, from := range map[int]int{0: statecache.WholeChunk, part - 1: statecache.WholeChunk, part: part, 9000: 9000 / part * part} {
-				if id := p.recordOf(r, "req-000001", task); id != (statecache.CompletionChunkID{FirstTask: from}) {
+				if id := p.completionChunkFor(r, "req-000001", task); id != (statecache.CompletionChunkID{FirstTask: from}) {
 					t.Errorf("after: task %d goes to %v", task, id)
 				}
 			}
 			var whole *statecache.CompletionChunk
 			p.view.CompletionChunks["req-000001"] = map[statecache.CompletionChunkID]*statecache.CompletionChunk{{FirstTask: statecache.WholeChunk}: whole.With(part + 100)}
-			if id := p.recordOf(r, "req-000001", 0); id != (statecache.CompletionChunkID{FirstTask: 0}) {
+			if id := p.completionChunkFor(r, "req-000001", 0); id != (statecache.CompletionChunkID{FirstTask: 0}) {
 				t.Errorf("beside a whole chunk that is too large: %v", id)
 			}
 		})
@@ -376,13 +376,13 @@
 // A record that is full before its machines are is split by whoever places for all,
 // and one that no longer fits the limit, in a round that has the writes for it.
 func TestFullRecordsAreSplit(t *testing.T) {
-	placing(t, map[string]int{"a": 20}, func(l *statecache.Cache, p *Placer) {
+	placing(t, map[string]int{"a": 20}, func(l *statecache.Cache, p *Scheduler) {
 		in(p, func() {
-			p.worker = make(commands, 100)
+			p.workers = make(commands, 100)
 			for _, h := range p.view.Assignments {
-				h.Incarnation = p.boot
+				h.Incarnation = p.incarnation
 			}
-			p.fullRecords["a"] = true
+			p.crowdedGroups["a"] = true
 			p.schedule()
 		})
 		time.Sleep(5 * time.Second)
@@ -390,8 +390,8 @@
 			if len(p.view.Groups) != 1 { // it fits into one
 				t.Errorf("%d groups", len(p.view.Groups))
 			}
-			p.cfg.Params.Store.Upcoming = &config.UpcomingStoreLimits{WriteRate: 15, MaxValueKB: 0.5, MaxTxnOps: 4}
-			p.largeRecords["a"] = true
+			p.config.Params.Store.Upcoming = &config.UpcomingStoreLimits{WriteRate: 15, MaxValueKB: 0.5, MaxTxnOps: 4}
+			p.oversizedGroups["a"] = true
 			p.schedule()
 		})
 		time.Sleep(10 * time.Second)
@@ -415,26 +415,26 @@
 // A stage with a priority that the pipeline's last job lends it takes no other work's
 // place while it can still be in time; one whose priority is its own does.
 func TestInheritedPriorityTakesNoPlaceBeforeItPresses(t *testing.T) {
-	placing(t, map[string]int{"a": 4}, func(_ *statecache.Cache, p *Placer) {
+	placing(t, map[string]int{"a": 4}, func(_ *statecache.Cache, p *Scheduler) {
 		taken := func(inherited bool, due time.Duration) (n int) {
 			in(p, func() {
 				now := time.Now()
 				spec := &wire.Job{ID: "req-000002", Team: "red", Kind: wire.KindArray, Priority: wire.PriorityHigh, TaskCount: 1, CPUs: 1, MemoryGB: 1, EstimatedRuntime: 10}
 				j := &statecache.Job{Spec: spec, TaskCount: 1, SubmittedAt: now.Add(-20 * time.Second).UnixMilli(), PriorityInherited: inherited, InheritedDeadline: now.Add(due).UnixMilli()}
-				p.active["req-000002"], p.view.Jobs["req-000002"] = j, j
+				p.activeJobs["req-000002"], p.view.Jobs["req-000002"] = j, j
 				p.view.Jobs["req-000001"].Spec.EstimatedRuntime = 0.1 // leaves the cluster to it soon
-				p.cfg.Params.Objectives = []config.Objective{{Kind: "guarantee", Within: 5}}
-				p.view.Assignments["red"] = &statecache.Assignment{Member: "n0", Incarnation: p.boot}
-				r := newRound(now, 8, Usage{})
-				r.searchShare = map[wire.Priority]float64{wire.PriorityHigh: 1}
-				for _, w := range p.queue(p.mine(), now) {
+				p.config.Params.Objectives = []config.Objective{{Kind: "guarantee", Within: 5}}
+				p.view.Assignments["red"] = &statecache.Assignment{Member: "n0", Incarnation: p.incarnation}
+				r := newCycle(now, 8, Usage{})
+				r.victimSearchShare = map[wire.Priority]float64{wire.PriorityHigh: 1}
+				for _, w := range p.queue(p.ownAssignments(), now) {
 					if w.id == "req-000002" {
 						p.placeJob(r, w)
 					}
 				}
 				n = len(r.stops)
 				for m, b := range p.view.Machines {
-					p.renew(m, b)
+					p.refreshNode(m, b)
 				}
 			})
 			return n
@@ -454,21 +454,21 @@
 // An array that gave way as soon as it was placed waits for a report; one that had
 // run for a while, and a service, don't.
 func TestWhatGivesWayAtOnceWaits(t *testing.T) {
-	placing(t, map[string]int{"a": 1}, func(_ *statecache.Cache, p *Placer) {
+	placing(t, map[string]int{"a": 1}, func(_ *statecache.Cache, p *Scheduler) {
 		queued := func(spent float64, shape string, later time.Duration) bool {
 			out := false
 			in(p, func() {
-				p.view.Assignments["red"] = &statecache.Assignment{Member: "n0", Incarnation: p.boot}
+				p.view.Assignments["red"] = &statecache.Assignment{Member: "n0", Incarnation: p.incarnation}
 				p.view.Jobs["req-000001"].Spec.Kind = shape
 				n := p.nodes["i-a000"]
-				r := newRound(time.Now(), 8, Usage{})
-				n.Tasks[0].Spent = spent
-				p.stop(r, p.open(r, "a"), &Victims{Node: n, Tasks: []int{0}})
-				for _, w := range p.queue(p.mine(), r.now.Add(later)) {
+				r := newCycle(time.Now(), 8, Usage{})
+				n.Tasks[0].RuntimeSoFar = spent
+				p.preempt(r, p.openGroup(r, "a"), &PreemptionVictims{Node: n, Tasks: []int{0}})
+				for _, w := range p.queue(p.ownAssignments(), r.now.Add(later)) {
 					out = out || w.id == "req-000001"
 				}
-				clear(p.gaveWay)
-				p.undo([]string{"i-a000"})
+				clear(p.preemptedUntil)
+				p.resetNodes([]string{"i-a000"})
 			})
 			return out
 		}
@@ -485,19 +485,19 @@
 // counted as full until the next one, it left its machines idle for as long as that took.
 func TestTasksThatLeftMakeRoom(t *testing.T) {
 	const machines = 130
-	placing(t, map[string]int{"a": machines}, func(_ *statecache.Cache, p *Placer) {
+	placing(t, map[string]int{"a": machines}, func(_ *statecache.Cache, p *Scheduler) {
 		in(p, func() {
 			group := groupOf("a", machines)
 			for i := range machines {
 				n := endedOn(group, i)
-				p.file("a", n.Report.Machine, &pendingObservation{n, time.Now(), 1})
+				p.storeEvidence("a", n.Heartbeat.Machine, &pendingEvidence{n, time.Now(), 1})
 			}
-			r := newRound(time.Now(), 8, Usage{})
-			if full := p.view.Groups["a"].RetainedSize(); full < p.valueBytes(recordFill)*9/10 {
+			r := newCycle(time.Now(), 8, Usage{})
+			if full := p.view.Groups["a"].RetainedSize(); full < p.valueSizeShare(bindingFillShare)*9/10 {
 				t.Errorf("%d bytes: the record has room anyhow", full)
 			}
-			p.takeObservations(r, true, false)
-			w := waiting{id: "req-000001", job: p.view.Jobs["req-000001"]}
+			p.applyPendingEvidence(r, true, false)
+			w := queuedJob{id: "req-000001", job: p.view.Jobs["req-000001"]}
 			bound := 0
 			for i, b := range group.Machines {
 				if p.bind(r, p.nodes[b.Name], w, 5000+i) {
@@ -508,7 +508,7 @@
 			if bound < machines/2 {
 				t.Errorf("room for %d tasks in place of %d", bound, machines)
 			}
-			if size := r.drafts["a"].RetainedSize(); size > p.valueBytes(recordFill) {
+			if size := r.groupUpdates["a"].RetainedSize(); size > p.valueSizeShare(bindingFillShare) {
 				t.Errorf("%d bytes", size)
 			}
 		})
@@ -519,8 +519,8 @@
 // large that way is split by the next one: tried again as it is, what its reports prove
 // would never be written.
 func TestRecordThatARoundMakesTooLargeIsSplit(t *testing.T) {
-	placing(t, map[string]int{}, func(l *statecache.Cache, p *Placer) {
-		limit := p.cfg.Params.Store.ValueSizeLimit()
+	placing(t, map[string]int{}, func(l *statecache.Cache, p *Scheduler) {
+		limit := p.config.Params.Store.ValueSizeLimit()
 		group := &statecache.MachineGroup{Name: "a", MachineType: "s", Zone: "a"}
 		for i := 0; group.RetainedSize() < limit*87/100; i++ {
 			b := &statecache.Machine{Name: fmt.Sprintf("i-a%03d", i), Address: "x:1", Incarnation: 1, FencingToken: statecache.FirstToken(1) + 9}
@@ -531,7 +531,7 @@
 		}
 		l.Commit(statecache.Commit{Puts: []statecache.Put{
 			{Key: statecache.Key(statecache.KindMachineGroup, "a"), Record: group},
-			{Key: statecache.Key(statecache.KindAssignment, "red"), Record: statecache.Assignment{Member: "n0", Incarnation: p.boot}},
+			{Key: statecache.Key(statecache.KindAssignment, "red"), Record: statecache.Assignment{Member: "n0", Incarnation: p.incarnation}},
 			{Key: statecache.TermKey, Record: &statecache.Term{Number: 2}},
 		}}, func(statecache.Outcome) {})
 		time.Sleep(time.Second)
@@ -544,7 +544,7 @@
 				}
 				report.Tasks = append(report.Tasks, task)
 			}
-			p.Observe(Observation{Report: report}, 0)
+			p.HandleEvidence(Evidence{Heartbeat: report}, 0)
 		}
 		time.Sleep(10 * time.Second)
 		in(p, func() {
--- a/internal/place/stage.go
+++ b/internal/scheduler/stage.go
@@ -1,4 +1,4 @@
-package place
+package scheduler
 
 import (
 	"math"
@@ -40,10 +40,10 @@
 	return slices.Compact(out)
 }
 
-// ReadyIn tells of blocked jobs in how many seconds they could run, given how long
+// DependencyWaits tells of blocked jobs in how many seconds they could run, given how long
 // each job that is not blocked will take, and which of those holds them up.
-func ReadyIn(blocked map[string]*statecache.Job, active func(id string) bool, left, runS func(id string) float64) map[string]Held {
-	out := make(map[string]Held, len(blocked))
+func DependencyWaits(blocked map[string]*statecache.Job, active func(id string) bool, left, runS func(id string) float64) map[string]DependencyWait {
+	out := make(map[string]DependencyWait, len(blocked))
 	for id := range blocked {
 		for todo := []string{id}; len(todo) > 0; {
 			id := todo[len(todo)-1]
@@ -51,7 +51,7 @@
 				todo = todo[:len(todo)-1]
 				continue
 			}
-			h, deeper := Held{}, len(todo)
+			h, deeper := DependencyWait{}, len(todo)
 			for _, before := range blocked[id].Spec.Dependencies {
 				if !active(before) {
 					continue
@@ -60,13 +60,13 @@
 				if blocked[before] == nil {
 					end = left(before)
 				} else if b, known := out[before]; known {
-					end, by = b.S+runS(before), b.By
+					end, by = b.Wait+runS(before), b.BlockedBy
 				} else {
 					todo = append(todo, before)
 					continue
 				}
-				if h.By == "" || end > h.S {
-					h = Held{end, by}
+				if h.BlockedBy == "" || end > h.Wait {
+					h = DependencyWait{end, by}
 				}
 			}
 			if len(todo) == deeper {
@@ -78,8 +78,8 @@
 	return out
 }
 
-// Held says in how many seconds a job could run, and which job keeps it until then.
-type Held struct {
-	S  float64
-	By string
+// DependencyWait says in how many seconds a job could run, and which job keeps it until then.
+type DependencyWait struct {
+	Wait      float64
+	BlockedBy string
 }
--- a/internal/place/stage_test.go
+++ b/internal/scheduler/stage_test.go
@@ -1,4 +1,4 @@
-package place
+package scheduler
 
 import (
 	"fmt"
@@ -76,8 +76,8 @@
 	asked := 0
 	left := func(id string) float64 { asked++; return map[string]float64{"a": 10, "x": 3}[id] }
 	run := func(id string) float64 { return map[string]float64{"b": 5, "c": 7}[id] }
-	got := ReadyIn(blocked, func(string) bool { return true }, left, run)
-	for id, want := range map[string]Held{"b": {10, "a"}, "c": {10, "a"}, "d": {17, "a"}} {
+	got := DependencyWaits(blocked, func(string) bool { return true }, left, run)
+	for id, want := range map[string]DependencyWait{"b": {10, "a"}, "c": {10, "a"}, "d": {17, "a"}} {
 		if got[id] != want {
 			t.Errorf("%s: %+v, want %+v", id, got[id], want)
 		}
@@ -97,8 +97,8 @@
 	}
 	asked = 0
 	left = func(string) float64 { asked++; return 1 }
-	got = ReadyIn(blocked, func(string) bool { return true }, left, func(string) float64 { return 1 })
-	if got["39-0"].S != 39 || asked > 40*12*12 {
-		t.Errorf("ready in %v, %d looks", got["39-0"].S, asked)
+	got = DependencyWaits(blocked, func(string) bool { return true }, left, func(string) float64 { return 1 })
+	if got["39-0"].Wait != 39 || asked > 40*12*12 {
+		t.Errorf("ready in %v, %d looks", got["39-0"].Wait, asked)
 	}
 }
--- a/internal/place/victims.go
+++ b/internal/scheduler/victims.go
@@ -1,4 +1,4 @@
-package place
+package scheduler
 
 import (
 	"math"
@@ -8,58 +8,58 @@
 	"lynxledge/wire"
 )
 
-// Victims is a set of tasks to stop on a node so that another fits.
-type Victims struct {
+// PreemptionVictims is a set of tasks to stop on a node so that another fits.
+type PreemptionVictims struct {
 	Node  *Node
 	Tasks []int // indices into Node.Tasks
 	Cost  float64
 }
 
-// Preempt finds the cheapest set of tasks to stop for a task of job j. Work
+// FindVictims finds the cheapest set of tasks to stop for a task of job j. Work
 // of lower priority may go; with the team inside its guarantee so may work of any
 // priority that another team runs beyond its own. Nothing else may.
-func Preempt(j *wire.Job, zones Zones, offers Offers, nodes []*Node, tally Usage, team func(string) config.TeamQuota) *Victims {
-	var best *Victims
+func FindVictims(j *wire.Job, zones ZoneCounts, offers ZoneOffers, nodes []*Node, tally Usage, team func(string) config.TeamQuota) *PreemptionVictims {
+	var best *PreemptionVictims
 	bestScore := 0.0
 	need := RequestOf(j)
 	guaranteed := tally.WithinGuarantee(team(j.Team), need)
 	for _, n := range nodes {
-		if !Allowed(j, n.Type.Name, n.Zone, n.Spot) || !zones.Allows(j, n.Zone) {
+		if !Allowed(j, n.MachineType.Name, n.Zone, n.Spot) || !zones.Allows(j, n.Zone) {
 			continue
 		}
-		v := victims(j, n, need, guaranteed, tally, team)
+		v := victimsOnNode(j, n, need, guaranteed, tally, team)
 		if v == nil {
 			continue
 		}
-		if s := score(j, zones, offers, n, Capacity(n.Type)); best == nil || s-bestScore < -1 || s-bestScore < 1 && v.Cost < best.Cost {
+		if s := score(j, zones, offers, n, Capacity(n.MachineType)); best == nil || s-bestScore < -1 || s-bestScore < 1 && v.Cost < best.Cost {
 			best, bestScore = v, s
 		}
 	}
 	return best
 }
 
-func victims(j *wire.Job, n *Node, need Resources, guaranteed bool, tally Usage, team func(string) config.TeamQuota) *Victims {
-	limit := Capacity(n.Type)
+func victimsOnNode(j *wire.Job, n *Node, need Resources, guaranteed bool, tally Usage, team func(string) config.TeamQuota) *PreemptionVictims {
+	limit := Capacity(n.MachineType)
 	type candidate struct {
 		i    int
 		cost float64
 	}
 	var cands []candidate
 	for i, t := range n.Tasks {
-		if t.Job == nil || t.Stops {
+		if t.Job == nil || t.Stopping {
 			continue
 		}
 		lower := t.Job.Priority < j.Priority
-		if !lower && (!guaranteed || t.Guaranteed || t.Job.Team == j.Team) {
+		if !lower && (!guaranteed || t.WithinGuarantee || t.Job.Team == j.Team) {
 			continue
 		}
-		lost := t.Spent
+		lost := t.RuntimeSoFar
 		if t.Job.CheckpointInterval > 0 {
 			lost = math.Min(lost, t.Job.CheckpointInterval)
 		}
 		if t.Job.IsService() {
 			lost += 60 // a replica's users notice
-		} else if t.Last {
+		} else if t.LastOfJob {
 			lost += t.Job.EstimatedRuntime
 		}
 		cands = append(cands, candidate{i, (1 + lost) * t.Job.CPUs * float64(1+3*t.Job.Priority)})
@@ -73,7 +73,7 @@
 		}
 		return a.i - b.i
 	})
-	v := &Victims{Node: n}
+	v := &PreemptionVictims{Node: n}
 	used := n.Used
 	left := Usage{}
 	for _, c := range cands {
@@ -88,7 +88,7 @@
 			if !ok {
 				u = tally[owner.Name]
 			}
-			if u.CPUs <= owner.GuaranteedCPUs+slack && u.GPUs <= owner.GuaranteedGPUs+slack {
+			if u.CPUs <= owner.GuaranteedCPUs+roundingTolerance && u.GPUs <= owner.GuaranteedGPUs+roundingTolerance {
 				continue
 			}
 			left[owner.Name] = u.Plus(RequestOf(t.Job), -1)
@@ -103,29 +103,29 @@
 	return v
 }
 
-// Move finds a replica that could as well run in another zone, where there is
+// FindReplicaToMove finds a replica that could as well run in another zone, where there is
 // room for it, and whose going makes room for a task that must spread into
 // its zone. The replica is stopped to be placed again.
-func Move(j *wire.Job, zones Zones, nodes []*Node) *Victims {
+func FindReplicaToMove(j *wire.Job, zones ZoneCounts, nodes []*Node) *PreemptionVictims {
 	if !j.SpreadZones || !j.IsService() {
 		return nil
 	}
 	need := RequestOf(j)
 	for _, n := range nodes {
-		if !Allowed(j, n.Type.Name, n.Zone, n.Spot) || !zones.Allows(j, n.Zone) {
+		if !Allowed(j, n.MachineType.Name, n.Zone, n.Spot) || !zones.Allows(j, n.Zone) {
 			continue
 		}
 		elsewhere := slices.DeleteFunc(slices.Clone(nodes), func(o *Node) bool { return o.Zone == n.Zone })
 		for i, t := range n.Tasks {
-			if t.Job == nil || t.Stops || !t.Job.IsService() || t.Job.SpreadZones && t.Job.TaskCount > 1 || t.Job.CheckpointInterval > 0 {
+			if t.Job == nil || t.Stopping || !t.Job.IsService() || t.Job.SpreadZones && t.Job.TaskCount > 1 || t.Job.CheckpointInterval > 0 {
 				continue
 			}
-			if !n.Used.Plus(RequestOf(t.Job), -1).Plus(need, 1).Fits(Capacity(n.Type)) {
+			if !n.Used.Plus(RequestOf(t.Job), -1).Plus(need, 1).Fits(Capacity(n.MachineType)) {
 				continue
 			}
-			if to := Pick(t.Job, Zones{}, Offers{}, elsewhere); to != nil && to.Image(t.Job.Image) {
+			if to := PickNode(t.Job, ZoneCounts{}, ZoneOffers{}, elsewhere); to != nil && to.HasImage(t.Job.Image) {
 				to.Used = to.Used.Plus(RequestOf(t.Job), 1) // one room is not for two
-				return &Victims{Node: n, Tasks: []int{i}}
+				return &PreemptionVictims{Node: n, Tasks: []int{i}}
 			}
 		}
 	}
--- a/internal/place/writerate_test.go
+++ b/internal/scheduler/writerate_test.go
@@ -1,4 +1,4 @@
-package place
+package scheduler
 
 import (
 	"testing"
@@ -23,13 +23,13 @@
 	} {
 		cfg := &config.Config{Operator: config.DefaultOperatorSettings()}
 		cfg.Params.Store.WriteRate = limit
-		p := &Placer{cfg: cfg, othersWrites: writeMeter{window: 8 * time.Second}}
+		p := &Scheduler{config: cfg, otherWriters: writeRateMeter{window: 8 * time.Second}}
 		now := time.Now()
 		for range 60 {
 			now = now.Add(time.Second)
-			p.ownWrites = 8
-			p.countOthers(8, now)
-			p.countOthers(test.others, now)
+			p.pendingOwnWrites = 8
+			p.observeOtherWrites(8, now)
+			p.observeOtherWrites(test.others, now)
 		}
 		// A smoothed rate is a little too high just after a count.
 		if got := p.writeRate(now); got > test.want+0.01*limit || got < test.want-0.04*limit {
--- a/internal/fakes/cloud.go
+++ b/internal/simulation/cloud.go
@@ -1,4 +1,4 @@
-package fakes
+package simulation
 
 import (
 	"context"
@@ -164,16 +164,16 @@
 	c.limits = limits
 }
 
-// Stick makes the next n machines never come up.
-func (c *Cloud) Stick(n int) {
+// StickBoots makes the next n machines never come up.
+func (c *Cloud) StickBoots(n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.stuck = n
 }
 
-// Fail stops the i-th machine that is up, with everything on it; taken: the
+// FailMachine stops the i-th machine that is up, with everything on it; taken: the
 // cloud takes it back, and it is not listed any more.
-func (c *Cloud) Fail(i int, taken bool) string {
+func (c *Cloud) FailMachine(i int, taken bool) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	up := c.up()
@@ -222,24 +222,24 @@
 	}
 }
 
-// Bounce restarts a machine at once.
-func (c *Cloud) Bounce(id string) {
+// FastRestart restarts a machine at once.
+func (c *Cloud) FastRestart(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if h := c.hosts[id]; h != nil && h.worker != nil {
-		h.worker.Bounce()
+		h.worker.FastRestart()
 	}
 }
 
-// Notice gives a machine notice that it will be taken, which happens then.
-func (c *Cloud) Notice(id string, seconds float64) {
+// NotifyPreemption gives a machine notice that it will be taken, which happens then.
+func (c *Cloud) NotifyPreemption(id string, seconds float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	h := c.hosts[id]
 	if h == nil || h.worker == nil {
 		return
 	}
-	h.worker.Notice(seconds)
+	h.worker.NotifyPreemption(seconds)
 	time.AfterFunc(time.Duration(seconds*float64(time.Second)), func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
@@ -291,19 +291,19 @@
 // CloudConn is one controller's connection to the cloud.
 type CloudConn struct {
 	Cloud   *Cloud
-	Net     *Net
+	Net     *Network
 	Node    string
 	Timeout time.Duration
 	World   context.Context // machines outlive the controllers
 }
 
-// Types and the other methods are what the controllers use.
-func (c *CloudConn) Types(ctx context.Context) ([]wire.MachineType, error) {
+// MachineTypes and the other methods are what the controllers use.
+func (c *CloudConn) MachineTypes(ctx context.Context) ([]wire.MachineType, error) {
 	return send(ctx, c.Net, c.Node, CloudHost, c.Timeout, func() ([]wire.MachineType, error) { return c.Cloud.types, nil })
 }
 
-// Hire rents.
-func (c *CloudConn) Hire(ctx context.Context, r wire.ProvisionRequest) ([]string, error) {
+// Provision rents.
+func (c *CloudConn) Provision(ctx context.Context, r wire.ProvisionRequest) ([]string, error) {
 	return send(ctx, c.Net, c.Node, CloudHost, c.Timeout, func() ([]string, error) { return c.Cloud.hire(c.World, r) })
 }
 
--- a/internal/fakes/decisions.go
+++ b/internal/simulation/decisions.go
@@ -1,4 +1,4 @@
-package fakes
+package simulation
 
 import (
 	"time"
@@ -14,7 +14,7 @@
 }
 
 // sending notes that a transaction is about to be sent, perhaps again.
-func (s *State) sending(txn *wire.Txn) {
+func (s *Store) sending(txn *wire.Txn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.decisions.sent == nil {
@@ -26,14 +26,14 @@
 }
 
 // carriedOut notes the revision of a transaction; the caller holds the lock.
-func (s *State) carriedOut(txn *wire.Txn) {
+func (s *Store) carriedOut(txn *wire.Txn) {
 	if sent, known := s.decisions.sent[txn]; known {
 		s.decisions.made[s.rev] = sent
 	}
 }
 
 // Decided is when the transaction that made a revision was sent for the first time.
-func (s *State) Decided(revision uint64) time.Time {
+func (s *Store) Decided(revision uint64) time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.decisions.made[revision]
--- a/internal/fakes/idle.go
+++ b/internal/simulation/idle.go
@@ -1,4 +1,4 @@
-package fakes
+package simulation
 
 import (
 	"slices"
@@ -16,7 +16,7 @@
 //
 // The room has to be one machine's: where all machines are in use, at any moment one of
 // them has just ended a task and not begun the next.
-func (r *Rules) Idle(up []wire.Instance, types []wire.MachineType) {
+func (r *InvariantChecker) Idle(up []wire.Instance, types []wire.MachineType) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.over {
@@ -40,7 +40,7 @@
 			continue
 		}
 		if machine := r.roomFor(t, up, since); machine != "" {
-			r.breach("left waiting: %s (%d of %d done, %d run) beside room for it on %s", id, len(t.completed), j.TaskCount, on[id], machine)
+			r.violation("left waiting: %s (%d of %d done, %d run) beside room for it on %s", id, len(t.completed), j.TaskCount, on[id], machine)
 			t.waits = now
 		}
 	}
@@ -48,7 +48,7 @@
 
 // followRoom notes how much of each machine that is up is free, and counts each job's
 // tasks that are on machines.
-func (r *Rules) followRoom(up []wire.Instance, types []wire.MachineType, now time.Time) (on map[string]int) {
+func (r *InvariantChecker) followRoom(up []wire.Instance, types []wire.MachineType, now time.Time) (on map[string]int) {
 	used := map[string]amount{}
 	on = map[string]int{}
 	for task, h := range r.on {
@@ -77,7 +77,7 @@
 
 // roomFor names a machine that is up, on which one more task of a job may start, and
 // that has had room for it at all times since then, if there is one.
-func (r *Rules) roomFor(t *jobRecord, up []wire.Instance, since time.Time) string {
+func (r *InvariantChecker) roomFor(t *jobRecord, up []wire.Instance, since time.Time) string {
 	i := slices.IndexFunc(up, func(h wire.Instance) bool {
 		room := r.free[h.ID]
 		if room == nil || room.since.After(since) {
--- a/internal/fakes/idle_test.go
+++ b/internal/simulation/idle_test.go
@@ -1,4 +1,4 @@
-package fakes
+package simulation
 
 import (
 	"slices"
@@ -45,15 +45,15 @@
 		{"they take turns", func(second int) wire.Instance { return up[second/80%2] }, false},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			r := NewRules(config.Params{Teams: []config.TeamQuota{{Name: "red"}}})
+			r := NewInvariantChecker(config.Params{Teams: []config.TeamQuota{{Name: "red"}}})
 			array := func(id string) {
 				r.Submitted(&wire.Job{ID: id, Team: "red", Kind: wire.KindArray, TaskCount: 2, CPUs: 4, MemoryGB: 1}, time.Hour)
-				r.Told(id, 201, wire.JobQueued)
+				r.JobAnswered(id, 201, wire.JobQueued)
 			}
 			array("req-000001") // runs
 			array("req-000002") // waits
 			r.Started(up[0], "req-000001/0")
-			r.Over()
+			r.FaultsOver()
 			for second := range 300 {
 				r.Ended("i-1", "req-000001/0")
 				r.Ended("i-2", "req-000001/0")
@@ -61,8 +61,8 @@
 				r.Idle(up, types)
 				time.Sleep(time.Second)
 			}
-			if left := len(r.Breaches()) > 0; left != test.left {
-				t.Errorf("%s: %v", test.name, r.Breaches())
+			if left := len(r.Violations()) > 0; left != test.left {
+				t.Errorf("%s: %v", test.name, r.Violations())
 			}
 		})
 	}
--- a/internal/fakes/loopback/machines.go
+++ b/internal/simulation/loopback/machines.go
@@ -17,15 +17,15 @@
 	"github.com/go-chi/chi/v5"
 
 	"lynxledge/internal/cloud"
-	"lynxledge/internal/fakes"
+	"lynxledge/internal/simulation"
 	"lynxledge/wire"
 )
 
 // CloudHandler answers one controller as the cloud does.
-func CloudHandler(conn *fakes.CloudConn) http.Handler {
+func CloudHandler(conn *simulation.CloudConn) http.Handler {
 	r := chi.NewRouter()
 	r.Get("/machine_types", func(w http.ResponseWriter, r *http.Request) {
-		types, err := conn.Types(r.Context())
+		types, err := conn.MachineTypes(r.Context())
 		answer(w, wire.MachineTypeList{Types: types}, err)
 	})
 	r.Post("/hosts", func(w http.ResponseWriter, r *http.Request) {
@@ -33,7 +33,7 @@
 		if !read(w, r, &request) {
 			return
 		}
-		names, err := conn.Hire(r.Context(), request)
+		names, err := conn.Provision(r.Context(), request)
 		if errors.Is(err, cloud.ErrNoCapacity) {
 			refuse(w, http.StatusServiceUnavailable, "no capacity")
 			return
@@ -88,7 +88,7 @@
 }
 
 // ServeWorker answers commands for a machine at an address until the context ends.
-func ServeWorker(ctx context.Context, machine, address string, conn *fakes.WorkerConn) error {
+func ServeWorker(ctx context.Context, machine, address string, conn *simulation.WorkerConn) error {
 	listener, err := net.Listen("tcp4", address)
 	if err != nil {
 		return err
@@ -100,7 +100,7 @@
 		if !read(w, r, &commands) {
 			return
 		}
-		report, err := conn.Do(r.Context(), name, commands)
+		report, err := conn.SendCommands(r.Context(), name, commands)
 		answer(w, report, err)
 	})
 	r.Get("/inspect", func(w http.ResponseWriter, r *http.Request) {
@@ -114,7 +114,7 @@
 }
 
 // PostTo hands reports to a controller's users' address.
-func PostTo(client *http.Client, address string) fakes.Post {
+func PostTo(client *http.Client, address string) simulation.Post {
 	return func(ctx context.Context, report *wire.Heartbeat) (reply wire.HeartbeatResponse, reportTo string, ok bool) {
 		body, err := json.Marshal(report)
 		if err != nil {
--- a/internal/fakes/loopback/state.go
+++ b/internal/simulation/loopback/state.go
@@ -14,13 +14,13 @@
 
 	"github.com/go-chi/chi/v5"
 
-	"lynxledge/internal/fakes"
 	"lynxledge/internal/kvstore"
+	"lynxledge/internal/simulation"
 	"lynxledge/wire"
 )
 
 // StateHandler answers one controller as the state service does.
-func StateHandler(conn *fakes.Conn) http.Handler {
+func StateHandler(conn *simulation.StoreConn) http.Handler {
 	r := chi.NewRouter()
 	r.Get("/kv", func(w http.ResponseWriter, r *http.Request) {
 		q := r.URL.Query()
--- a/internal/fakes/net.go
+++ b/internal/simulation/net.go
@@ -1,4 +1,4 @@
-package fakes
+package simulation
 
 import (
 	"context"
@@ -10,25 +10,25 @@
 
 // Names of the regional services in the network.
 const (
-	StateHost = "state"
+	StoreHost = "state"
 	CloudHost = "cloud"
 )
 
 // errNoAnswer is what a caller sees of anything lost, late or cut.
 var errNoAnswer = errors.New("no answer")
 
-// Net decides the fate of each message.
-type Net struct {
-	mu     sync.Mutex
-	rng    *rand.Rand
-	loss   float64         // of requests and of answers
-	repeat float64         // of requests that arrive once more, late
-	cuts   map[string]*cut // by host
-	pairs  map[[2]string]*cut
-	deaf   map[string]bool          // hosts that are heard, but hear nothing
-	mute   map[string]bool          // hosts whose own requests reach nobody
-	slow   map[string]time.Duration // hosts that answer some requests later, by up to so much
-	delay  time.Duration
+// Network decides the fate of each message.
+type Network struct {
+	mu                  sync.Mutex
+	rng                 *rand.Rand
+	loss                float64         // of requests and of answers
+	repeat              float64         // of requests that arrive once more, late
+	cuts                map[string]*cut // by host
+	pairs               map[[2]string]*cut
+	inboundPartitioned  map[string]bool          // hosts that are heard, but hear nothing
+	outboundPartitioned map[string]bool          // hosts whose own requests reach nobody
+	slow                map[string]time.Duration // hosts that answer some requests later, by up to so much
+	delay               time.Duration
 }
 
 type cut struct {
@@ -36,22 +36,22 @@
 	healed chan struct{}
 }
 
-// NewNet makes a network with a seed.
-func NewNet(seed uint64, delay time.Duration) *Net {
-	return &Net{
-		rng:   rand.New(rand.NewPCG(seed, 7)),
-		cuts:  map[string]*cut{},
-		pairs: map[[2]string]*cut{},
-		deaf:  map[string]bool{},
-		mute:  map[string]bool{},
-		slow:  map[string]time.Duration{},
-		delay: delay,
+// NewNetwork makes a network with a seed.
+func NewNetwork(seed uint64, delay time.Duration) *Network {
+	return &Network{
+		rng:                 rand.New(rand.NewPCG(seed, 7)),
+		cuts:                map[string]*cut{},
+		pairs:               map[[2]string]*cut{},
+		inboundPartitioned:  map[string]bool{},
+		outboundPartitioned: map[string]bool{},
+		slow:                map[string]time.Duration{},
+		delay:               delay,
 	}
 }
 
 // Cut separates a host from all others, or from one when other is not empty.
 // With hold, messages are delivered when the cut heals.
-func (n *Net) Cut(host, other string, hold bool) {
+func (n *Network) Cut(host, other string, hold bool) {
 	n.Heal(host, other)
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -63,35 +63,35 @@
 	}
 }
 
-// Deafen lets a host's requests through, but neither answers nor requests to it.
-func (n *Net) Deafen(host string) {
+// PartitionInbound lets a host's requests through, but neither answers nor requests to it.
+func (n *Network) PartitionInbound(host string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.deaf[host] = true
+	n.inboundPartitioned[host] = true
 }
 
-// Mute loses a host's requests; others' requests to it are answered.
-func (n *Net) Mute(host string) {
+// PartitionOutbound loses a host's requests; others' requests to it are answered.
+func (n *Network) PartitionOutbound(host string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.mute[host] = true
+	n.outboundPartitioned[host] = true
 }
 
-func (n *Net) speaks(host string) bool {
+func (n *Network) canSend(host string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return !n.mute[host]
+	return !n.outboundPartitioned[host]
 }
 
 // Slow makes a host take up to so much longer for every third request.
-func (n *Net) Slow(host string, most time.Duration) {
+func (n *Network) Slow(host string, most time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.slow[host] = most
 }
 
 // pause is how long a request to a host takes.
-func (n *Net) pause(host string) time.Duration {
+func (n *Network) pause(host string) time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	d := n.delay
@@ -101,14 +101,14 @@
 	return d
 }
 
-func (n *Net) hears(host string) bool {
+func (n *Network) canReceive(host string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return !n.deaf[host]
+	return !n.inboundPartitioned[host]
 }
 
 // Heal ends a cut.
-func (n *Net) Heal(host, other string) {
+func (n *Network) Heal(host, other string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if c := n.cuts[host]; c != nil && other == "" {
@@ -123,7 +123,7 @@
 }
 
 // HealAll ends every cut.
-func (n *Net) HealAll() {
+func (n *Network) HealAll() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for k, c := range n.cuts {
@@ -134,12 +134,12 @@
 		close(c.healed)
 		delete(n.pairs, k)
 	}
-	clear(n.deaf)
-	clear(n.mute)
+	clear(n.inboundPartitioned)
+	clear(n.outboundPartitioned)
 	clear(n.slow)
 }
 
-func (n *Net) between(a, b string) *cut {
+func (n *Network) between(a, b string) *cut {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, c := range []*cut{n.cuts[a], n.cuts[b], n.pairs[[2]string{a, b}], n.pairs[[2]string{b, a}]} {
@@ -150,26 +150,26 @@
 	return nil
 }
 
-// SetFates sets how many messages are lost, and how many arrive once more.
-func (n *Net) SetFates(loss, repeat float64) {
+// SetLossAndDuplication sets how many messages are lost, and how many arrive once more.
+func (n *Network) SetLossAndDuplication(loss, repeat float64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.loss, n.repeat = loss, repeat
 }
 
-func (n *Net) lost() bool {
+func (n *Network) lost() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.rng.Float64() < n.loss
 }
 
-func (n *Net) repeated() bool {
+func (n *Network) repeated() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.rng.Float64() < n.repeat
 }
 
-func (n *Net) late() time.Duration {
+func (n *Network) late() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return time.Duration(n.rng.Int64N(int64(90 * time.Second)))
@@ -186,7 +186,7 @@
 
 // send carries out f at host "to" for host "from": perhaps never, late, or
 // twice. The caller learns only whether an answer came in time.
-func send[T any](ctx context.Context, n *Net, from, to string, timeout time.Duration, f func() (T, error)) (T, error) {
+func send[T any](ctx context.Context, n *Network, from, to string, timeout time.Duration, f func() (T, error)) (T, error) {
 	var zero T
 	type result struct {
 		v   T
@@ -210,14 +210,14 @@
 			case <-ctx.Done():
 				return
 			}
-		} else if n.lost() || !n.hears(to) || !n.speaks(from) {
+		} else if n.lost() || !n.canReceive(to) || !n.canSend(from) {
 			return
 		}
 		if !sleep(ctx, n.pause(to)) {
 			return
 		}
 		v, err := f()
-		if n.between(from, to) == nil && !n.lost() && n.hears(from) && sleep(ctx, n.delay) {
+		if n.between(from, to) == nil && !n.lost() && n.canReceive(from) && sleep(ctx, n.delay) {
 			ch <- result{v, err}
 		}
 	}()
--- a/internal/fakes/pipes.go
+++ b/internal/simulation/pipes.go
@@ -1,4 +1,4 @@
-package fakes
+package simulation
 
 import (
 	"bytes"
@@ -12,14 +12,14 @@
 // Pipes carries connections between hosts through a Net: a cut stalls what is
 // written until it heals, and no new connection comes about meanwhile.
 type Pipes struct {
-	net       *Net
+	net       *Network
 	mu        sync.Mutex
 	listeners map[string]*pipeListener // by address
 	conns     map[*pipeConn]bool
 }
 
 // NewPipes makes connections that follow the fate of a net's hosts.
-func NewPipes(n *Net) *Pipes {
+func NewPipes(n *Network) *Pipes {
 	return &Pipes{net: n, listeners: map[string]*pipeListener{}, conns: map[*pipeConn]bool{}}
 }
 
--- a/internal/fakes/rules.go
+++ b/internal/simulation/rules.go
@@ -1,4 +1,4 @@
-package fakes
+package simulation
 
 import (
 	"errors"
@@ -11,20 +11,20 @@
 	"lynxledge/wire"
 )
 
-// Rules watches what workers do and users are told, and keeps every breach.
-type Rules struct {
-	mu       sync.Mutex
-	teams    map[string]config.TeamQuota
-	cancelS  time.Duration
-	jobs     map[string]*jobRecord
-	on       map[string]wire.Instance // task: machine
-	used     map[string]float64       // processors, by team
-	breaches []string
-	started  int
-	late     int // tasks ordered to start after their job's confirmed cancellation
-	over     bool
-	atEnd    func(job string)
-	free     map[string]*freeRoom // of machines that are up, by name
+// InvariantChecker watches what workers do and users are told, and keeps every breach.
+type InvariantChecker struct {
+	mu         sync.Mutex
+	teams      map[string]config.TeamQuota
+	cancelS    time.Duration
+	jobs       map[string]*jobRecord
+	on         map[string]wire.Instance // task: machine
+	used       map[string]float64       // processors, by team
+	violations []string
+	started    int
+	late       int // tasks ordered to start after their job's confirmed cancellation
+	over       bool
+	atEnd      func(job string)
+	free       map[string]*freeRoom // of machines that are up, by name
 }
 
 type jobRecord struct {
@@ -42,9 +42,9 @@
 	waits     time.Time // since when a task waits beside room that it may use
 }
 
-// NewRules makes a checker.
-func NewRules(p config.Params) *Rules {
-	r := &Rules{
+// NewInvariantChecker makes a checker.
+func NewInvariantChecker(p config.Params) *InvariantChecker {
+	r := &InvariantChecker{
 		teams:   map[string]config.TeamQuota{},
 		cancelS: config.Seconds(p.Workers.CancellationDeadline),
 		jobs:    map[string]*jobRecord{},
@@ -58,26 +58,26 @@
 	return r
 }
 
-func (r *Rules) breach(format string, args ...any) {
-	r.breaches = append(r.breaches, fmt.Sprintf(format, args...))
+func (r *InvariantChecker) violation(format string, args ...any) {
+	r.violations = append(r.violations, fmt.Sprintf(format, args...))
 }
 
-// Breaches lists what was broken.
-func (r *Rules) Breaches() []string {
+// Violations lists what was broken.
+func (r *InvariantChecker) Violations() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return slices.Clone(r.breaches)
+	return slices.Clone(r.violations)
 }
 
 // Count is the number of tasks started.
-func (r *Rules) Count() int {
+func (r *InvariantChecker) Count() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.started
 }
 
 // Submitted registers a job before its first submission.
-func (r *Rules) Submitted(j *wire.Job, run time.Duration) {
+func (r *InvariantChecker) Submitted(j *wire.Job, run time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.jobs[j.ID] == nil {
@@ -85,9 +85,9 @@
 	}
 }
 
-// AtEnd sets what happens at the moment at which the last task of an array
+// OnJobEnd sets what happens at the moment at which the last task of an array
 // completes.
-func (r *Rules) AtEnd(f func(job string)) {
+func (r *InvariantChecker) OnJobEnd(f func(job string)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.atEnd = f
@@ -95,14 +95,14 @@
 
 // LateStarts is how many tasks were ordered to start after their users were told
 // that the job is cancelled.
-func (r *Rules) LateStarts() int {
+func (r *InvariantChecker) LateStarts() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.late
 }
 
 // RunTime is how long a task runs on a worker that is ordered to start it.
-func (r *Rules) RunTime(task string) (run time.Duration, forever bool, err error) {
+func (r *InvariantChecker) RunTime(task string) (run time.Duration, forever bool, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	id, _, ok := wire.ParseTaskName(task)
@@ -117,23 +117,23 @@
 }
 
 // Started checks a start.
-func (r *Rules) Started(h wire.Instance, task string) {
+func (r *InvariantChecker) Started(h wire.Instance, task string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.started++
 	id, _, _ := wire.ParseTaskName(task)
 	t := r.jobs[id]
 	if other, ok := r.on[task]; ok {
-		r.breach("ran_twice: %s starts on %s while on %s", task, h.ID, other.ID)
+		r.violation("ran_twice: %s starts on %s while on %s", task, h.ID, other.ID)
 	}
 	j := t.job
 	for _, before := range j.Dependencies {
 		if b := r.jobs[before]; len(b.completed) < b.job.TaskCount {
-			r.breach("too_early: %s starts with %d of %d tasks of %s done", task, len(b.completed), b.job.TaskCount, before)
+			r.violation("too_early: %s starts with %d of %d tasks of %s done", task, len(b.completed), b.job.TaskCount, before)
 		}
 	}
 	if !t.mayStart(h) {
-		r.breach("wrong_place: %s on %s (%s %s spot=%v), its tasks by zone: %v", task, h.ID, h.MachineType, h.Zone, h.Spot, t.zones)
+		r.violation("wrong_place: %s on %s (%s %s spot=%v), its tasks by zone: %v", task, h.ID, h.MachineType, h.Zone, h.Spot, t.zones)
 	}
 	if t.began.IsZero() {
 		t.began = time.Now()
@@ -143,15 +143,15 @@
 	t.zones[h.Zone]++
 	r.used[j.Team] += j.CPUs
 	if used, max := r.used[j.Team], r.teams[j.Team].MaxCPUs; max > 0 && used > max+1e-6 {
-		r.breach("quota: %s uses %v of %v", j.Team, used, max)
+		r.violation("quota: %s uses %v of %v", j.Team, used, max)
 	}
 	if !t.cancelled.IsZero() && time.Since(t.cancelled) > r.cancelS {
-		r.breach("ran_cancelled: %s starts %v after", task, time.Since(t.cancelled))
+		r.violation("ran_cancelled: %s starts %v after", task, time.Since(t.cancelled))
 	}
 }
 
 // Ended takes a task off its machine.
-func (r *Rules) Ended(machine, task string) {
+func (r *InvariantChecker) Ended(machine, task string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.on[task].ID == machine {
@@ -160,7 +160,7 @@
 }
 
 // leave takes a task out of the sums; the caller holds the lock.
-func (r *Rules) leave(task string) {
+func (r *InvariantChecker) leave(task string) {
 	h, ok := r.on[task]
 	if !ok {
 		return
@@ -173,7 +173,7 @@
 }
 
 // Completed notes a completed task.
-func (r *Rules) Completed(task string) {
+func (r *InvariantChecker) Completed(task string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	id, n, _ := wire.ParseTaskName(task)
@@ -186,19 +186,19 @@
 }
 
 // Tick checks what holds at all times.
-func (r *Rules) Tick() {
+func (r *InvariantChecker) Tick() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for task := range r.on {
 		id, _, _ := wire.ParseTaskName(task)
 		if t := r.jobs[id]; !t.cancelled.IsZero() && time.Since(t.cancelled) > r.cancelS {
-			r.breach("ran_cancelled: %s is on a machine %v after", task, time.Since(t.cancelled))
+			r.violation("ran_cancelled: %s is on a machine %v after", task, time.Since(t.cancelled))
 		}
 	}
 }
 
 // AskedToCancel notes that the user wants a job cancelled.
-func (r *Rules) AskedToCancel(id string) {
+func (r *InvariantChecker) AskedToCancel(id string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if t := r.jobs[id]; t != nil {
@@ -206,28 +206,28 @@
 	}
 }
 
-// Odd checks the answer to a submission that no controller may accept.
-func (r *Rules) Odd(body string, status int) {
+// MalformedRequest checks the answer to a submission that no controller may accept.
+func (r *InvariantChecker) MalformedRequest(body string, status int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if status == 200 || status == 201 {
-		r.breach("accepted: %s", body)
+		r.violation("accepted: %s", body)
 	}
 }
 
-// Told checks an answer: status 201, 200 or 404 for a job, with its state.
-func (r *Rules) Told(id string, status int, state string) {
+// JobAnswered checks an answer: status 201, 200 or 404 for a job, with its state.
+func (r *InvariantChecker) JobAnswered(id string, status int, state string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	t := r.jobs[id]
 	switch {
 	case t == nil && status == 200:
-		r.breach("invented: %s is %s", id, state)
+		r.violation("invented: %s is %s", id, state)
 		return
 	case t == nil:
 		return
 	case t.accepted && (status == 404 || status == 400 || status == 422):
-		r.breach("forgotten: %s gets %d", id, status)
+		r.violation("forgotten: %s gets %d", id, status)
 		return
 	case status != 200 && status != 201:
 		return
@@ -236,16 +236,16 @@
 	final := state == wire.JobDone || state == wire.JobCancelled
 	asked, told := r.cancellation(t)
 	if !final && !told.IsZero() && time.Since(told) > r.cancelS {
-		r.breach("orphaned: %s is %s %v after a job before it was cancelled", id, state, time.Since(told))
+		r.violation("orphaned: %s is %s %v after a job before it was cancelled", id, state, time.Since(told))
 	}
 	if t.final != "" && state != t.final {
-		r.breach("went_back: %s was %s, is %s", id, t.final, state)
+		r.violation("went_back: %s was %s, is %s", id, t.final, state)
 	}
 	if state == wire.JobDone && len(t.completed) < t.job.TaskCount {
-		r.breach("not_done: %s with %d of %d", id, len(t.completed), t.job.TaskCount)
+		r.violation("not_done: %s with %d of %d", id, len(t.completed), t.job.TaskCount)
 	}
 	if state == wire.JobCancelled && !asked {
-		r.breach("went_back: %s is called cancelled", id)
+		r.violation("went_back: %s is called cancelled", id)
 	}
 	if final && t.final == "" {
 		t.final = state
@@ -257,7 +257,7 @@
 
 // cancellation tells whether the cancellation of a job, or of one before it, was asked
 // for, and since when a user knows of one.
-func (r *Rules) cancellation(t *jobRecord) (asked bool, since time.Time) {
+func (r *InvariantChecker) cancellation(t *jobRecord) (asked bool, since time.Time) {
 	seen := map[*jobRecord]bool{}
 	for todo := []*jobRecord{t}; len(todo) > 0; {
 		t, todo = todo[len(todo)-1], todo[:len(todo)-1]
@@ -277,23 +277,23 @@
 }
 
 // Accepted tells whether a user knows that a job was accepted.
-func (r *Rules) Accepted(id string) bool {
+func (r *InvariantChecker) Accepted(id string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.jobs[id].accepted
 }
 
 // waiting tells whether a job waits for others.
-func (r *Rules) waiting(t *jobRecord) bool {
+func (r *InvariantChecker) waiting(t *jobRecord) bool {
 	return slices.ContainsFunc(t.job.Dependencies, func(before string) bool {
 		b := r.jobs[before]
 		return len(b.completed) < b.job.TaskCount || b.final != wire.JobDone
 	})
 }
 
-// Over begins the time after all troubles: from here on every job must be
+// FaultsOver begins the time after all troubles: from here on every job must be
 // answered for.
-func (r *Rules) Over() {
+func (r *InvariantChecker) FaultsOver() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.over = true
@@ -316,26 +316,26 @@
 }
 
 // Forgotten checks that no question went unanswered for too long.
-func (r *Rules) Forgotten() {
+func (r *InvariantChecker) Forgotten() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for id, t := range r.jobs {
 		if t.accepted && t.final == "" && time.Since(t.answered) > 75*time.Second {
-			r.breach("forgotten: %s is not answered for", id)
+			r.violation("forgotten: %s is not answered for", id)
 			t.answered = time.Now()
 		}
 	}
 }
 
-// Began is when a job's first task started; zero if none did.
-func (r *Rules) Began(id string) time.Time {
+// AcceptedAt is when a job's first task started; zero if none did.
+func (r *InvariantChecker) AcceptedAt(id string) time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.jobs[id].began
 }
 
-// On counts the tasks of jobs that are on machines.
-func (r *Rules) On(jobs ...string) int {
+// RunningTasks counts the tasks of jobs that are on machines.
+func (r *InvariantChecker) RunningTasks(jobs ...string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	n := 0
@@ -347,9 +347,9 @@
 	return n
 }
 
-// Missing lists accepted services, not cancelled, of which fewer than half of
+// MissingTasks lists accepted services, not cancelled, of which fewer than half of
 // the replicas run.
-func (r *Rules) Missing() []string {
+func (r *InvariantChecker) MissingTasks() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	on := map[string]int{}
@@ -367,8 +367,8 @@
 	return out
 }
 
-// Open lists jobs that were accepted and are not over.
-func (r *Rules) Open() []string {
+// UnfinishedJobs lists jobs that were accepted and are not over.
+func (r *InvariantChecker) UnfinishedJobs() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var out []string
@@ -384,7 +384,7 @@
 // Unserved lists the classes, teams and largest jobs of a class of which fewer
 // than half of the accepted jobs, but for those whose users wanted them
 // cancelled, began within a time.
-func (r *Rules) Unserved(within time.Duration) []string {
+func (r *InvariantChecker) Unserved(within time.Duration) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	largest := map[string]int{}
--- a/internal/fakes/state.go
+++ b/internal/simulation/state.go
@@ -1,7 +1,7 @@
 // Package fakes plays the state service, the cloud, the workers, the users
 // and the network between them for the project's tests, and checks the
 // protocol's rules while it does. It runs on whatever clock the test runs on.
-package fakes
+package simulation
 
 import (
 	"context"
@@ -31,8 +31,8 @@
 	ends time.Time
 }
 
-// State is the state service.
-type State struct {
+// Store is the state service.
+type Store struct {
 	mu       sync.Mutex
 	rev      uint64
 	keys     map[string]entry
@@ -48,50 +48,50 @@
 
 	decisions decisions
 
-	limits   Limits
-	writes   *rate.Limiter // nil: no limit
-	breaches []string
+	limits     StoreLimits
+	writes     *rate.Limiter // nil: no limit
+	violations []string
 }
 
-// Limits are the service's own. What is asked beyond them is refused, and kept
+// StoreLimits are the service's own. What is asked beyond them is refused, and kept
 // as a breach unless only the rate is.
-type Limits struct {
-	WriteRPS float64
-	ValueKB  float64
-	TxnOps   int
-	Keep     int // changes kept for watches; 0: all
+type StoreLimits struct {
+	WriteRate  float64
+	MaxValueKB float64
+	MaxTxnOps  int
+	Keep       int // changes kept for watches; 0: all
 }
 
 // SetLimits makes the service keep to limits.
-func (s *State) SetLimits(l Limits) {
+func (s *Store) SetLimits(l StoreLimits) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.limits = l
-	s.writes = rate.NewLimiter(rate.Limit(l.WriteRPS), int(l.WriteRPS))
+	s.writes = rate.NewLimiter(rate.Limit(l.WriteRate), int(l.WriteRate))
 }
 
-// Breaches lists what was asked beyond the limits of one request.
-func (s *State) Breaches() []string {
+// Violations lists what was asked beyond the limits of one request.
+func (s *Store) Violations() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return slices.Clone(s.breaches)
+	return slices.Clone(s.violations)
 }
 
 // check tells whether a transaction is one that the service takes; the caller
 // holds the lock.
-func (s *State) check(txn *wire.Txn) error {
+func (s *Store) check(txn *wire.Txn) error {
 	if s.writes == nil {
 		return nil
 	}
 	for _, w := range txn.Writes {
-		if max := s.limits.ValueKB * 1024; float64(len(w.Value)) > max {
-			s.breaches = append(s.breaches, fmt.Sprintf("%s has %d bytes of %v", w.Key(), len(w.Value), max))
+		if max := s.limits.MaxValueKB * 1024; float64(len(w.Value)) > max {
+			s.violations = append(s.violations, fmt.Sprintf("%s has %d bytes of %v", w.Key(), len(w.Value), max))
 			return kvstore.ErrInvalidRequest
 		}
 	}
 	body, _ := json.Marshal(txn)
-	if n, g := len(txn.Writes), len(txn.Preconditions); n > s.limits.TxnOps || g > 4*s.limits.TxnOps || len(body) > wire.MaxBodyBytes {
-		s.breaches = append(s.breaches, fmt.Sprintf("%d writes, %d guards, %d bytes in a transaction", n, g, len(body)))
+	if n, g := len(txn.Writes), len(txn.Preconditions); n > s.limits.MaxTxnOps || g > 4*s.limits.MaxTxnOps || len(body) > wire.MaxBodyBytes {
+		s.violations = append(s.violations, fmt.Sprintf("%d writes, %d guards, %d bytes in a transaction", n, g, len(body)))
 		return kvstore.ErrInvalidRequest
 	}
 	if len(txn.Writes) > 0 && !s.writes.AllowN(time.Now(), len(txn.Writes)) {
@@ -100,14 +100,14 @@
 	return nil
 }
 
-// NewState makes an empty store.
-func NewState() *State {
-	return &State{keys: map[string]entry{}, leases: map[uint64]*lease{}, refused: map[string]bool{},
+// NewStore makes an empty store.
+func NewStore() *Store {
+	return &Store{keys: map[string]entry{}, leases: map[uint64]*lease{}, refused: map[string]bool{},
 		rng: rand.New(rand.NewPCG(1, 6)), changed: make(chan struct{})}
 }
 
 // SetDown starts or ends an outage; after it every lease has its full time.
-func (s *State) SetDown(down bool) {
+func (s *Store) SetDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.down = down
@@ -118,7 +118,7 @@
 }
 
 // Refuse makes the service refuse one controller, while it serves the others.
-func (s *State) Refuse(node string, refused bool) {
+func (s *Store) Refuse(node string, refused bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.refused[node] = refused
@@ -127,13 +127,13 @@
 
 // SetLate leaves a part of the transactions unanswered; they are carried out 2
 // to 12 s later, after newer ones.
-func (s *State) SetLate(part float64) {
+func (s *Store) SetLate(part float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.late = part
 }
 
-func (s *State) delays() (time.Duration, bool) {
+func (s *Store) delays() (time.Duration, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.late == 0 || s.rng.Float64() >= s.late {
@@ -143,10 +143,10 @@
 }
 
 // denies tells whether a controller is refused; the caller holds the lock.
-func (s *State) denies(node string) bool { return s.down || s.refused[node] }
+func (s *Store) denies(node string) bool { return s.down || s.refused[node] }
 
 // Value is what a key holds now, or nil.
-func (s *State) Value(key string) json.RawMessage {
+func (s *Store) Value(key string) json.RawMessage {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expire()
@@ -154,7 +154,7 @@
 }
 
 // Largest is the size of the largest value.
-func (s *State) Largest() int {
+func (s *Store) Largest() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := 0
@@ -165,7 +165,7 @@
 }
 
 // Dump lists every key with its value, for a failed test's report.
-func (s *State) Dump() string {
+func (s *Store) Dump() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var lines []string
@@ -176,13 +176,13 @@
 	return strings.Join(lines, "\n")
 }
 
-func (s *State) wake() {
+func (s *Store) wake() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
 // expire removes ended leases and their keys; the caller holds the lock.
-func (s *State) expire() {
+func (s *Store) expire() {
 	if s.down {
 		return
 	}
@@ -203,7 +203,7 @@
 	}
 }
 
-func (s *State) commit(node string, txn *wire.Txn) (uint64, error) {
+func (s *Store) commit(node string, txn *wire.Txn) (uint64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expire()
@@ -245,7 +245,7 @@
 	return s.rev, nil
 }
 
-func (s *State) list(node, prefix, after string, limit int) (*wire.RangeResponse, error) {
+func (s *Store) list(node, prefix, after string, limit int) (*wire.RangeResponse, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expire()
@@ -270,7 +270,7 @@
 	return out, nil
 }
 
-func (s *State) follow(ctx context.Context, node, prefix string, after uint64, hold time.Duration) (*wire.WatchResponse, error) {
+func (s *Store) follow(ctx context.Context, node, prefix string, after uint64, hold time.Duration) (*wire.WatchResponse, error) {
 	end := time.After(hold)
 	for {
 		s.mu.Lock()
@@ -308,7 +308,7 @@
 	}
 }
 
-func (s *State) grant(node string, ttl time.Duration) (uint64, error) {
+func (s *Store) grant(node string, ttl time.Duration) (uint64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.denies(node) {
@@ -319,7 +319,7 @@
 	return s.nextID, nil
 }
 
-func (s *State) renew(node string, id uint64) error {
+func (s *Store) renew(node string, id uint64) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expire()
@@ -334,35 +334,35 @@
 	return nil
 }
 
-// Conn is one controller's connection to the state service.
-type Conn struct {
-	State   *State
-	Net     *Net
+// StoreConn is one controller's connection to the state service.
+type StoreConn struct {
+	Store   *Store
+	Net     *Network
 	Node    string
 	Timeout time.Duration
 }
 
 // List and the other methods are what the controllers use.
-func (c *Conn) List(ctx context.Context, prefix, after string, limit int) (*wire.RangeResponse, error) {
-	return send(ctx, c.Net, c.Node, StateHost, c.Timeout, func() (*wire.RangeResponse, error) { return c.State.list(c.Node, prefix, after, limit) })
+func (c *StoreConn) List(ctx context.Context, prefix, after string, limit int) (*wire.RangeResponse, error) {
+	return send(ctx, c.Net, c.Node, StoreHost, c.Timeout, func() (*wire.RangeResponse, error) { return c.Store.list(c.Node, prefix, after, limit) })
 }
 
 // Commit applies a transaction, perhaps late or unanswered.
-func (c *Conn) Commit(ctx context.Context, txn *wire.Txn) (uint64, error) {
+func (c *StoreConn) Commit(ctx context.Context, txn *wire.Txn) (uint64, error) {
 	type result struct {
 		rev  uint64
 		late bool
 	}
-	c.State.sending(txn)
-	r, err := send(ctx, c.Net, c.Node, StateHost, c.Timeout, func() (result, error) {
-		if d, late := c.State.delays(); late {
+	c.Store.sending(txn)
+	r, err := send(ctx, c.Net, c.Node, StoreHost, c.Timeout, func() (result, error) {
+		if d, late := c.Store.delays(); late {
 			go func() {
 				time.Sleep(d)
-				_, _ = c.State.commit(c.Node, txn)
+				_, _ = c.Store.commit(c.Node, txn)
 			}()
 			return result{late: true}, nil
 		}
-		rev, err := c.State.commit(c.Node, txn)
+		rev, err := c.Store.commit(c.Node, txn)
 		return result{rev: rev}, err
 	})
 	if r.late {
@@ -372,19 +372,19 @@
 }
 
 // Watch watches.
-func (c *Conn) Watch(ctx context.Context, prefix string, after uint64, hold time.Duration) (*wire.WatchResponse, error) {
-	return send(ctx, c.Net, c.Node, StateHost, c.Timeout+hold, func() (*wire.WatchResponse, error) {
-		return c.State.follow(ctx, c.Node, prefix, after, hold)
+func (c *StoreConn) Watch(ctx context.Context, prefix string, after uint64, hold time.Duration) (*wire.WatchResponse, error) {
+	return send(ctx, c.Net, c.Node, StoreHost, c.Timeout+hold, func() (*wire.WatchResponse, error) {
+		return c.Store.follow(ctx, c.Node, prefix, after, hold)
 	})
 }
 
 // GrantLease makes a lease.
-func (c *Conn) GrantLease(ctx context.Context, ttl time.Duration) (uint64, error) {
-	return send(ctx, c.Net, c.Node, StateHost, c.Timeout, func() (uint64, error) { return c.State.grant(c.Node, ttl) })
+func (c *StoreConn) GrantLease(ctx context.Context, ttl time.Duration) (uint64, error) {
+	return send(ctx, c.Net, c.Node, StoreHost, c.Timeout, func() (uint64, error) { return c.Store.grant(c.Node, ttl) })
 }
 
 // RenewLease keeps a lease.
-func (c *Conn) RenewLease(ctx context.Context, id uint64) error {
-	_, err := send(ctx, c.Net, c.Node, StateHost, c.Timeout, func() (struct{}, error) { return struct{}{}, c.State.renew(c.Node, id) })
+func (c *StoreConn) RenewLease(ctx context.Context, id uint64) error {
+	_, err := send(ctx, c.Net, c.Node, StoreHost, c.Timeout, func() (struct{}, error) { return struct{}{}, c.Store.renew(c.Node, id) })
 	return err
 }
--- a/internal/fakes/worker.go
+++ b/internal/simulation/worker.go
@@ -1,4 +1,4 @@
-package fakes
+package simulation
 
 import (
 	"context"
@@ -15,12 +15,12 @@
 
 // WorkerOptions are a worker's times and ways.
 type WorkerOptions struct {
-	Report, Lease time.Duration
-	Nodes         []string
-	Net           *Net
-	Post          func(node string) Post // nil while the node is down
-	Rules         *Rules
-	Fetch         time.Duration
+	HeartbeatInterval, LeaseDuration time.Duration
+	Nodes                            []string
+	Net                              *Network
+	Post                             func(node string) Post // nil while the node is down
+	Checker                          *InvariantChecker
+	Fetch                            time.Duration
 }
 
 type held struct {
@@ -64,8 +64,8 @@
 	w.forgetAll()
 }
 
-// Notice tells the worker that the cloud will take it.
-func (w *Worker) Notice(s float64) {
+// NotifyPreemption tells the worker that the cloud will take it.
+func (w *Worker) NotifyPreemption(s float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.notice = &s
@@ -106,15 +106,15 @@
 
 // lapse ends the session if its lease has; the caller holds the lock.
 func (w *Worker) lapse() {
-	if time.Since(w.renewed) > w.opt.Lease {
+	if time.Since(w.renewed) > w.opt.LeaseDuration {
 		w.forgetAll()
 		w.session++
 		w.renewed = time.Now()
 	}
 }
 
-// Bounce restarts the machine within no time: nothing on it survives.
-func (w *Worker) Bounce() {
+// FastRestart restarts the machine within no time: nothing on it survives.
+func (w *Worker) FastRestart() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.forgetAll()
@@ -134,7 +134,7 @@
 	t.stop()
 	if t.started {
 		t.started = false
-		w.opt.Rules.Ended(w.host.ID, t.Task)
+		w.opt.Checker.Ended(w.host.ID, t.Task)
 	}
 }
 
@@ -147,7 +147,7 @@
 
 // expire ends the session when its lease has.
 func (w *Worker) expire() {
-	for sleep(w.ctx, w.opt.Report/6) {
+	for sleep(w.ctx, w.opt.HeartbeatInterval/6) {
 		w.awake()
 		w.mu.Lock()
 		w.lapse()
@@ -189,7 +189,7 @@
 			reply, to, ok := post(w.ctx, rep)
 			return verdict{reply, to, ok}, nil
 		})
-		wait := w.opt.Report
+		wait := w.opt.HeartbeatInterval
 		w.awake()
 		w.mu.Lock()
 		switch {
@@ -201,13 +201,13 @@
 			}
 		case err == nil && slices.Contains(w.opt.Nodes, v.to) && v.to != node:
 			w.node = slices.Index(w.opt.Nodes, v.to)
-			wait = w.opt.Report / 6
+			wait = w.opt.HeartbeatInterval / 6
 		default:
 			w.node = (w.node + 1) % len(w.opt.Nodes)
 			wait = time.Second
 		}
 		w.mu.Unlock()
-		if !sleep(w.ctx, w.opt.Report/6) {
+		if !sleep(w.ctx, w.opt.HeartbeatInterval/6) {
 			return
 		}
 		select {
@@ -256,7 +256,7 @@
 	t.stop = stop
 	w.tasks = append(w.tasks, t)
 	w.change()
-	run, forever, err := w.opt.Rules.RunTime(o.Task)
+	run, forever, err := w.opt.Checker.RunTime(o.Task)
 	if err != nil {
 		w.exit(t, wire.ReasonUnknown)
 		return
@@ -270,7 +270,7 @@
 		w.mu.Lock()
 		if ctx.Err() == nil {
 			t.State, t.started = wire.TaskRunning, true
-			w.opt.Rules.Started(w.host, t.Task)
+			w.opt.Checker.Started(w.host, t.Task)
 			w.change()
 		}
 		w.mu.Unlock()
@@ -281,7 +281,7 @@
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		if ctx.Err() == nil {
-			w.opt.Rules.Completed(t.Task)
+			w.opt.Checker.Completed(t.Task)
 			w.exit(t, wire.ReasonCompleted)
 		}
 	}()
@@ -296,13 +296,13 @@
 // WorkerConn is one controller's way to the workers.
 type WorkerConn struct {
 	Cloud   *Cloud
-	Net     *Net
+	Net     *Network
 	Node    string
 	Timeout time.Duration
 }
 
-// Do sends commands straight to a worker; they may be executed late or twice.
-func (c *WorkerConn) Do(ctx context.Context, addr string, cmd wire.CommandBatch) (*wire.Heartbeat, error) {
+// SendCommands sends commands straight to a worker; they may be executed late or twice.
+func (c *WorkerConn) SendCommands(ctx context.Context, addr string, cmd wire.CommandBatch) (*wire.Heartbeat, error) {
 	return c.visit(ctx, addr, func(w *Worker) {
 		if cmd.FencingToken >= w.token && cmd.Incarnation == w.session {
 			w.token = cmd.FencingToken
--- a/internal/standby/standby.go
+++ b/internal/standby/standby.go
@@ -13,7 +13,7 @@
 
 	"lynxledge/internal/actor"
 	"lynxledge/internal/config"
-	"lynxledge/internal/detector"
+	"lynxledge/internal/failuredetector"
 	"lynxledge/internal/statecache"
 )
 
@@ -26,23 +26,23 @@
 // Standby is the actor.
 type Standby struct {
 	*actor.Actor
-	cfg   *config.Config
-	boot  uint64
-	roles Roles
-	beat  time.Duration
+	config            *config.Config
+	incarnation       uint64
+	roles             Roles
+	heartbeatInterval time.Duration
 
-	detector *detector.Detector
-	view     *statecache.View // of members, the leader and assignments
-	fresh    time.Time
+	detector  *failuredetector.Detector
+	view      *statecache.View // of members, the leader and assignments
+	freshAsOf time.Time
 
-	verdicts map[process]*verdict
-	holds    map[string]*hold // by member
-	deposed  map[process]bool // leaders that lost the lead to others, and were not heard since
+	verdicts map[processID]*verdict
+	holds    map[string]*hold   // by member
+	deposed  map[processID]bool // leaders that lost the lead to others, and were not heard since
 	last     Action
 }
 
-// process is one process of a controller.
-type process struct {
+// processID is one process of a controller.
+type processID struct {
 	member string
 	boot   uint64
 }
@@ -70,13 +70,13 @@
 	Reason string    `json:"reason,omitempty"`
 }
 
-// looksPerBeat is how often between two heartbeats the verdicts are looked at.
-const looksPerBeat = 4
+// checksPerHeartbeat is how often between two heartbeats the verdicts are looked at.
+const checksPerHeartbeat = 4
 
 // Start runs the actor; the settings' Standby section is set.
 func Start(ctx context.Context, cfg *config.Config, boot uint64, l *statecache.Cache, roles Roles) *Standby {
 	section := cfg.Operator.Standby
-	beat := Heartbeat(cfg)
+	beat := HeartbeatInterval(cfg)
 	beats := func(n float64) time.Duration { return time.Duration(n * float64(beat)) }
 	var members []string
 	for _, p := range cfg.Peers {
@@ -84,20 +84,20 @@
 	}
 	now := time.Now()
 	s := &Standby{
-		Actor: actor.Start(ctx, "standby", 512), cfg: cfg, boot: boot, roles: roles, beat: beat,
-		detector: detector.New(now, detector.Policy{Heartbeat: beat, SuspectAfter: beats(section.SuspectAfterHeartbeats), FailedAfter: beats(section.FailedAfterHeartbeats)}, members),
+		Actor: actor.Start(ctx, "standby", 512), config: cfg, incarnation: boot, roles: roles, heartbeatInterval: beat,
+		detector: failuredetector.New(now, failuredetector.Policy{Heartbeat: beat, SuspectAfter: beats(section.SuspectAfterHeartbeats), FailedAfter: beats(section.FailedAfterHeartbeats)}, members),
 		view:     statecache.NewUnfinishedView(statecache.ChunkTasks(cfg.Params.Store.MaxValueKB)),
-		verdicts: map[process]*verdict{},
+		verdicts: map[processID]*verdict{},
 		holds:    map[string]*hold{},
-		deposed:  map[process]bool{},
+		deposed:  map[processID]bool{},
 	}
 	l.Subscribe(func(d statecache.Update) { s.Send(func() { s.apply(d) }) })
-	s.Every(beat/looksPerBeat, s.look)
+	s.Every(beat/checksPerHeartbeat, s.check)
 	return s
 }
 
-// Heartbeat is the time between two heartbeats.
-func Heartbeat(cfg *config.Config) time.Duration {
+// HeartbeatInterval is the time between two heartbeats.
+func HeartbeatInterval(cfg *config.Config) time.Duration {
 	return config.Seconds(cfg.Operator.Standby.HeartbeatIntervalReports * cfg.Params.Workers.HeartbeatInterval)
 }
 
@@ -117,7 +117,7 @@
 		if !s.detector.Heartbeat(now, member, boot) {
 			return
 		}
-		p := process{member, boot}
+		p := processID{member, boot}
 		if s.verdicts[p] != nil || s.deposed[p] {
 			s.refuted(now, member)
 			delete(s.verdicts, p)
@@ -133,7 +133,7 @@
 		h = &hold{}
 		s.holds[member] = h
 	}
-	section, report := s.cfg.Operator.Standby, s.cfg.Params.Workers.HeartbeatInterval
+	section, report := s.config.Operator.Standby, s.config.Params.Workers.HeartbeatInterval
 	reports := min(section.HoldDownReports*float64(uint64(1)<<min(h.refuted, maxDoublings)), section.HoldDownMaxReports)
 	h.refuted++
 	h.until = now.Add(config.Seconds(reports * report))
@@ -144,7 +144,7 @@
 const maxDoublings = 30
 
 func (s *Standby) apply(d statecache.Update) {
-	s.fresh = d.FreshAsOf
+	s.freshAsOf = d.FreshAsOf
 	for _, c := range d.Changes {
 		switch c.Kind {
 		case statecache.KindMember, statecache.KindAssignment:
@@ -162,20 +162,20 @@
 	s.view.Apply(c)
 	if after := s.view.Leader; before != nil && after != nil && before.Member != after.Member {
 		clear(s.deposed) // of those before, nothing was heard all the time
-		s.deposed[process{before.Member, before.Incarnation}] = true
+		s.deposed[processID{before.Member, before.Incarnation}] = true
 	}
 }
 
-// look acts on the verdicts that stand.
-func (s *Standby) look() {
+// check acts on the verdicts that stand.
+func (s *Standby) check() {
 	now := time.Now()
-	verdicts := s.detector.Look(now)
-	if now.Sub(s.fresh) > config.Seconds(s.cfg.Params.Workers.HeartbeatInterval) {
+	verdicts := s.detector.Check(now)
+	if now.Sub(s.freshAsOf) > config.Seconds(s.config.Params.Workers.HeartbeatInterval) {
 		return // without the state service nothing could be written
 	}
-	standing := map[process]bool{}
+	standing := map[processID]bool{}
 	for _, v := range verdicts {
-		p := process{v.Member, v.Boot}
+		p := processID{v.Member, v.Incarnation}
 		standing[p] = true
 		if s.verdicts[p] == nil {
 			s.verdicts[p] = &verdict{since: now}
@@ -195,35 +195,35 @@
 
 // longestHold is the longest time for which verdicts on a member are held down.
 func (s *Standby) longestHold() time.Duration {
-	return config.Seconds(s.cfg.Operator.Standby.HoldDownMaxReports * s.cfg.Params.Workers.HeartbeatInterval)
+	return config.Seconds(s.config.Operator.Standby.HoldDownMaxReports * s.config.Params.Workers.HeartbeatInterval)
 }
 
 // act claims the lead of a leader that has failed, when it is this controller's turn, or
 // evicts a member, if this controller leads. It is repeated while the verdict and the
 // record stand.
-func (s *Standby) act(now time.Time, v detector.Verdict, standing *verdict) {
+func (s *Standby) act(now time.Time, v failuredetector.Verdict, standing *verdict) {
 	leader, member := s.view.Leader, s.view.Members[v.Member]
 	switch {
-	case leader != nil && leader.Member == v.Member && leader.Incarnation == v.Boot:
-		turn := s.turn(now, v.Member)
-		if turn < 0 || now.Sub(standing.since) < time.Duration(turn)*s.beat || !s.mayActOn(now, v, &standing.claimed, leader.ModRevision) {
+	case leader != nil && leader.Member == v.Member && leader.Incarnation == v.Incarnation:
+		turn := s.positionInOrder(now, v.Member)
+		if turn < 0 || now.Sub(standing.since) < time.Duration(turn)*s.heartbeatInterval || !s.mayActOn(now, v, &standing.claimed, leader.ModRevision) {
 			return
 		}
-		s.note(now, standing, "claim", v)
+		s.recordAction(now, standing, "claim", v)
 		s.roles.ClaimLeadership(leader.ModRevision)
-	case leader != nil && leader.Incarnation == s.boot && member != nil && member.Incarnation == v.Boot:
+	case leader != nil && leader.Incarnation == s.incarnation && member != nil && member.Incarnation == v.Incarnation:
 		if !s.mayActOn(now, v, &standing.evicted, member.ModRevision) {
 			return
 		}
-		s.note(now, standing, "evict", v)
-		s.roles.EvictMember(v.Member, v.Boot)
+		s.recordAction(now, standing, "evict", v)
+		s.roles.EvictMember(v.Member, v.Incarnation)
 	}
 }
 
 // mayActOn tells whether a record of a process that is taken for failed may be acted on. One
 // that was written after another was acted on refutes the verdict: two controllers that
 // see each other as failed would take the lead from each other again and again.
-func (s *Standby) mayActOn(now time.Time, v detector.Verdict, actedOn *uint64, version uint64) bool {
+func (s *Standby) mayActOn(now time.Time, v failuredetector.Verdict, actedOn *uint64, version uint64) bool {
 	if *actedOn != 0 && *actedOn != version {
 		s.refuted(now, v.Member)
 		return false
@@ -232,7 +232,7 @@
 	return true
 }
 
-func (s *Standby) note(now time.Time, standing *verdict, what string, v detector.Verdict) {
+func (s *Standby) recordAction(now time.Time, standing *verdict, what string, v failuredetector.Verdict) {
 	if !standing.acted {
 		slog.Info("taking over", "what", what, "member", v.Member, "reason", v.Reason)
 		s.last = Action{now, what, v.Member, v.Reason}
@@ -240,28 +240,28 @@
 	standing.acted = true
 }
 
-// turn is this controller's place among those that may claim the lead; below 0: it is not
+// positionInOrder is this controller's place among those that may claim the lead; below 0: it is not
 // a member.
-func (s *Standby) turn(now time.Time, dead string) int {
-	return slices.Index(s.order(now, dead), s.cfg.MemberName)
+func (s *Standby) positionInOrder(now time.Time, dead string) int {
+	return slices.Index(s.successors(now, dead), s.config.MemberName)
 }
 
-// order is who may claim a dead leader's lead, the first first.
-func (s *Standby) order(now time.Time, dead string) []string {
+// successors is who may claim a dead leader's lead, the first first.
+func (s *Standby) successors(now time.Time, dead string) []string {
 	var candidates []string
 	for _, m := range slices.Sorted(maps.Keys(s.view.Members)) {
-		if m == s.cfg.MemberName || m != dead && s.detector.Level(now, m) != detector.Failed {
+		if m == s.config.MemberName || m != dead && s.detector.Level(now, m) != failuredetector.Failed {
 			candidates = append(candidates, m)
 		}
 	}
-	return detector.Order(candidates, s.zoneOf, s.zoneOf(dead), s.placer())
+	return failuredetector.SuccessorOrder(candidates, s.zoneOf, s.zoneOf(dead), s.activeScheduler())
 }
 
 func (s *Standby) zoneOf(member string) string {
-	if member == s.cfg.MemberName {
-		return s.cfg.Zone
+	if member == s.config.MemberName {
+		return s.config.Zone
 	}
-	for _, p := range s.cfg.Peers {
+	for _, p := range s.config.Peers {
 		if p.Name == member {
 			return p.Zone
 		}
@@ -269,8 +269,8 @@
 	return ""
 }
 
-// placer is the controller that the teams are handed to.
-func (s *Standby) placer() string {
+// activeScheduler is the controller that the teams are handed to.
+func (s *Standby) activeScheduler() string {
 	for _, a := range s.view.Assignments {
 		return a.Member // they are all handed to one
 	}
--- a/internal/standby/status.go
+++ b/internal/standby/status.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"lynxledge/internal/actor"
-	"lynxledge/internal/detector"
+	"lynxledge/internal/failuredetector"
 )
 
 // StatusPath is where a controller answers with its Status, on its mesh address.
@@ -46,18 +46,18 @@
 }
 
 func (s *Standby) status(now time.Time) Status {
-	status := Status{Member: s.cfg.MemberName, Placer: s.placer(), Last: s.last}
+	status := Status{Member: s.config.MemberName, Placer: s.activeScheduler(), Last: s.last}
 	if s.view.Leader != nil {
 		status.Leader = s.view.Leader.Member
-		status.StandsBy = s.order(now, status.Leader)
+		status.StandsBy = s.successors(now, status.Leader)
 	}
-	for _, g := range s.detector.Grades(now) {
+	for _, g := range s.detector.Statuses(now) {
 		status.Others = append(status.Others, s.otherStatus(g))
 	}
 	return status
 }
 
-func (s *Standby) otherStatus(g detector.Grade) OtherStatus {
+func (s *Standby) otherStatus(g failuredetector.MemberStatus) OtherStatus {
 	o := OtherStatus{Member: g.Member, Level: g.Level.String(), SilentMS: g.SilentFor.Milliseconds(), Connections: g.Connections}
 	if h := s.holds[g.Member]; h != nil {
 		o.Refuted, o.HeldUntil = h.refuted, h.until
--- a/internal/statecache/ledger_test.go
+++ b/internal/statecache/ledger_test.go
@@ -17,8 +17,8 @@
 
 	"pgregory.net/rapid"
 
-	"lynxledge/internal/fakes"
 	_ "lynxledge/internal/seeded"
+	"lynxledge/internal/simulation"
 	"lynxledge/wire"
 )
 
@@ -292,8 +292,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		store := fakes.NewState()
-		conn := &fakes.Conn{State: store, Net: fakes.NewNet(1, time.Millisecond), Node: "n0", Timeout: time.Second}
+		store := simulation.NewStore()
+		conn := &simulation.StoreConn{Store: store, Net: simulation.NewNetwork(1, time.Millisecond), Node: "n0", Timeout: time.Second}
 		l := Start(ctx, conn, Options{ChunkTasks: 8, WatchHold: time.Second, MaxViewAge: time.Second, Backoff: 100 * time.Millisecond, MaxValueBytes: 8 << 10})
 		l.Run()
 		time.Sleep(time.Second)
@@ -317,12 +317,12 @@
 
 // paged lists one key at a time, and lets something happen after the first page.
 type paged struct {
-	*fakes.Conn
+	*simulation.StoreConn
 	between func()
 }
 
 func (s *paged) List(ctx context.Context, prefix, after string, _ int) (*wire.RangeResponse, error) {
-	page, err := s.Conn.List(ctx, prefix, after, 1)
+	page, err := s.StoreConn.List(ctx, prefix, after, 1)
 	if s.between != nil {
 		s.between()
 		s.between = nil
@@ -336,7 +336,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		conn := &fakes.Conn{State: fakes.NewState(), Net: fakes.NewNet(1, time.Millisecond), Node: "n0", Timeout: time.Second}
+		conn := &simulation.StoreConn{Store: simulation.NewStore(), Net: simulation.NewNetwork(1, time.Millisecond), Node: "n0", Timeout: time.Second}
 		write := func(key string, machines ...string) wire.Write {
 			raw, err := json.Marshal(NewMachineGroup("", "t", "z", false, 5, machines, 9))
 			if err != nil {
--- a/internal/zonecontrol/controller.go
+++ b/internal/zonecontrol/controller.go
@@ -10,8 +10,8 @@
 	"lynxledge/internal/actor"
 	"lynxledge/internal/config"
 	"lynxledge/internal/election"
-	"lynxledge/internal/place"
-	"lynxledge/internal/plan"
+	"lynxledge/internal/planner"
+	"lynxledge/internal/scheduler"
 	"lynxledge/internal/statecache"
 	"lynxledge/internal/zonehealth"
 	"lynxledge/wire"
@@ -20,22 +20,22 @@
 // Controller is the actor.
 type Controller struct {
 	*actor.Actor
-	cfg    *config.Config
-	boot   uint64
-	ledger *statecache.Cache
-	placer ClusterOwner
-	policy zonehealth.Policy
-	period time.Duration // between two looks
-
-	view  *statecache.View // of machines, members and the recovery; it has no jobs
-	epoch uint64
-	fresh time.Time
-	types []wire.MachineType
-
-	census  *zonehealth.Census
-	tracker *zonehealth.Tracker
-	refused map[plan.Pool]time.Time // until when the cloud is not asked again
-	looked  time.Time
+	config      *config.Config
+	incarnation uint64
+	cache       *statecache.Cache
+	scheduler   ClusterOwner
+	policy      zonehealth.Policy
+	period      time.Duration // between two looks
+
+	view         *statecache.View // of machines, members and the recovery; it has no jobs
+	revision     uint64
+	freshAsOf    time.Time
+	machineTypes []wire.MachineType
+
+	census         *zonehealth.Census
+	tracker        *zonehealth.Tracker
+	exhaustedPools map[planner.Pool]time.Time // until when the cloud is not asked again
+	lastCheck      time.Time
 
 	term       uint64 // of the leadership that the tracker's state belongs to
 	serial     uint64 // of the record that was written last
@@ -45,50 +45,52 @@
 
 // ClusterOwner runs a function that looks at all that is placed.
 type ClusterOwner interface {
-	WithCluster(f func(place.Cluster)) bool
+	WithClusterState(f func(scheduler.ClusterState)) bool
 }
 
-// looksPerReport is how often in a report interval the evidence is looked at.
-const looksPerReport = 4
+// checksPerHeartbeat is how often in a report interval the evidence is looked at.
+const checksPerHeartbeat = 4
 
 // Start runs the actor; the settings' ZoneRecovery section is set.
 func Start(ctx context.Context, cfg *config.Config, boot uint64, l *statecache.Cache, placer ClusterOwner) *Controller {
 	policy := zonehealth.PolicyOf(cfg)
 	now := time.Now()
 	c := &Controller{
-		Actor:   actor.Start(ctx, "zonecontrol", 256),
-		cfg:     cfg,
-		boot:    boot,
-		ledger:  l,
-		placer:  placer,
-		policy:  policy,
-		period:  config.Seconds(cfg.Params.Workers.HeartbeatInterval / looksPerReport),
-		view:    statecache.NewUnfinishedView(statecache.ChunkTasks(cfg.Params.Store.MaxValueKB)),
-		census:  zonehealth.NewCensus(now, policy.Silence),
-		tracker: zonehealth.NewTracker(policy),
-		refused: map[plan.Pool]time.Time{},
-		looked:  now,
+		Actor:          actor.Start(ctx, "zonecontrol", 256),
+		config:         cfg,
+		incarnation:    boot,
+		cache:          l,
+		scheduler:      placer,
+		policy:         policy,
+		period:         config.Seconds(cfg.Params.Workers.HeartbeatInterval / checksPerHeartbeat),
+		view:           statecache.NewUnfinishedView(statecache.ChunkTasks(cfg.Params.Store.MaxValueKB)),
+		census:         zonehealth.NewCensus(now, policy.Silence),
+		tracker:        zonehealth.NewTracker(policy),
+		exhaustedPools: map[planner.Pool]time.Time{},
+		lastCheck:      now,
 	}
 	l.Subscribe(func(d statecache.Update) { c.Send(func() { c.apply(d) }) })
-	c.Every(c.period, c.look)
+	c.Every(c.period, c.check)
 	return c
 }
 
-// SetTypes tells the actor of the machine types.
-func (c *Controller) SetTypes(types []wire.MachineType) { c.Send(func() { c.types = types }) }
+// SetMachineTypes tells the actor of the machine types.
+func (c *Controller) SetMachineTypes(types []wire.MachineType) {
+	c.Send(func() { c.machineTypes = types })
+}
 
-// Heard notes that a controller has heard machines.
-func (c *Controller) Heard(controller string, machines []string) {
-	c.Post(func() { c.census.Heard(controller, machines) })
+// MachinesReachable notes that a controller has heard machines.
+func (c *Controller) MachinesReachable(controller string, machines []string) {
+	c.Post(func() { c.census.MachinesReachable(controller, machines) })
 }
 
-// Refused notes that the cloud rents no machines of a pool for now.
-func (c *Controller) Refused(pool plan.Pool, until time.Time) {
-	c.Post(func() { c.refused[pool] = until })
+// PoolExhausted notes that the cloud rents no machines of a pool for now.
+func (c *Controller) PoolExhausted(pool planner.Pool, until time.Time) {
+	c.Post(func() { c.exhaustedPools[pool] = until })
 }
 
 func (c *Controller) apply(d statecache.Update) {
-	c.epoch, c.fresh = d.Revision, d.FreshAsOf
+	c.revision, c.freshAsOf = d.Revision, d.FreshAsOf
 	for _, change := range d.Changes {
 		switch change.Kind {
 		case statecache.KindJob, statecache.KindCompletionChunk:
@@ -136,12 +138,12 @@
 
 func (c *Controller) restore() { c.tracker.Restore(time.Now(), statusesOf(c.view.ZoneRecoveries)) }
 
-// look judges the evidence, if this process leads, and records what follows.
-func (c *Controller) look() {
+// check judges the evidence, if this process leads, and records what follows.
+func (c *Controller) check() {
 	now := time.Now()
-	c.census.Advance(now, c.period, now.Sub(c.looked))
-	c.looked = now
-	lead, ok := c.lead()
+	c.census.Advance(now, c.period, now.Sub(c.lastCheck))
+	c.lastCheck = now
+	lead, ok := c.leadership()
 	if !ok || c.writing || c.unreadable {
 		return
 	}
@@ -154,11 +156,11 @@
 	c.record(lead, changes)
 }
 
-// lead is the leadership of this process, if it is confirmed. A new leader goes on from
+// leadership is the leadership of this process, if it is confirmed. A new leader goes on from
 // the record.
-func (c *Controller) lead() (election.Leadership, bool) {
-	maxAge := config.Seconds(maxViewReports * c.cfg.Params.Workers.HeartbeatInterval)
-	lead, ok := election.ConfirmLeadership(c.view, c.boot, c.epoch, c.fresh, maxAge)
+func (c *Controller) leadership() (election.Leadership, bool) {
+	maxAge := config.Seconds(maxViewAgeHeartbeats * c.config.Params.Workers.HeartbeatInterval)
+	lead, ok := election.ConfirmLeadership(c.view, c.incarnation, c.revision, c.freshAsOf, maxAge)
 	if ok && c.term != lead.Term() {
 		c.term, c.serial = lead.Term(), 0
 		c.restore()
@@ -166,8 +168,8 @@
 	return lead, ok
 }
 
-// maxViewReports is how old a view may be to judge by it, in report intervals.
-const maxViewReports = 2
+// maxViewAgeHeartbeats is how old a view may be to judge by it, in report intervals.
+const maxViewAgeHeartbeats = 2
 
 // evidence is what is known of every zone: of its machines, its controllers, and what
 // the cloud refuses there.
@@ -198,21 +200,21 @@
 			e.ControllersGone++
 		}
 	}
-	count(c.cfg.MemberName, c.cfg.Zone)
-	for _, p := range c.cfg.Peers {
+	count(c.config.MemberName, c.config.Zone)
+	for _, p := range c.config.Peers {
 		count(p.Name, p.Zone)
 	}
 }
 
 func (c *Controller) countPools(zone string, now time.Time, e *zonehealth.Evidence) {
-	for i := range c.types {
-		for _, z := range c.types[i].Zones {
+	for i := range c.machineTypes {
+		for _, z := range c.machineTypes[i].Zones {
 			if z != zone {
 				continue
 			}
 			for _, spot := range []bool{false, true} {
 				e.Pools++
-				if now.Before(c.refused[plan.Pool{Type: c.types[i].Name, Zone: zone, Spot: spot}]) {
+				if now.Before(c.exhaustedPools[planner.Pool{MachineType: c.machineTypes[i].Name, Zone: zone, Spot: spot}]) {
 					e.PoolsRefused++
 				}
 			}
--- a/internal/zonecontrol/controller_test.go
+++ b/internal/zonecontrol/controller_test.go
@@ -9,16 +9,16 @@
 	"time"
 
 	"lynxledge/internal/config"
-	"lynxledge/internal/fakes"
-	"lynxledge/internal/place"
+	"lynxledge/internal/scheduler"
+	"lynxledge/internal/simulation"
 	"lynxledge/internal/statecache"
 )
 
 // noCluster has nothing placed.
 type noCluster struct{}
 
-func (noCluster) WithCluster(f func(place.Cluster)) bool {
-	f(place.Cluster{View: statecache.NewUnfinishedView(8)})
+func (noCluster) WithClusterState(f func(scheduler.ClusterState)) bool {
+	f(scheduler.ClusterState{View: statecache.NewUnfinishedView(8)})
 	return true
 }
 
@@ -34,8 +34,8 @@
 type bench struct {
 	t     *testing.T
 	ctx   context.Context
-	state *fakes.State
-	net   *fakes.Net
+	state *simulation.Store
+	net   *simulation.Network
 	cfg   config.Config
 }
 
@@ -45,11 +45,11 @@
 	cfg.Operator.ZoneRecovery = &section
 	cfg.Params.Workers = config.WorkerTimings{HeartbeatInterval: 3, LeaseDuration: 34, CancellationDeadline: 64}
 	cfg.Params.Store = config.StoreLimits{MaxValueKB: 4, MaxTxnOps: 8, RequestRate: 150, WriteRate: 50}
-	return &bench{t: t, ctx: ctx, state: fakes.NewState(), net: fakes.NewNet(1, time.Millisecond), cfg: cfg}
+	return &bench{t: t, ctx: ctx, state: simulation.NewStore(), net: simulation.NewNetwork(1, time.Millisecond), cfg: cfg}
 }
 
 func (b *bench) member(name string, boot uint64) *member {
-	conn := &fakes.Conn{State: b.state, Net: b.net, Node: name, Timeout: time.Second}
+	conn := &simulation.StoreConn{Store: b.state, Net: b.net, Node: name, Timeout: time.Second}
 	m := &member{name: name, boot: boot}
 	m.led = statecache.Start(b.ctx, conn, statecache.Options{ChunkTasks: 8, WatchHold: time.Second, MaxViewAge: time.Second, Backoff: 100 * time.Millisecond})
 	cfg := b.cfg
@@ -88,7 +88,7 @@
 // hear lets seconds pass in which machines are heard by a member.
 func hear(seconds int, m *member, heard []string) {
 	for range seconds {
-		m.zones.Heard(m.name, heard)
+		m.zones.MachinesReachable(m.name, heard)
 		time.Sleep(time.Second)
 	}
 }
@@ -179,7 +179,7 @@
 		first.lead(1)
 		both := func(seconds int, heard []string) {
 			for range seconds {
-				first.zones.Heard("n0", heard)
+				first.zones.MachinesReachable("n0", heard)
 				hear(1, second, heard)
 			}
 		}
--- a/internal/zonecontrol/record.go
+++ b/internal/zonecontrol/record.go
@@ -22,7 +22,7 @@
 	commit := statecache.Commit{
 		Preconditions: []wire.Precondition{
 			lead.Precondition(),
-			{Key: statecache.ZoneRecoveryKey, ModRevision: stampOf(standing)},
+			{Key: statecache.ZoneRecoveryKey, ModRevision: revisionOf(standing)},
 		},
 		RetryUntilCertain: true,
 		RetryFor:          2 * c.period,
@@ -43,7 +43,7 @@
 		}}}
 	}
 	c.writing = true
-	c.ledger.Commit(commit, func(out statecache.Outcome) { c.Send(func() { c.recorded(out, changes) }) })
+	c.cache.Commit(commit, func(out statecache.Outcome) { c.Send(func() { c.recorded(out, changes) }) })
 }
 
 // recorded takes the outcome of a write. What did not come to stand is judged again
@@ -86,7 +86,7 @@
 		}
 		zones = append(zones, zoneRecordOf(name, status))
 	}
-	return fitting(zones, c.cfg.Params.Store.ValueSizeLimit())
+	return fitting(zones, c.config.Params.Store.ValueSizeLimit())
 }
 
 // fitting drops what matters least until the zones fit a value: evidence first, then
@@ -114,7 +114,7 @@
 // recordMargin is for the record's own figures, which are not known yet.
 const recordMargin = 64
 
-func stampOf(r *statecache.ZoneRecoveries) uint64 {
+func revisionOf(r *statecache.ZoneRecoveries) uint64 {
 	if r == nil {
 		return 0
 	}
--- a/internal/zonecontrol/status.go
+++ b/internal/zonecontrol/status.go
@@ -9,8 +9,8 @@
 	"slices"
 	"time"
 
-	"lynxledge/internal/place"
 	"lynxledge/internal/recovery"
+	"lynxledge/internal/scheduler"
 	"lynxledge/internal/statecache"
 	"lynxledge/internal/zonehealth"
 )
@@ -76,7 +76,7 @@
 	zones := make(chan *Status, 1)
 	services := make(chan []ServiceStatus, 1)
 	asked := c.Post(func() { zones <- c.zoneStatus(time.Now()) }) &&
-		c.placer.WithCluster(func(cluster place.Cluster) { services <- serviceStatus(cluster) })
+		c.scheduler.WithClusterState(func(cluster scheduler.ClusterState) { services <- serviceStatus(cluster) })
 	if !asked {
 		return nil, errBusy
 	}
@@ -97,7 +97,7 @@
 var errBusy = fmt.Errorf("the controller is too busy to tell")
 
 func (c *Controller) zoneStatus(now time.Time) *Status {
-	status := &Status{Member: c.cfg.MemberName, Recorded: c.view.AllMembersSupport(statecache.CapabilityZoneRecovery) && !c.unreadable}
+	status := &Status{Member: c.config.MemberName, Recorded: c.view.AllMembersSupport(statecache.CapabilityZoneRecovery) && !c.unreadable}
 	if c.view.Leader != nil {
 		status.Leader = c.view.Leader.Member
 	}
@@ -131,15 +131,15 @@
 }
 
 // serviceStatus says of each service that lacks replicas what it waits for.
-func serviceStatus(cluster place.Cluster) []ServiceStatus {
-	services := recovery.Services(cluster.View, cluster.Active)
-	var nodes []*place.Node
+func serviceStatus(cluster scheduler.ClusterState) []ServiceStatus {
+	services := recovery.Services(cluster.View, cluster.ActiveJobs)
+	var nodes []*scheduler.Node
 	for _, n := range cluster.Nodes {
-		if n.Open {
+		if n.Schedulable {
 			nodes = append(nodes, n)
 		}
 	}
-	plan := recovery.Make(recovery.Input{Services: services, Nodes: nodes, Usage: cluster.Usage, Team: cluster.Team})
+	plan := recovery.Compute(recovery.Input{Services: services, Nodes: nodes, Usage: cluster.Usage, TeamQuota: cluster.TeamQuota})
 	placeable := map[*recovery.Service]int{}
 	for _, p := range plan.Placements {
 		placeable[p.Service]++
--- a/internal/zonehealth/census.go
+++ b/internal/zonehealth/census.go
@@ -43,8 +43,8 @@
 	}
 }
 
-// unheard is whose hearing machines are put into that nobody has heard yet.
-const unheard = ""
+// notReachable is whose hearing machines are put into that nobody has heard yet.
+const notReachable = ""
 
 // Expect notes that a machine should report from now on. It has the whole time of
 // silence to be heard.
@@ -54,7 +54,7 @@
 		m = machine{c.next, zone}
 		c.next++
 		c.machines[name] = m
-		c.hearing(unheard).add(m.number)
+		c.hearing(notReachable).add(m.number)
 	}
 	c.sets(zone).expected.Add(m.number)
 }
@@ -74,8 +74,8 @@
 	}
 }
 
-// Heard notes that a controller has heard machines.
-func (c *Census) Heard(controller string, names []string) {
+// MachinesReachable notes that a controller has heard machines.
+func (c *Census) MachinesReachable(controller string, names []string) {
 	h := c.hearing(controller)
 	for _, name := range names {
 		if m, known := c.machines[name]; known {
@@ -135,7 +135,7 @@
 	for controller, h := range c.hearings {
 		union := h.union()
 		all = append(all, union)
-		if controller != unheard {
+		if controller != notReachable {
 			byController = append(byController, union)
 		}
 	}
--- a/internal/zonehealth/census_test.go
+++ b/internal/zonehealth/census_test.go
@@ -39,9 +39,9 @@
 	expect(c, "a", a)
 	expect(c, "b", b)
 	pass(c, &now, 20, func() {
-		c.Heard("n0", a[:4])
-		c.Heard("n1", a[2:7])
-		c.Heard("n1", []string{"stranger"})
+		c.MachinesReachable("n0", a[:4])
+		c.MachinesReachable("n1", a[2:7])
+		c.MachinesReachable("n1", []string{"stranger"})
 	})
 	if e := c.Evidence()["a"]; e.Silent != 3 || e.HeardBy != 2 || e.Expected != 10 {
 		t.Errorf("a: %v", e)
@@ -75,7 +75,7 @@
 	if e := c.Evidence()["a"]; e.Expected != 4 || e.Failed != 3 || e.Silent != 0 {
 		t.Errorf("at once: %v", e)
 	}
-	pass(c, &now, 20, func() { c.Heard("n0", a) })
+	pass(c, &now, 20, func() { c.MachinesReachable("n0", a) })
 	if e := c.Evidence()["a"]; e.Expected != 4 || e.Failed != 0 || e.Silent != 0 {
 		t.Errorf("later: %v", e)
 	}
@@ -119,7 +119,7 @@
 		b.Run(fmt.Sprintf("report/%d", machines), func(b *testing.B) {
 			b.ReportAllocs()
 			for i := range b.N {
-				c.Heard("n0", all[i%machines:i%machines+1])
+				c.MachinesReachable("n0", all[i%machines:i%machines+1])
 			}
 		})
 		b.Run(fmt.Sprintf("look/%d", machines), func(b *testing.B) {
@@ -127,7 +127,7 @@
 			for range b.N {
 				now = now.Add(tick)
 				c.Advance(now, tick, tick)
-				c.Heard("n1", all[:machines/2])
+				c.MachinesReachable("n1", all[:machines/2])
 				c.Evidence()
 			}
 		})
