--- a/cmd/lynxledge/acts_test.go
+++ b/cmd/lynxledge/acts_test.go
@@ -11,7 +11,7 @@
 
 	"pgregory.net/rapid"
 
-	_ "lynxledge/internal/seeded"
+	_ "lynxledge/internal/rapidseed"
 
 	"lynxledge/internal/config"
 	"lynxledge/internal/simulation"
--- a/cmd/lynxledge/loopback_test.go
+++ b/cmd/lynxledge/loopback_test.go
@@ -17,9 +17,9 @@
 
 	"lynxledge/internal/config"
 	"lynxledge/internal/failuredetector"
+	"lynxledge/internal/simulation"
 	"lynxledge/internal/simulation/history"
 	"lynxledge/internal/simulation/loopback"
-	"lynxledge/internal/simulation"
 	"lynxledge/internal/standby"
 	"lynxledge/internal/statecache"
 	"lynxledge/internal/zonecontrol"
--- a/cmd/lynxledge/run.go
+++ b/cmd/lynxledge/run.go
@@ -30,6 +30,7 @@
 	"lynxledge/internal/kvstore"
 	"lynxledge/internal/overload"
 	"lynxledge/internal/peer"
+	"lynxledge/internal/reconcile"
 	"lynxledge/internal/recovery"
 	"lynxledge/internal/scheduler"
 	"lynxledge/internal/standby"
@@ -169,7 +170,7 @@
 	var placer *scheduler.Scheduler
 	rep := heartbeat.Start(ctx, cfg, boot, led, heartbeat.Routes{
 		FreshPeer: msh.FreshPeer, Isolated: msh.Isolated, SendEvidence: msh.SendEvidence,
-		ApplyEvidence: func(n scheduler.Evidence, wait time.Duration) { placer.HandleEvidence(n, wait) },
+		ApplyEvidence: func(n reconcile.Evidence, wait time.Duration) { placer.HandleEvidence(n, wait) },
 	})
 	placer = scheduler.Start(ctx, cfg, boot, led, to.workers, rep.HandleCommandResponse)
 	front := apiserver.Start(ctx, cfg, led, rep, msh)
@@ -177,7 +178,7 @@
 	rep.OnReachable(msh.AnnounceReachable)
 	rep.OnReachable(renter.MachinesReachable)
 	msh.OnReachable(renter.MachinesReachable)
-	msh.OnEvidence(func(n scheduler.Evidence) { placer.HandleEvidence(n, 0) })
+	msh.OnEvidence(func(n reconcile.Evidence) { placer.HandleEvidence(n, 0) })
 	elect := election.Start(ctx, to.state, led, election.Options{
 		MemberName: cfg.MemberName, Incarnation: boot, LeaseTTL: time.Duration(float64(report) * ops.MemberLeaseHeartbeats),
 		Teams: teams(p.Teams), MaxTxnOps: p.Store.TxnOpsLimit(), ChunkTasks: chunk, Capabilities: capabilities(ops),
--- a/cmd/lynxledge/zone_world_test.go
+++ b/cmd/lynxledge/zone_world_test.go
@@ -11,8 +11,8 @@
 	"time"
 
 	"lynxledge/internal/config"
-	"lynxledge/internal/simulation/history"
 	"lynxledge/internal/simulation"
+	"lynxledge/internal/simulation/history"
 	"lynxledge/internal/statecache"
 	"lynxledge/internal/zonecontrol"
 	"lynxledge/wire"
--- a/internal/apiserver/bench_test.go
+++ b/internal/apiserver/bench_test.go
@@ -14,7 +14,7 @@
 
 	"lynxledge/internal/config"
 	"lynxledge/internal/heartbeat"
-	"lynxledge/internal/scheduler"
+	"lynxledge/internal/reconcile"
 	"lynxledge/internal/simulation"
 	"lynxledge/internal/statecache"
 	"lynxledge/wire"
@@ -39,8 +39,8 @@
 	reporter := heartbeat.Start(ctx, cfg, 1, l, heartbeat.Routes{
 		FreshPeer:     func() string { return "" },
 		Isolated:      func() bool { return false },
-		ApplyEvidence: func(scheduler.Evidence, time.Duration) {},
-		SendEvidence:  func(string, scheduler.Evidence) bool { return false },
+		ApplyEvidence: func(reconcile.Evidence, time.Duration) {},
+		SendEvidence:  func(string, reconcile.Evidence) bool { return false },
 	})
 	front := Start(ctx, cfg, l, reporter, nil)
 	front.SetMachineTypes([]wire.MachineType{{Name: "s", CPUs: 16, MemoryGB: 128, Zones: []string{"a"}}})
--- a/internal/apiserver/submit.go
+++ b/internal/apiserver/submit.go
@@ -13,7 +13,8 @@
 	"lynxledge/internal/actor"
 	"lynxledge/internal/config"
 	"lynxledge/internal/overload"
-	"lynxledge/internal/scheduler"
+	"lynxledge/internal/placement"
+	"lynxledge/internal/resources"
 	"lynxledge/internal/statecache"
 	"lynxledge/wire"
 )
@@ -121,7 +122,7 @@
 	if j.IsService() {
 		n = float64(j.TaskCount)
 	}
-	if !(scheduler.Usage{}).WithinLimit(team, scheduler.Resources{}.Plus(scheduler.RequestOf(j), n)) {
+	if !(resources.Usage{}).WithinLimit(team, resources.Vector{}.Plus(resources.OfTask(j), n)) {
 		return http.StatusUnprocessableEntity, "needs more than the team's limit"
 	}
 	return 0, ""
@@ -162,7 +163,7 @@
 	for i := range types {
 		t := &types[i]
 		for _, z := range t.Zones {
-			if scheduler.Allowed(j, t.Name, z, false) && scheduler.RequestOf(j).Fits(scheduler.Capacity(t)) {
+			if placement.Allowed(j, t.Name, z, false) && resources.OfTask(j).Fits(resources.OfMachineType(t)) {
 				return true
 			}
 		}
--- a/internal/autoscaler/rent.go
+++ b/internal/autoscaler/autoscaler.go
@@ -1,5 +1,3 @@
-// Package rent is the leader's hand on the cloud: it rents what the plan asks
-// for, adopts what appears, and returns what is idle, dead or lost.
 package autoscaler
 
 import (
@@ -11,10 +9,11 @@
 	"lynxledge/internal/actor"
 	"lynxledge/internal/config"
 	"lynxledge/internal/election"
+	"lynxledge/internal/estimate"
 	"lynxledge/internal/overload"
 	"lynxledge/internal/planner"
 	"lynxledge/internal/recovery"
-	"lynxledge/internal/scheduler"
+	"lynxledge/internal/resources"
 	"lynxledge/internal/statecache"
 	"lynxledge/wire"
 )
@@ -46,7 +45,7 @@
 	onProbeResponse func(*wire.Heartbeat)
 
 	zoneRecovery    *recovery.ScalingPolicy // nil: zones that recover are treated like any other
-	onPoolExhausted func(pool planner.Pool, until time.Time)
+	onPoolExhausted func(pool resources.Pool, until time.Time)
 
 	view           *statecache.View
 	revision       uint64
@@ -55,17 +54,17 @@
 	activeJobs     map[string]*statecache.Job
 	blockedJobs    map[string]*statecache.Job
 	latePipelines  map[string]string // pipelines by their last job: the stage that makes them late
-	runtimes       *scheduler.RuntimeEstimator
+	runtimes       *estimate.RuntimeEstimator
 	boundSince     map[string]time.Time        // bound task: since when
 	liveness       map[string]*machineLiveness // by machine
-	exhaustedPools map[planner.Pool]time.Time
+	exhaustedPools map[resources.Pool]time.Time
 	pendingUpdates map[string]machineUpdate // machine: what is to be written of it
 	commitInFlight bool
 
 	term                    uint64 // of the leadership that this state belongs to
 	provisionCount          int
-	provisioning            map[string]planner.Pool // by intent
-	replanAfterProvisioning bool                    // more is wanted of a pool with a rental under way
+	provisioning            map[string]resources.Pool // by intent
+	replanAfterProvisioning bool                      // more is wanted of a pool with a rental under way
 	terminating             map[string]bool
 	terminatedAt            map[string]time.Time
 	listInFlight            bool
@@ -90,11 +89,11 @@
 		activeJobs:      map[string]*statecache.Job{},
 		blockedJobs:     map[string]*statecache.Job{},
 		latePipelines:   map[string]string{},
-		runtimes:        scheduler.NewRuntimeEstimator(),
+		runtimes:        estimate.NewRuntimeEstimator(),
 		boundSince:      map[string]time.Time{},
 		liveness:        map[string]*machineLiveness{},
-		exhaustedPools:  map[planner.Pool]time.Time{},
-		provisioning:    map[string]planner.Pool{},
+		exhaustedPools:  map[resources.Pool]time.Time{},
+		provisioning:    map[string]resources.Pool{},
 		terminating:     map[string]bool{},
 		pendingUpdates:  map[string]machineUpdate{},
 		terminatedAt:    map[string]time.Time{},
@@ -107,7 +106,7 @@
 
 // SetZoneRecovery has rentals follow the recovery of zones, and tells it of pools that
 // the cloud refuses. To be called before the ledger runs.
-func (r *Autoscaler) SetZoneRecovery(zones *recovery.ScalingPolicy, onRefused func(pool planner.Pool, until time.Time)) {
+func (r *Autoscaler) SetZoneRecovery(zones *recovery.ScalingPolicy, onRefused func(pool resources.Pool, until time.Time)) {
 	r.zoneRecovery, r.onPoolExhausted = zones, onRefused
 }
 
@@ -166,7 +165,7 @@
 		delete(r.liveness, m)
 		delete(r.pendingUpdates, m)
 		r.terminatedAt[m] = now
-		delete(r.exhaustedPools, planner.Pool{MachineType: old.MachineType, Zone: old.Zone, Spot: old.Spot})
+		delete(r.exhaustedPools, resources.Pool{MachineType: old.MachineType, Zone: old.Zone, Spot: old.Spot})
 		return
 	}
 	known := r.livenessOf(m)
--- a/internal/autoscaler/survey.go
+++ b/internal/autoscaler/instances.go
@@ -6,7 +6,7 @@
 
 	"lynxledge/internal/config"
 	"lynxledge/internal/election"
-	"lynxledge/internal/planner"
+	"lynxledge/internal/resources"
 	"lynxledge/internal/statecache"
 	"lynxledge/wire"
 )
@@ -51,7 +51,7 @@
 			delete(r.terminatedAt, m)
 		}
 	}
-	renting := map[planner.Pool]bool{}
+	renting := map[resources.Pool]bool{}
 	for _, i := range r.view.ProvisioningIntents {
 		renting[poolOf(i)] = true
 	}
@@ -68,7 +68,7 @@
 		// A machine that was returned is listed for a while. What this process
 		// saw returned it remembers; for the rest it waits until no list shows it.
 		_, late := r.terminatedAt[id]
-		if late || now.Sub(r.startedAt) < 3*lag || !wire.ValidMachineName(id) || renting[planner.Pool{MachineType: h.MachineType, Zone: h.Zone, Spot: h.Spot}] ||
+		if late || now.Sub(r.startedAt) < 3*lag || !wire.ValidMachineName(id) || renting[resources.Pool{MachineType: h.MachineType, Zone: h.Zone, Spot: h.Spot}] ||
 			len(c.Puts) >= r.config.Params.Store.TxnOpsLimit() {
 			continue
 		}
--- a/internal/autoscaler/demand.go
+++ b/internal/autoscaler/planning_input.go
@@ -6,9 +6,11 @@
 	"math"
 	"time"
 
+	"lynxledge/internal/estimate"
+	"lynxledge/internal/placement"
 	"lynxledge/internal/planner"
 	"lynxledge/internal/recovery"
-	"lynxledge/internal/scheduler"
+	"lynxledge/internal/resources"
 	"lynxledge/internal/statecache"
 	"lynxledge/wire"
 )
@@ -46,16 +48,16 @@
 	ops := r.config.Operator
 	in := planner.Input{
 		Types: r.machineTypes, BootLag: ops.BootLag, PlanningInterval: ops.PlanningInterval, BillingPeriod: ops.BillingPeriod, HeadroomShare: ops.HeadroomShare, MaxPriceMultiple: ops.MaxPriceMultiple,
-		Refused: func(p planner.Pool) bool { return now.Before(r.exhaustedPools[p]) },
+		Refused: func(p resources.Pool) bool { return now.Before(r.exhaustedPools[p]) },
 	}
 	if recovery.Recovering(r.view.ZoneRecoveries) {
 		in.Avoided = func(zone string) bool { return r.zoneRecovery.IsLost(r.view.ZoneRecoveries, zone) }
 	}
 	withheld := r.zoneRecovery.WithheldFor(now, r.view)
-	pools := map[planner.Pool]bool{}
+	pools := map[resources.Pool]bool{}
 	for _, b := range r.view.Machines {
 		if b.Schedulable() {
-			pools[planner.Pool{MachineType: b.MachineType, Zone: b.Zone, Spot: b.Spot}] = true
+			pools[resources.Pool{MachineType: b.MachineType, Zone: b.Zone, Spot: b.Spot}] = true
 		}
 	}
 	add := func(id string, j *statecache.Job, startS float64) {
@@ -66,14 +68,14 @@
 		// The first deadline that a machine rented now can still keep.
 		age, due := float64(now.UnixMilli()-j.RunnableSince())/1000, 0.0
 		run := r.runtimes.Estimate(j.Spec)
-		deadlines := scheduler.Deadlines(r.config, j, run, age, age+startS)
+		deadlines := estimate.Deadlines(r.config, j, run, age, age+startS)
 		for _, d := range deadlines {
 			if due = d - age; ops.BootLag+run <= due {
 				break
 			}
 		}
 		in.Demands = append(in.Demands, planner.Demand{
-			Job: j.Spec, Count: r.limitedByQuota(j, n), Runtime: run, Zones: scheduler.ZoneCountsOf(r.view, id),
+			Job: j.Spec, Count: r.limitedByQuota(j, n), Runtime: run, Zones: placement.ZoneCountsOf(r.view, id),
 			Deadline: due, Late: !j.Spec.IsService() && ops.BootLag+run > due, Overdue: age > overdueDeadlineMultiple*deadlines[len(deadlines)-1] && !r.hasSuitableMachine(j.Spec, pools),
 		})
 	}
@@ -90,7 +92,7 @@
 	}
 	for name, b := range r.view.Machines {
 		m := planner.Machine{
-			Name: name, Pool: planner.Pool{MachineType: b.MachineType, Zone: b.Zone, Spot: b.Spot},
+			Name: name, Pool: resources.Pool{MachineType: b.MachineType, Zone: b.Zone, Spot: b.Spot},
 			Age: (float64(now.UnixMilli()) - float64(b.ProvisionedAt)) / 1000, Schedulable: b.DrainReason == "" && !b.Terminating && !b.Suspected,
 		}
 		if b.Incarnation == 0 {
@@ -106,7 +108,7 @@
 				continue
 			}
 			if b.Suspected && j.Active() && j.Spec.IsService() { // may have to be replaced
-				zones := scheduler.ZoneCountsOf(r.view, t.Job)
+				zones := placement.ZoneCountsOf(r.view, t.Job)
 				zones[b.Zone]--
 				in.Demands = append(in.Demands, planner.Demand{Job: j.Spec, Count: 1, Zones: zones})
 			}
@@ -130,7 +132,7 @@
 }
 
 // dependencyWaits tells in how many seconds each blocked job could run.
-func (r *Autoscaler) dependencyWaits(now time.Time) map[string]scheduler.DependencyWait {
+func (r *Autoscaler) dependencyWaits(now time.Time) map[string]estimate.DependencyWait {
 	if len(r.blockedJobs) == 0 {
 		return nil
 	}
@@ -154,12 +156,12 @@
 		}
 		return most
 	}
-	return scheduler.DependencyWaits(r.blockedJobs, r.view.Active, left, run)
+	return estimate.DependencyWaits(r.blockedJobs, r.view.Active, left, run)
 }
 
 // logDeadlineRisk says early that a pipeline will miss its deadline, and which stage makes
 // it: once for each change.
-func (r *Autoscaler) logDeadlineRisk(last string, h scheduler.DependencyWait, now time.Time) {
+func (r *Autoscaler) logDeadlineRisk(last string, h estimate.DependencyWait, now time.Time) {
 	j := r.blockedJobs[last]
 	if j.Spec.Deadline == nil {
 		return
@@ -189,12 +191,12 @@
 // hasSuitableMachine tells whether any machine that is up may run the job's tasks: then it
 // waits its turn, however late it is. Dearer machines would not make it any
 // less late.
-func (r *Autoscaler) hasSuitableMachine(j *wire.Job, pools map[planner.Pool]bool) bool {
+func (r *Autoscaler) hasSuitableMachine(j *wire.Job, pools map[resources.Pool]bool) bool {
 	for i := range r.machineTypes {
 		t := &r.machineTypes[i]
 		for _, z := range t.Zones {
 			for _, spot := range []bool{false, true} {
-				if pools[planner.Pool{MachineType: t.Name, Zone: z, Spot: spot}] && scheduler.Allowed(j, t.Name, z, spot) && scheduler.RequestOf(j).Fits(scheduler.Capacity(t)) {
+				if pools[resources.Pool{MachineType: t.Name, Zone: z, Spot: spot}] && placement.Allowed(j, t.Name, z, spot) && resources.OfTask(j).Fits(resources.OfMachineType(t)) {
 					return true
 				}
 			}
--- a/internal/autoscaler/demand_test.go
+++ b/internal/autoscaler/planning_input_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"lynxledge/internal/scheduler"
+	"lynxledge/internal/estimate"
 	"lynxledge/internal/statecache"
 	"lynxledge/wire"
 )
@@ -30,18 +30,18 @@
 	r := &Autoscaler{
 		blockedJobs:   map[string]*statecache.Job{"req-000009": last},
 		latePipelines: map[string]string{},
-		runtimes:      scheduler.NewRuntimeEstimator(),
+		runtimes:      estimate.NewRuntimeEstimator(),
 	}
 	for _, step := range []struct {
-		held scheduler.DependencyWait
+		held estimate.DependencyWait
 		want string // in what is logged; nothing if empty
 	}{
-		{scheduler.DependencyWait{Wait: 60, BlockedBy: "req-000001"}, ""},
-		{scheduler.DependencyWait{Wait: 120, BlockedBy: "req-000001"}, "held_up_by=req-000001"},
-		{scheduler.DependencyWait{Wait: 130, BlockedBy: "req-000001"}, ""},
-		{scheduler.DependencyWait{Wait: 130, BlockedBy: "req-000002"}, "held_up_by=req-000002"},
-		{scheduler.DependencyWait{Wait: 50, BlockedBy: "req-000002"}, "pipeline is in time again"},
-		{scheduler.DependencyWait{Wait: 50, BlockedBy: "req-000002"}, ""},
+		{estimate.DependencyWait{Wait: 60, BlockedBy: "req-000001"}, ""},
+		{estimate.DependencyWait{Wait: 120, BlockedBy: "req-000001"}, "held_up_by=req-000001"},
+		{estimate.DependencyWait{Wait: 130, BlockedBy: "req-000001"}, ""},
+		{estimate.DependencyWait{Wait: 130, BlockedBy: "req-000002"}, "held_up_by=req-000002"},
+		{estimate.DependencyWait{Wait: 50, BlockedBy: "req-000002"}, "pipeline is in time again"},
+		{estimate.DependencyWait{Wait: 50, BlockedBy: "req-000002"}, ""},
 	} {
 		log.Reset()
 		r.logDeadlineRisk("req-000009", step.held, now)
--- a/internal/autoscaler/hire.go
+++ b/internal/autoscaler/provision.go
@@ -12,6 +12,7 @@
 	"lynxledge/internal/cloud"
 	"lynxledge/internal/config"
 	"lynxledge/internal/planner"
+	"lynxledge/internal/resources"
 	"lynxledge/internal/scheduler"
 	"lynxledge/internal/statecache"
 	"lynxledge/wire"
@@ -21,7 +22,7 @@
 // pool has one rental under way, whose batches follow each other: one that runs
 // short costs one call, not one for every batch.
 func (r *Autoscaler) scaleOutAll(rents []planner.ScaleOutRequest) {
-	busy := map[planner.Pool]bool{}
+	busy := map[resources.Pool]bool{}
 	for _, pool := range r.provisioning {
 		busy[pool] = true
 	}
@@ -40,8 +41,8 @@
 	}
 }
 
-func poolOf(i *statecache.ProvisioningIntent) planner.Pool {
-	return planner.Pool{MachineType: i.MachineType, Zone: i.Zone, Spot: i.Spot}
+func poolOf(i *statecache.ProvisioningIntent) resources.Pool {
+	return resources.Pool{MachineType: i.MachineType, Zone: i.Zone, Spot: i.Spot}
 }
 
 // recordIntent stores what is to be rented, then rents it.
@@ -128,7 +129,7 @@
 
 // abandonSlowBoots returns the machines of a pool whose boots drag on: while they
 // are held, the cloud may have no other to give in their place.
-func (r *Autoscaler) abandonSlowBoots(pool planner.Pool) {
+func (r *Autoscaler) abandonSlowBoots(pool resources.Pool) {
 	for m, b := range r.view.Machines {
 		if b.MachineType == pool.MachineType && b.Zone == pool.Zone && b.Spot == pool.Spot && r.isBootOverdue(b, time.Now()) {
 			r.scaleIn(m, "boot drags on and no other is to be had")
--- a/internal/autoscaler/failures.go
+++ b/internal/autoscaler/unreachable.go
@@ -6,6 +6,8 @@
 	"time"
 
 	"lynxledge/internal/config"
+	"lynxledge/internal/placement"
+	"lynxledge/internal/resources"
 	"lynxledge/internal/scheduler"
 	"lynxledge/internal/statecache"
 	"lynxledge/wire"
@@ -181,7 +183,7 @@
 		n := &scheduler.Node{Name: m, MachineType: types[b.MachineType], Zone: b.Zone, Spot: b.Spot}
 		for i := range b.Bindings {
 			if j := r.view.Jobs[b.Bindings[i].Job]; j != nil && j.Spec != nil && j.Spec.Priority == wire.PriorityProduction {
-				n.Used = n.Used.Plus(scheduler.RequestOf(j.Spec), 1)
+				n.Used = n.Used.Plus(resources.OfTask(j.Spec), 1)
 			}
 		}
 		nodes = append(nodes, n)
@@ -193,7 +195,7 @@
 // If not, it is kept for as long as its lease may run: a machine that is cut off goes on
 // serving, a new one takes its time to boot, and the cloud may have none.
 func (r *Autoscaler) canReplaceReplicas(silent *statecache.Machine, nodes []*scheduler.Node) bool {
-	before := map[*scheduler.Node]scheduler.Resources{}
+	before := map[*scheduler.Node]resources.Vector{}
 	defer func() { // the next silent machine is judged for itself
 		for n, used := range before {
 			n.Used = used
@@ -204,9 +206,9 @@
 		if j == nil || !j.Active() || !j.Spec.IsService() {
 			continue
 		}
-		zones := scheduler.ZoneCountsOf(r.view, t.Job)
+		zones := placement.ZoneCountsOf(r.view, t.Job)
 		zones[silent.Zone]--
-		need := scheduler.RequestOf(j.Spec)
+		need := resources.OfTask(j.Spec)
 		i := slices.IndexFunc(nodes, func(n *scheduler.Node) bool { return n.CanTake(j.Spec, need, zones) })
 		if i < 0 {
 			return false
--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -14,7 +14,7 @@
 
 	"golang.org/x/time/rate"
 
-	"lynxledge/internal/rpc"
+	"lynxledge/internal/httpjson"
 	"lynxledge/wire"
 )
 
@@ -37,7 +37,7 @@
 // New makes a client that uses at most share of the rate.
 func New(addr string, rps, share float64, timeout time.Duration) *Client {
 	return &Client{
-		baseURL: "http://" + addr, httpClient: rpc.Client(timeout, 2, 0), timeout: timeout,
+		baseURL: "http://" + addr, httpClient: httpjson.Client(timeout, 2, 0), timeout: timeout,
 		limiter: rate.NewLimiter(rate.Limit(rps*share), max(1, int(rps*share))),
 	}
 }
@@ -46,7 +46,7 @@
 	if err := c.limiter.Wait(ctx); err != nil {
 		return fmt.Errorf("%w: %v", ErrRejected, err)
 	}
-	status, b, err := rpc.Call(ctx, c.httpClient, c.timeout, method, c.baseURL+path, in)
+	status, b, err := httpjson.Call(ctx, c.httpClient, c.timeout, method, c.baseURL+path, in)
 	if err != nil {
 		return err
 	}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -12,7 +12,7 @@
 
 	"pgregory.net/rapid"
 
-	_ "lynxledge/internal/seeded"
+	_ "lynxledge/internal/rapidseed"
 )
 
 const sound = `
--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -7,7 +7,7 @@
 
 	"pgregory.net/rapid"
 
-	_ "lynxledge/internal/seeded"
+	_ "lynxledge/internal/rapidseed"
 
 	"lynxledge/internal/statecache"
 	"lynxledge/wire"
--- a/internal/scheduler/stage.go
+++ b/internal/estimate/deadlines.go
@@ -1,4 +1,4 @@
-package scheduler
+package estimate
 
 import (
 	"math"
--- a/internal/scheduler/stage_test.go
+++ b/internal/estimate/deadlines_test.go
@@ -1,4 +1,4 @@
-package scheduler
+package estimate
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 
 	"pgregory.net/rapid"
 
-	_ "lynxledge/internal/seeded"
+	_ "lynxledge/internal/rapidseed"
 
 	"lynxledge/internal/config"
 	"lynxledge/internal/statecache"
--- a/internal/failuredetector/detector.go
+++ b/internal/failuredetector/failuredetector.go
@@ -1,7 +1,3 @@
-// Package detector grades the other controllers by what is heard of them: alive, suspect
-// or failed. It is pure; package standby feeds it and acts on its verdicts. A verdict is
-// a reason to act early, never a proof: what follows from it is decided by the guards of
-// the state service.
 package failuredetector
 
 import (
--- a/internal/failuredetector/detector_test.go
+++ b/internal/failuredetector/failuredetector_test.go
@@ -8,7 +8,7 @@
 
 	"pgregory.net/rapid"
 
-	_ "lynxledge/internal/seeded"
+	_ "lynxledge/internal/rapidseed"
 )
 
 const beat = time.Second
--- a/internal/heartbeat/reports.go
+++ b/internal/heartbeat/receiver.go
@@ -1,5 +1,3 @@
-// Package reports answers the workers' reports, and passes on what they prove
-// to the controller that writes it.
 package heartbeat
 
 import (
@@ -10,6 +8,7 @@
 
 	"lynxledge/internal/actor"
 	"lynxledge/internal/config"
+	"lynxledge/internal/reconcile"
 	"lynxledge/internal/scheduler"
 	"lynxledge/internal/statecache"
 	"lynxledge/wire"
@@ -31,9 +30,9 @@
 	Isolated func() bool
 	// Note gives what a report proves to this controller's placer, which writes
 	// it after wait unless another has.
-	ApplyEvidence func(n scheduler.Evidence, wait time.Duration)
+	ApplyEvidence func(n reconcile.Evidence, wait time.Duration)
 	// Tell passes it on to another controller; false if that is out of reach.
-	SendEvidence func(member string, n scheduler.Evidence) bool
+	SendEvidence func(member string, n reconcile.Evidence) bool
 }
 
 // Receiver is the actor that hears the workers.
@@ -180,7 +179,7 @@
 			return
 		}
 		k, _ := r.contact(rep)
-		proof := scheduler.Reconcile(rec, rep, r.view.Active)
+		proof := reconcile.Heartbeat(rec, rep, r.view.Active)
 		r.forwardEvidence(rep, k, &proof)
 	})
 }
@@ -210,7 +209,7 @@
 		return
 	}
 	k, news := r.contact(rep)
-	proof := scheduler.Reconcile(rec, rep, r.view.Active)
+	proof := reconcile.Heartbeat(rec, rep, r.view.Active)
 	writer := r.forwardEvidence(rep, k, &proof)
 	if writer != "" && now.Sub(k.redirectedAt) > config.Seconds(2*r.config.Params.Workers.HeartbeatInterval) {
 		k.redirectedAt = now
@@ -278,7 +277,7 @@
 // allowedCommands are those that a report calls for, but for launches if the view is too old for
 // them: a job may have been cancelled since. Its tasks that run are kept within cancel_s by
 // their lease, but none may start any more.
-func (r *Receiver) allowedCommands(proof *scheduler.Reconciliation, now time.Time) []wire.Command {
+func (r *Receiver) allowedCommands(proof *reconcile.Result, now time.Time) []wire.Command {
 	orders := proof.Commands
 	if now.Sub(r.freshAsOf) > scheduler.MaxLaunchViewAge(r.config) {
 		orders = slices.DeleteFunc(orders, func(o wire.Command) bool { return o.Op == wire.OpLaunch })
@@ -321,11 +320,11 @@
 // of reach, forward returns its name: the worker had better tell it. That each
 // controller wrote its own part would be many small writes that hinder each
 // other.
-func (r *Receiver) forwardEvidence(rep *wire.Heartbeat, k *contact, proof *scheduler.Reconciliation) (unreached string) {
+func (r *Receiver) forwardEvidence(rep *wire.Heartbeat, k *contact, proof *reconcile.Result) (unreached string) {
 	if !proof.RequiresUpdate() {
 		return ""
 	}
-	n := scheduler.Evidence{Heartbeat: rep}
+	n := reconcile.Evidence{Heartbeat: rep}
 	for i := range proof.Terminated {
 		task := proof.Terminated[i].TaskName()
 		if begun, ok := k.taskStarts[task]; ok {
--- a/internal/heartbeat/reports_test.go
+++ b/internal/heartbeat/receiver_test.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"lynxledge/internal/config"
+	"lynxledge/internal/reconcile"
 	"lynxledge/internal/scheduler"
 	"lynxledge/internal/simulation"
 	"lynxledge/internal/statecache"
@@ -33,7 +34,7 @@
 	placer := scheduler.Start(ctx, cfg, 1, l, nil, func(*wire.Heartbeat) {})
 	b.reports = Start(ctx, cfg, 1, l, Routes{
 		FreshPeer: func() string { return b.elsewhere }, Isolated: func() bool { return b.alone },
-		ApplyEvidence: placer.HandleEvidence, SendEvidence: func(string, scheduler.Evidence) bool { return false },
+		ApplyEvidence: placer.HandleEvidence, SendEvidence: func(string, reconcile.Evidence) bool { return false },
 	})
 	l.Run()
 	time.Sleep(time.Second)
--- a/internal/rpc/rpc.go
+++ b/internal/httpjson/httpjson.go
@@ -1,5 +1,4 @@
-// Package rpc sends one JSON request over HTTP/1.1 and bounds what comes back.
-package rpc
+package httpjson
 
 import (
 	"bytes"
--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -1,6 +1,3 @@
-// Package state is the client of the state service. It keeps to this
-// controller's part of the service's rates, and says of every failure whether
-// the request may have been executed.
 package kvstore
 
 import (
@@ -16,7 +13,7 @@
 
 	"golang.org/x/time/rate"
 
-	"lynxledge/internal/rpc"
+	"lynxledge/internal/httpjson"
 	"lynxledge/wire"
 )
 
@@ -52,7 +49,7 @@
 // the controllers together keep to them is the callers' concern.
 func New(addr string, rps, writeRPS float64, maxOps int, timeout time.Duration) *Client {
 	return &Client{
-		baseURL: "http://" + addr, httpClient: rpc.Client(timeout, 8, 0), timeout: timeout,
+		baseURL: "http://" + addr, httpClient: httpjson.Client(timeout, 8, 0), timeout: timeout,
 		requestLimiter: rate.NewLimiter(rate.Limit(rps), max(1, int(rps))),
 		writeLimiter:   rate.NewLimiter(rate.Limit(writeRPS), max(maxOps, int(writeRPS))),
 	}
@@ -62,8 +59,8 @@
 	if err := c.requestLimiter.Wait(ctx); err != nil {
 		return fmt.Errorf("%w: %v", ErrRejected, err)
 	}
-	status, b, err := rpc.Call(ctx, c.httpClient, timeout, method, c.baseURL+path, in)
-	if errors.Is(err, rpc.ErrNotSent) {
+	status, b, err := httpjson.Call(ctx, c.httpClient, timeout, method, c.baseURL+path, in)
+	if errors.Is(err, httpjson.ErrNotSent) {
 		return fmt.Errorf("%w: %v", ErrInvalidRequest, err)
 	}
 	if err != nil {
--- a/internal/peer/mesh.go
+++ b/internal/peer/transport.go
@@ -1,6 +1,3 @@
-// Package mesh connects the controllers: each keeps an HTTP/2 stream open to
-// every other and tells on it which workers it hears and how fresh its view
-// is. Nothing that safety rests on travels here.
 package peer
 
 import (
@@ -21,7 +18,7 @@
 	"lynxledge/internal/actor"
 	"lynxledge/internal/apiserver"
 	"lynxledge/internal/config"
-	"lynxledge/internal/scheduler"
+	"lynxledge/internal/reconcile"
 	"lynxledge/wire"
 )
 
@@ -33,7 +30,7 @@
 	Incarnation uint64   `json:"boot,omitempty"`
 	Reachable   []string `json:"heard,omitempty"`
 	// Note is for the receiver to write, if it places.
-	Evidence *scheduler.Evidence `json:"note,omitempty"`
+	Evidence *reconcile.Evidence `json:"note,omitempty"`
 }
 
 // Transport is the actor that knows the other controllers.
@@ -48,7 +45,7 @@
 	isolated          atomic.Bool
 	onReachable       atomic.Pointer[func([]string)]
 	onReachableBy     atomic.Pointer[func(member string, machines []string)]
-	onEvidence        atomic.Pointer[func(scheduler.Evidence)]
+	onEvidence        atomic.Pointer[func(reconcile.Evidence)]
 	watcher           atomic.Pointer[Watcher]
 	incarnation       atomic.Uint64
 	client            *http.Client
@@ -140,11 +137,11 @@
 const maxQueuedMessages = 256
 
 // OnEvidence sets the receiver of what reports prove.
-func (m *Transport) OnEvidence(f func(scheduler.Evidence)) { m.onEvidence.Store(&f) }
+func (m *Transport) OnEvidence(f func(reconcile.Evidence)) { m.onEvidence.Store(&f) }
 
 // SendEvidence passes on what a report proves; false if the other controller is out of
 // reach. That it was told proves nothing.
-func (m *Transport) SendEvidence(member string, n scheduler.Evidence) bool {
+func (m *Transport) SendEvidence(member string, n reconcile.Evidence) bool {
 	p := m.peers[member]
 	if p == nil || !p.connected.Load() {
 		return false
--- a/internal/peer/mesh_test.go
+++ b/internal/peer/transport_test.go
@@ -15,7 +15,7 @@
 
 	"lynxledge/internal/apiserver"
 	"lynxledge/internal/config"
-	"lynxledge/internal/scheduler"
+	"lynxledge/internal/reconcile"
 	"lynxledge/internal/simulation"
 	"lynxledge/wire"
 )
@@ -24,7 +24,7 @@
 type node struct {
 	*Transport
 	heard []string
-	notes []scheduler.Evidence
+	notes []reconcile.Evidence
 }
 
 // pair connects two controllers over fake connections; each has a view that
@@ -49,7 +49,7 @@
 				return time.Time{}
 			})
 			n.OnReachable(func(m []string) { n.heard = append(n.heard, m...) })
-			n.OnEvidence(func(x scheduler.Evidence) { n.notes = append(n.notes, x) })
+			n.OnEvidence(func(x reconcile.Evidence) { n.notes = append(n.notes, x) })
 			go n.Serve(pipes.Listen(name, name+":1"), http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				b, _ := io.ReadAll(r.Body)
 				w.WriteHeader(http.StatusCreated)
@@ -72,7 +72,7 @@
 // carry the news itself. After the cut all is as before.
 func TestMeshThroughACut(t *testing.T) {
 	pair(t, func(net *simulation.Network, a, b *node, _ map[string]bool) {
-		note := scheduler.Evidence{Heartbeat: &wire.Heartbeat{Machine: "i-1", Address: "x:1", MachineType: "t", Zone: "z", Incarnation: 1}, TaskRuntimes: map[string]float64{"req-000001/0": 2.5}}
+		note := reconcile.Evidence{Heartbeat: &wire.Heartbeat{Machine: "i-1", Address: "x:1", MachineType: "t", Zone: "z", Incarnation: 1}, TaskRuntimes: map[string]float64{"req-000001/0": 2.5}}
 		a.AnnounceReachable([]string{"i-1", "i-2"})
 		if !a.SendEvidence("n1", note) || a.SendEvidence("n9", note) {
 			t.Error("n1 out of reach, or n9 within")
--- a/internal/planner/bench_test.go
+++ b/internal/planner/bench_test.go
@@ -4,7 +4,8 @@
 	"fmt"
 	"testing"
 
-	"lynxledge/internal/scheduler"
+	"lynxledge/internal/placement"
+	"lynxledge/internal/resources"
 	"lynxledge/wire"
 )
 
@@ -16,20 +17,20 @@
 			{Name: "s", CPUs: 4, MemoryGB: 32, HourlyPrice: 0.19, HourlySpotPrice: 0.05, BootTime: 50, Zones: []string{"a", "b"}},
 			{Name: "b", CPUs: 16, MemoryGB: 128, HourlyPrice: 0.78, HourlySpotPrice: 0.2, BootTime: 30, Zones: []string{"b", "c"}},
 		},
-		BootLag: 45, PlanningInterval: 5, BillingPeriod: 30, HeadroomShare: 0.1, MaxPriceMultiple: 2, Refused: func(Pool) bool { return false },
+		BootLag: 45, PlanningInterval: 5, BillingPeriod: 30, HeadroomShare: 0.1, MaxPriceMultiple: 2, Refused: func(resources.Pool) bool { return false },
 	}
 	scan := &wire.Job{ID: "req-000001", Kind: wire.KindArray, Priority: wire.PriorityNormal, TaskCount: 80, CPUs: 4, MemoryGB: 29, AllowSpot: true}
 	for i := range machines {
-		pool := Pool{MachineType: "s", Zone: "a", Spot: true}
+		pool := resources.Pool{MachineType: "s", Zone: "a", Spot: true}
 		if i%3 == 0 {
-			pool = Pool{MachineType: "b", Zone: "c", Spot: true}
+			pool = resources.Pool{MachineType: "b", Zone: "c", Spot: true}
 		}
 		in.Machines = append(in.Machines, Machine{Name: fmt.Sprintf("i-%06d", i), Pool: pool, Age: float64(i), Schedulable: true, Tasks: []RunningTask{{Job: scan, Remaining: float64(i % 15)}}})
 	}
 	for i := range max(1, machines/30) {
 		job := *scan
 		job.ID = fmt.Sprintf("req-%06d", 100+i)
-		in.Demands = append(in.Demands, Demand{Job: &job, Count: 80, Deadline: float64(2 * i), Runtime: 15, Zones: scheduler.ZoneCounts{}})
+		in.Demands = append(in.Demands, Demand{Job: &job, Count: 80, Deadline: float64(2 * i), Runtime: 15, Zones: placement.ZoneCounts{}})
 	}
 	return in
 }
--- a/internal/planner/cover.go
+++ b/internal/planner/cover.go
@@ -4,15 +4,16 @@
 	"math"
 	"slices"
 
-	"lynxledge/internal/scheduler"
+	"lynxledge/internal/placement"
+	"lynxledge/internal/resources"
 	"lynxledge/wire"
 )
 
 // cover finds room for a demand: on the machines there are, then on the
 // cheapest pool that can be had. It returns the tasks left without.
 func (p *planning) cover(d Demand) int {
-	need := scheduler.RequestOf(d.Job)
-	zones := scheduler.ZoneCounts{}
+	need := resources.OfTask(d.Job)
+	zones := placement.ZoneCounts{}
 	for z, n := range d.Zones {
 		zones[z] = n
 	}
@@ -24,7 +25,7 @@
 	}
 	left := d.Count - p.onExisting(d, min(d.Count, p.maxTried()), need, zones, run)
 	fixed := !d.Job.SpreadZones && !d.Job.SingleZone // every task has the same choice
-	var pool Pool
+	var pool resources.Pool
 	var share float64
 	ok := false
 	for n := range left {
@@ -55,13 +56,13 @@
 }
 
 // allows tells whether one more task of a demand may be rented a machine of a pool.
-func (p *planning) allows(d Demand, pool Pool, zones scheduler.ZoneCounts) bool {
+func (p *planning) allows(d Demand, pool resources.Pool, zones placement.ZoneCounts) bool {
 	return p.allowsPool(d, pool) && zones.Allows(d.Job, pool.Zone)
 }
 
 // allowsPool tells the same, wherever the job's other tasks are.
-func (p *planning) allowsPool(d Demand, pool Pool) bool {
-	return scheduler.Allowed(d.Job, pool.MachineType, pool.Zone, pool.Spot) &&
+func (p *planning) allowsPool(d Demand, pool resources.Pool) bool {
+	return placement.Allowed(d.Job, pool.MachineType, pool.Zone, pool.Spot) &&
 		(!d.NeedsOwnMachine || p.offer[pool.Zone] == p.most)
 }
 
@@ -74,10 +75,10 @@
 // cheap pools are used up, work that is not overdue waits for their machines
 // rather than pay a premium: the load says how many machines would be enough,
 // not what one may cost.
-func (p *planning) cheapest(d Demand, need scheduler.Resources, zones scheduler.ZoneCounts) (Pool, float64, bool) {
+func (p *planning) cheapest(d Demand, need resources.Vector, zones placement.ZoneCounts) (resources.Pool, float64, bool) {
 	j := d.Job
 	type offer struct {
-		pool        Pool
+		pool        resources.Pool
 		share, cost float64
 	}
 	var offers []offer
@@ -87,7 +88,7 @@
 		if !p.allows(d, pool, zones) {
 			continue
 		}
-		share := need.Share(scheduler.Capacity(t))
+		share := need.Share(resources.OfMachineType(t))
 		if share > 1+1e-9 {
 			continue
 		}
@@ -103,7 +104,7 @@
 		offers = append(offers, offer{pool, share, price * share})
 	}
 	if len(offers) == 0 || least > floor*p.MaxPriceMultiple && p.MaxPriceMultiple > 0 && !d.Overdue {
-		return Pool{}, 0, false
+		return resources.Pool{}, 0, false
 	}
 	limit := least
 	if j.IsService() {
@@ -124,7 +125,7 @@
 	if p.Avoided == nil || !p.Avoided(zone) {
 		return false
 	}
-	return slices.ContainsFunc(p.order, func(other Pool) bool {
-		return !p.Avoided(other.Zone) && scheduler.Allowed(j, other.MachineType, other.Zone, other.Spot)
+	return slices.ContainsFunc(p.order, func(other resources.Pool) bool {
+		return !p.Avoided(other.Zone) && placement.Allowed(j, other.MachineType, other.Zone, other.Spot)
 	})
 }
--- a/internal/planner/existing.go
+++ b/internal/planner/existing.go
@@ -5,20 +5,21 @@
 	"math"
 	"strings"
 
-	"lynxledge/internal/scheduler"
+	"lynxledge/internal/placement"
+	"lynxledge/internal/resources"
 )
 
 // demandShape is all of a demand that decides when a slot could take one of its tasks.
 // Jobs of one class mostly have the same.
 type demandShape struct {
-	need  scheduler.Resources
+	need  resources.Vector
 	types string
 	zone  string
 	spot  bool
 	roomy bool
 }
 
-func shapeOf(d Demand, need scheduler.Resources) demandShape {
+func shapeOf(d Demand, need resources.Vector) demandShape {
 	return demandShape{
 		need:  need,
 		types: strings.Join(d.Job.MachineTypes, " "),
@@ -154,7 +155,7 @@
 // boots for longer than the lag covers load from its rental on: another one
 // would not be up sooner, and every pass would rent it again. It returns how
 // many found room.
-func (p *planning) onExisting(d Demand, count int, need scheduler.Resources, zones scheduler.ZoneCounts, run float64) int {
+func (p *planning) onExisting(d Demand, count int, need resources.Vector, zones placement.ZoneCounts, run float64) int {
 	choices, latest := p.poolChoices(d, need, run)
 	queue := p.queue(shapeOf(d, need), choices)
 	passedOver := p.passedOver[:0] // that later demands may take
@@ -200,7 +201,7 @@
 
 // poolChoices tells of each pool that there are machines of what they mean to the job,
 // and the latest start on any of them.
-func (p *planning) poolChoices(d Demand, need scheduler.Resources, run float64) (choices []poolChoice, latest float64) {
+func (p *planning) poolChoices(d Demand, need resources.Vector, run float64) (choices []poolChoice, latest float64) {
 	choices = make([]poolChoice, len(p.held))
 	limit := p.BootLag
 	if !d.Job.IsService() && !math.IsInf(d.Deadline, 1) {
@@ -214,7 +215,7 @@
 		machineType := p.machineTypes[pool.MachineType]
 		choices[i] = poolChoice{
 			allowed:  true,
-			share:    need.Share(scheduler.Capacity(machineType)),
+			share:    need.Share(resources.OfMachineType(machineType)),
 			limit:    limit,
 			starting: max(limit, machineType.BootTime),
 			kind:     pool.Spot == d.Job.AllowSpot,
--- a/internal/planner/existing_test.go
+++ b/internal/planner/existing_test.go
@@ -7,12 +7,13 @@
 
 	"pgregory.net/rapid"
 
-	"lynxledge/internal/scheduler"
+	"lynxledge/internal/placement"
+	"lynxledge/internal/resources"
 	"lynxledge/wire"
 )
 
 // findByScan does what onExisting does by looking at every slot for every task.
-func findByScan(p *planning, d Demand, count int, need scheduler.Resources, zones scheduler.ZoneCounts, run float64) int {
+func findByScan(p *planning, d Demand, count int, need resources.Vector, zones placement.ZoneCounts, run float64) int {
 	choices, _ := p.poolChoices(d, need, run)
 	for found := range count {
 		var best *capacitySlot
@@ -40,7 +41,7 @@
 }
 
 func newPass(in Input) *planning {
-	p := &planning{Input: in, machineTypes: map[string]*wire.MachineType{}, offer: map[string]int{}, heldIndex: map[Pool]int{}, queues: map[demandShape]*slotQueue{}}
+	p := &planning{Input: in, machineTypes: map[string]*wire.MachineType{}, offer: map[string]int{}, heldIndex: map[resources.Pool]int{}, queues: map[demandShape]*slotQueue{}}
 	for i := range in.Types {
 		p.machineTypes[in.Types[i].Name] = &in.Types[i]
 	}
@@ -54,7 +55,7 @@
 func TestSharedQueuesFindWhatAScanFinds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		in := base()
-		pools := []Pool{{"s", "a", false}, {"s", "a", true}, {"s", "b", true}, {"l", "a", false}}
+		pools := []resources.Pool{{MachineType: "s", Zone: "a", Spot: false}, {MachineType: "s", Zone: "a", Spot: true}, {MachineType: "s", Zone: "b", Spot: true}, {MachineType: "l", Zone: "a", Spot: false}}
 		for i := range rapid.IntRange(1, 12).Draw(t, "machines") {
 			m := Machine{Name: fmt.Sprintf("i-%03d", i), Pool: rapid.SampledFrom(pools).Draw(t, "pool"), Schedulable: true}
 			m.ReadyIn = float64(rapid.SampledFrom([]int{0, 0, 20, 70}).Draw(t, "ready"))
@@ -70,9 +71,9 @@
 			j.SingleZone = rapid.IntRange(0, 3).Draw(t, "oneZone") == 0
 			j.SpreadZones = !j.SingleZone && rapid.IntRange(0, 3).Draw(t, "spread") == 0
 			d := Demand{Job: j, Deadline: float64(rapid.IntRange(-20, 200).Draw(t, "deadline")), Runtime: float64(rapid.IntRange(1, 60).Draw(t, "run"))}
-			need, count := scheduler.RequestOf(j), rapid.IntRange(1, 6).Draw(t, "count")
-			got := shared.onExisting(d, count, need, scheduler.ZoneCounts{}, d.Runtime)
-			want := findByScan(scanned, d, count, need, scheduler.ZoneCounts{}, d.Runtime)
+			need, count := resources.OfTask(j), rapid.IntRange(1, 6).Draw(t, "count")
+			got := shared.onExisting(d, count, need, placement.ZoneCounts{}, d.Runtime)
+			want := findByScan(scanned, d, count, need, placement.ZoneCounts{}, d.Runtime)
 			if got != want {
 				t.Fatalf("demand %d: room for %d tasks, a scan finds %d", i, got, want)
 			}
--- a/internal/planner/plan.go
+++ b/internal/planner/planner.go
@@ -1,5 +1,3 @@
-// Package plan is the SCS loop of the design: it turns the work that waits and
-// the machines there are into rentals and returns. It is pure.
 package planner
 
 import (
@@ -7,16 +5,11 @@
 	"slices"
 	"strings"
 
-	"lynxledge/internal/scheduler"
+	"lynxledge/internal/placement"
+	"lynxledge/internal/resources"
 	"lynxledge/wire"
 )
 
-// Pool is a type in a zone, spot or ordinary: what one rental names.
-type Pool struct {
-	MachineType, Zone string
-	Spot              bool
-}
-
 // Demand is a job's tasks that wait for a machine.
 type Demand struct {
 	Job             *wire.Job
@@ -26,7 +19,7 @@
 	Late            bool    // no deadline can be kept any more: it comes after the others of its priority
 	Overdue         bool    // any machine will do, whatever it costs
 	NeedsOwnMachine bool    // only in the zones that offer the most types
-	Zones           scheduler.ZoneCounts
+	Zones           placement.ZoneCounts
 }
 
 // RunningTask is a task on a machine.
@@ -38,7 +31,7 @@
 // Machine is one rented machine, up or not.
 type Machine struct {
 	Name string
-	Pool Pool
+	Pool resources.Pool
 	Age  float64
 	// ReadyS is the expected time until it takes tasks; 0 once it is up.
 	ReadyIn     float64
@@ -51,7 +44,7 @@
 	Types    []wire.MachineType
 	Demands  []Demand
 	Machines []Machine
-	Refused  func(Pool) bool // the cloud had no such machine lately
+	Refused  func(resources.Pool) bool // the cloud had no such machine lately
 	// Avoided tells which zones nothing is rented in for work that may go elsewhere; nil:
 	// none.
 	Avoided          func(zone string) bool
@@ -64,7 +57,7 @@
 
 // ScaleOutRequest is a number of machines to rent.
 type ScaleOutRequest struct {
-	Pool
+	resources.Pool
 	Count int
 	Load  float64
 	Tasks float64 // that one machine holds when it is full
@@ -93,10 +86,10 @@
 		Input:        in,
 		machineTypes: map[string]*wire.MachineType{},
 		offer:        map[string]int{},
-		load:         map[Pool]float64{},
-		tasks:        map[Pool]int{},
-		share:        map[Pool]float64{},
-		heldIndex:    map[Pool]int{},
+		load:         map[resources.Pool]float64{},
+		tasks:        map[resources.Pool]int{},
+		share:        map[resources.Pool]float64{},
+		heldIndex:    map[resources.Pool]int{},
 		queues:       map[demandShape]*slotQueue{},
 	}
 	for i := range in.Types {
@@ -150,13 +143,13 @@
 	offer        map[string]int // types to rent in a zone
 	most         int
 	room         []*capacitySlot
-	order        []Pool // every pool
-	load         map[Pool]float64
-	tasks        map[Pool]int     // that put load on it
-	share        map[Pool]float64 // sum of their shares
+	order        []resources.Pool // every pool
+	load         map[resources.Pool]float64
+	tasks        map[resources.Pool]int     // that put load on it
+	share        map[resources.Pool]float64 // sum of their shares
 
-	held      []Pool // pools that there are machines of
-	heldIndex map[Pool]int
+	held      []resources.Pool // pools that there are machines of
+	heldIndex map[resources.Pool]int
 
 	queues     map[demandShape]*slotQueue
 	demands    int         // that have asked for a queue
@@ -168,7 +161,7 @@
 		for _, z := range p.Types[i].Zones {
 			p.offer[z]++
 			p.most = max(p.most, p.offer[z])
-			p.order = append(p.order, Pool{p.Types[i].Name, z, false}, Pool{p.Types[i].Name, z, true})
+			p.order = append(p.order, resources.Pool{MachineType: p.Types[i].Name, Zone: z, Spot: false}, resources.Pool{MachineType: p.Types[i].Name, Zone: z, Spot: true})
 		}
 	}
 }
--- a/internal/planner/plan_test.go
+++ b/internal/planner/planner_test.go
@@ -7,9 +7,10 @@
 
 	"pgregory.net/rapid"
 
-	_ "lynxledge/internal/seeded"
+	"lynxledge/internal/placement"
+	_ "lynxledge/internal/rapidseed"
+	"lynxledge/internal/resources"
 
-	"lynxledge/internal/scheduler"
 	"lynxledge/wire"
 )
 
@@ -19,7 +20,7 @@
 }
 
 func base(d ...Demand) Input {
-	return Input{Types: planTypes, Demands: d, Refused: func(Pool) bool { return false }, BootLag: 45, PlanningInterval: 5, BillingPeriod: 60}
+	return Input{Types: planTypes, Demands: d, Refused: func(resources.Pool) bool { return false }, BootLag: 45, PlanningInterval: 5, BillingPeriod: 60}
 }
 
 func job(cpus float64, spot bool) *wire.Job {
@@ -53,15 +54,15 @@
 		in   func(*Input)
 		want ScaleOutRequest
 	}{
-		{Demand{Job: job(4, true), Count: 10, Deadline: 95, Runtime: 25}, nil, ScaleOutRequest{Pool{"s", "a", true}, 5, 5, 1}},
-		{Demand{Job: job(4, false), Count: 3, Deadline: 10, Runtime: 25}, nil, ScaleOutRequest{Pool{"l", "a", false}, 1, 0.75, 4}},
+		{Demand{Job: job(4, true), Count: 10, Deadline: 95, Runtime: 25}, nil, ScaleOutRequest{resources.Pool{MachineType: "s", Zone: "a", Spot: true}, 5, 5, 1}},
+		{Demand{Job: job(4, false), Count: 3, Deadline: 10, Runtime: 25}, nil, ScaleOutRequest{resources.Pool{MachineType: "l", Zone: "a", Spot: false}, 1, 0.75, 4}},
 		{Demand{Job: job(4, true), Count: 2, Deadline: 10, Runtime: 25},
-			func(in *Input) { in.Refused = func(p Pool) bool { return p.Spot } }, ScaleOutRequest{Pool{"l", "a", false}, 1, 0.5, 4}},
+			func(in *Input) { in.Refused = func(p resources.Pool) bool { return p.Spot } }, ScaleOutRequest{resources.Pool{MachineType: "l", Zone: "a", Spot: false}, 1, 0.5, 4}},
 		// Cheap pools used up: not at a premium, unless the work is overdue.
 		{Demand{Job: job(4, true), Count: 2, Deadline: 10, Runtime: 25},
-			func(in *Input) { in.MaxPriceMultiple = 2; in.Refused = func(p Pool) bool { return p.Spot } }, ScaleOutRequest{}},
+			func(in *Input) { in.MaxPriceMultiple = 2; in.Refused = func(p resources.Pool) bool { return p.Spot } }, ScaleOutRequest{}},
 		{Demand{Job: job(4, true), Count: 2, Deadline: 10, Runtime: 25, Overdue: true},
-			func(in *Input) { in.MaxPriceMultiple = 2; in.Refused = func(p Pool) bool { return p.Spot } }, ScaleOutRequest{Pool{"l", "a", false}, 1, 0.5, 4}},
+			func(in *Input) { in.MaxPriceMultiple = 2; in.Refused = func(p resources.Pool) bool { return p.Spot } }, ScaleOutRequest{resources.Pool{MachineType: "l", Zone: "a", Spot: false}, 1, 0.5, 4}},
 	} {
 		in := base(c.d)
 		if c.in != nil {
@@ -82,21 +83,21 @@
 func TestPassIsSound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		in := base()
-		refused := map[Pool]bool{}
-		for _, p := range []Pool{{"s", "a", true}, {"s", "a", false}, {"s", "b", true}, {"s", "b", false}, {"l", "a", true}, {"l", "a", false}} {
+		refused := map[resources.Pool]bool{}
+		for _, p := range []resources.Pool{{MachineType: "s", Zone: "a", Spot: true}, {MachineType: "s", Zone: "a", Spot: false}, {MachineType: "s", Zone: "b", Spot: true}, {MachineType: "s", Zone: "b", Spot: false}, {MachineType: "l", Zone: "a", Spot: true}, {MachineType: "l", Zone: "a", Spot: false}} {
 			refused[p] = rapid.Bool().Draw(t, "refused")
 		}
-		in.Refused = func(p Pool) bool { return refused[p] }
+		in.Refused = func(p resources.Pool) bool { return refused[p] }
 		in.HeadroomShare = rapid.SampledFrom([]float64{0, 0.2}).Draw(t, "headroom")
 		total := 0
 		for i := range rapid.IntRange(0, 5).Draw(t, "jobs") {
 			j := job(float64(rapid.IntRange(1, 20).Draw(t, "cpus")), rapid.Bool().Draw(t, "spot"))
 			j.ID, j.SpreadZones, j.TaskCount = fmt.Sprintf("req-%06d", i), rapid.Bool().Draw(t, "spread"), rapid.IntRange(1, 30).Draw(t, "tasks")
 			total += j.TaskCount
-			in.Demands = append(in.Demands, Demand{Job: j, Count: j.TaskCount, Deadline: rapid.Float64Range(-50, 300).Draw(t, "due"), Runtime: 20, Zones: scheduler.ZoneCounts{}})
+			in.Demands = append(in.Demands, Demand{Job: j, Count: j.TaskCount, Deadline: rapid.Float64Range(-50, 300).Draw(t, "due"), Runtime: 20, Zones: placement.ZoneCounts{}})
 		}
 		for i := range rapid.IntRange(0, 6).Draw(t, "machines") {
-			m := Machine{Name: fmt.Sprint(i), Pool: Pool{rapid.SampledFrom([]string{"s", "l"}).Draw(t, "type"), "a", rapid.Bool().Draw(t, "spotm")}, Schedulable: true, Age: rapid.Float64Range(0, 300).Draw(t, "age")}
+			m := Machine{Name: fmt.Sprint(i), Pool: resources.Pool{rapid.SampledFrom([]string{"s", "l"}).Draw(t, "type"), "a", rapid.Bool().Draw(t, "spotm")}, Schedulable: true, Age: rapid.Float64Range(0, 300).Draw(t, "age")}
 			if rapid.Bool().Draw(t, "busy") {
 				m.Tasks = []RunningTask{{job(2, true), 10}}
 			}
@@ -130,7 +131,7 @@
 	if got := Compute(in).ScaleOut; len(got) != 1 || got[0].Count != 1 {
 		t.Fatalf("first pass rents %+v", got)
 	}
-	in.Machines = []Machine{{Name: "m", Pool: Pool{"s", "a", false}, Schedulable: true, ReadyIn: 80}}
+	in.Machines = []Machine{{Name: "m", Pool: resources.Pool{MachineType: "s", Zone: "a", Spot: false}, Schedulable: true, ReadyIn: 80}}
 	if got := Compute(in).ScaleOut; len(got) != 0 {
 		t.Fatalf("second pass rents %+v", got)
 	}
--- a/internal/planner/slot.go
+++ b/internal/planner/slot.go
@@ -5,7 +5,7 @@
 	"slices"
 	"strings"
 
-	"lynxledge/internal/scheduler"
+	"lynxledge/internal/resources"
 	"lynxledge/wire"
 )
 
@@ -64,7 +64,7 @@
 		}
 		s := &capacitySlot{machine: m, pool: p.poolIndex(m.Pool), machineType: t, readyAt: m.ReadyIn, taken: len(m.Tasks) > 0}
 		for _, h := range m.Tasks {
-			s.add(h.Remaining, scheduler.RequestOf(h.Job).Share(scheduler.Capacity(t)))
+			s.add(h.Remaining, resources.OfTask(h.Job).Share(resources.OfMachineType(t)))
 		}
 		p.room = append(p.room, s)
 	}
@@ -84,7 +84,7 @@
 }
 
 // poolIndex is the place of a pool among those that there are machines of.
-func (p *planning) poolIndex(pool Pool) int {
+func (p *planning) poolIndex(pool resources.Pool) int {
 	i, known := p.heldIndex[pool]
 	if !known {
 		i = len(p.held)
--- a/internal/seeded/seeded.go
+++ b/internal/rapidseed/rapidseed.go
@@ -1,6 +1,4 @@
-// Package seeded makes generated tests draw the same inputs on every run; the
-// flag -rapid.seed still overrides it. Tests import it for its effect.
-package seeded
+package rapidseed
 
 import (
 	"flag"
--- a/internal/scheduler/reconcile.go
+++ b/internal/reconcile/reconcile.go
@@ -1,12 +1,12 @@
-package scheduler
+package reconcile
 
 import (
 	"lynxledge/internal/statecache"
 	"lynxledge/wire"
 )
 
-// Reconciliation is what a report proves of a machine's record.
-type Reconciliation struct {
+// Result is what a report proves of a machine's record.
+type Result struct {
 	Commands         []wire.Command
 	Terminated       []statecache.Termination // bound tasks that are certainly not on the machine any more
 	ToFence          []statecache.TaskBinding // tasks of cancelled jobs that a late launch could still start
@@ -17,16 +17,16 @@
 }
 
 // RequiresUpdate tells whether the record has to be rewritten.
-func (p *Reconciliation) RequiresUpdate() bool {
+func (p *Result) RequiresUpdate() bool {
 	return len(p.Terminated) > 0 || len(p.ToFence) > 0 || p.NewIncarnation || p.RecordOutdated || p.ReachableAgain || p.PreemptionNotice
 }
 
-// Reconcile compares a machine's record with a report. Only an ended entry, a
+// Heartbeat compares a machine's record with a report. Only an ended entry, a
 // later session, or absence under a token that fences every launch of the
 // attempt proves that a task is gone; absence alone proves nothing, because a
 // launch may be on its way.
-func Reconcile(rec *statecache.Machine, rep *wire.Heartbeat, active func(job string) bool) Reconciliation {
-	var p Reconciliation
+func Heartbeat(rec *statecache.Machine, rep *wire.Heartbeat, active func(job string) bool) Result {
+	var p Result
 	if rep.Incarnation < rec.Incarnation {
 		return p // a report from before the worker's lease ended
 	}
@@ -94,12 +94,12 @@
 	return p
 }
 
-func (p *Reconciliation) confirmTermination(rec *statecache.Machine, b *statecache.TaskBinding, why string) {
+func (p *Result) confirmTermination(rec *statecache.Machine, b *statecache.TaskBinding, why string) {
 	p.Terminated = append(p.Terminated, statecache.Termination{Machine: rec.Name, Job: b.Job, TaskIndex: b.TaskIndex, Reason: why})
 }
 
 // handleUnboundTask orders what is to happen to an entry that nothing is bound to.
-func (p *Reconciliation) handleUnboundTask(t *wire.TaskStatus) {
+func (p *Result) handleUnboundTask(t *wire.TaskStatus) {
 	if t.State == wire.TaskExited {
 		p.Commands = append(p.Commands, wire.Command{Op: wire.OpAcknowledge, Task: t.Task, Attempt: t.Attempt})
 		return
--- a/internal/scheduler/reconcile_test.go
+++ b/internal/reconcile/reconcile_test.go
@@ -1,4 +1,4 @@
-package scheduler
+package reconcile
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 
 	"pgregory.net/rapid"
 
-	_ "lynxledge/internal/seeded"
+	_ "lynxledge/internal/rapidseed"
 
 	"lynxledge/internal/statecache"
 	"lynxledge/wire"
@@ -37,7 +37,7 @@
 				rep.Tasks = append(rep.Tasks, e)
 			}
 		}
-		p := Reconcile(rec, rep, func(j string) bool { return !cancelled[j] })
+		p := Heartbeat(rec, rep, func(j string) bool { return !cancelled[j] })
 		gone := map[string]bool{}
 		for _, g := range p.Terminated {
 			gone[g.TaskName()] = true
--- a/internal/recovery/advisor.go
+++ b/internal/recovery/advisor.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"lynxledge/internal/config"
+	"lynxledge/internal/resources"
 	"lynxledge/internal/scheduler"
 	"lynxledge/internal/statecache"
 	"lynxledge/internal/zonehealth"
@@ -62,7 +63,7 @@
 	out := &advice{
 		zones:     admissions(now, cluster.View.ZoneRecoveries, &a.policy, cluster.Nodes),
 		preferred: map[string][]*scheduler.Node{},
-		reserved:  map[*scheduler.Node]scheduler.Resources{},
+		reserved:  map[*scheduler.Node]resources.Vector{},
 		positions: map[string]int{},
 	}
 	services := Services(cluster.View, cluster.ActiveJobs)
@@ -88,7 +89,7 @@
 	}
 	plan := Compute(in)
 	for _, p := range plan.Placements {
-		need := scheduler.RequestOf(p.Service.Job)
+		need := resources.OfTask(p.Service.Job)
 		if p.AtRisk {
 			out.reserved[p.Node] = out.reserved[p.Node].Plus(need, 1)
 			continue
@@ -103,7 +104,7 @@
 type advice struct {
 	zones     map[string]*Admission
 	preferred map[string][]*scheduler.Node
-	reserved  map[*scheduler.Node]scheduler.Resources
+	reserved  map[*scheduler.Node]resources.Vector
 	positions map[string]int
 }
 
@@ -133,4 +134,4 @@
 }
 
 // ReservedCapacity is the room kept for replicas that are about to be placed anew.
-func (a *advice) ReservedCapacity() map[*scheduler.Node]scheduler.Resources { return a.reserved }
+func (a *advice) ReservedCapacity() map[*scheduler.Node]resources.Vector { return a.reserved }
--- a/internal/recovery/assign.go
+++ b/internal/recovery/assign.go
@@ -3,7 +3,8 @@
 import (
 	"math"
 
-	"lynxledge/internal/scheduler"
+	"lynxledge/internal/placement"
+	"lynxledge/internal/resources"
 	"lynxledge/wire"
 )
 
@@ -24,7 +25,7 @@
 	in       *Input
 	room     *room
 	resort   *room
-	usage    scheduler.Usage
+	usage    resources.Usage
 	shares   *shares // of the solver; nil: none
 	replicas int
 
@@ -36,7 +37,7 @@
 }
 
 func newAssigner(in *Input, s *shares) *assigner {
-	a := &assigner{in: in, room: newRoom(in.Nodes), resort: newRoom(in.LastResort), usage: scheduler.Usage{}, shares: s}
+	a := &assigner{in: in, room: newRoom(in.Nodes), resort: newRoom(in.LastResort), usage: resources.Usage{}, shares: s}
 	for team, used := range in.Usage {
 		a.usage[team] = used
 	}
@@ -45,9 +46,9 @@
 
 // run places the replicas that are certainly down, then those that may be.
 func (a *assigner) run() {
-	zonesOf := make([]scheduler.ZoneCounts, len(a.in.Services))
+	zonesOf := make([]placement.ZoneCounts, len(a.in.Services))
 	for i, s := range a.in.Services {
-		zonesOf[i] = scheduler.ZoneCounts{}
+		zonesOf[i] = placement.ZoneCounts{}
 		for zone, n := range s.Zones {
 			zonesOf[i][zone] = n
 		}
@@ -59,9 +60,9 @@
 }
 
 // placeAll places so many replicas of a service, given the zones of its others.
-func (a *assigner) placeAll(s *Service, count int, zones scheduler.ZoneCounts, atRisk bool) {
+func (a *assigner) placeAll(s *Service, count int, zones placement.ZoneCounts, atRisk bool) {
 	team := a.in.TeamQuota(s.Job.Team)
-	need := scheduler.RequestOf(s.Job)
+	need := resources.OfTask(s.Job)
 	for n := range count {
 		if a.replicas == maxReplicas {
 			a.fall(s, count-n, CauseLaterRound)
@@ -98,7 +99,7 @@
 
 // find takes the best bucket with room: one that the solver's shares name, if there
 // are any, else any other, and a machine of a lost zone last.
-func (a *assigner) find(s *Service, need scheduler.Resources, zones scheduler.ZoneCounts, atRisk bool) *slot {
+func (a *assigner) find(s *Service, need resources.Vector, zones placement.ZoneCounts, atRisk bool) *slot {
 	if a.shares != nil {
 		key := keyOf(s, atRisk)
 		named := func(bucket int) bool { return a.shares.has(key, bucket) }
@@ -117,7 +118,7 @@
 // best finds a machine in the best bucket that may be used: for work that may run on
 // spot machines one of those, for a service that spreads the zone with the fewest of its
 // replicas, else the bucket whose machine is filled the most.
-func best(r *room, j *wire.Job, need scheduler.Resources, zones scheduler.ZoneCounts, use func(bucket int) bool) (found *slot, bucket int) {
+func best(r *room, j *wire.Job, need resources.Vector, zones placement.ZoneCounts, use func(bucket int) bool) (found *slot, bucket int) {
 	least := math.Inf(1)
 	for i, b := range r.buckets {
 		if !b.allows(j) || !zones.Allows(j, b.zone) || use != nil && !use(i) {
@@ -127,7 +128,7 @@
 		if s == nil {
 			continue
 		}
-		score := 1 - s.used.Share(scheduler.Capacity(b.machineType))
+		score := 1 - s.used.Share(resources.OfMachineType(b.machineType))
 		if j.AllowSpot && !b.spot {
 			score += spotPreference
 		}
@@ -148,7 +149,7 @@
 )
 
 // cause tells why a replica finds no room.
-func (a *assigner) cause(j *wire.Job, zones scheduler.ZoneCounts) Cause {
+func (a *assigner) cause(j *wire.Job, zones placement.ZoneCounts) Cause {
 	cause := CauseNoMachine
 	for _, r := range []*room{a.room, a.resort} {
 		for _, b := range r.buckets {
@@ -167,12 +168,12 @@
 }
 
 // hadRoom tells whether the replica would have had room if it had come first.
-func (a *assigner) hadRoom(j *wire.Job, need scheduler.Resources, zones scheduler.ZoneCounts) bool {
+func (a *assigner) hadRoom(j *wire.Job, need resources.Vector, zones placement.ZoneCounts) bool {
 	for _, b := range a.room.buckets {
 		if !b.allows(j) || !zones.Allows(j, b.zone) {
 			continue
 		}
-		limit := scheduler.Capacity(b.machineType)
+		limit := resources.OfMachineType(b.machineType)
 		for _, s := range b.slots {
 			if s.node.Used.Plus(need, 1).Fits(limit) {
 				return true
--- a/internal/recovery/plan.go
+++ b/internal/recovery/plan.go
@@ -2,6 +2,7 @@
 
 import (
 	"lynxledge/internal/config"
+	"lynxledge/internal/resources"
 	"lynxledge/internal/scheduler"
 )
 
@@ -13,7 +14,7 @@
 	// LastResort are machines of lost zones that are still heard. They take only what
 	// has no room on Nodes.
 	LastResort []*scheduler.Node
-	Usage      scheduler.Usage
+	Usage      resources.Usage
 	TeamQuota  func(name string) config.TeamQuota
 }
 
--- a/internal/recovery/plan_test.go
+++ b/internal/recovery/plan_test.go
@@ -7,7 +7,9 @@
 
 	"pgregory.net/rapid"
 
-	_ "lynxledge/internal/seeded"
+	"lynxledge/internal/placement"
+	_ "lynxledge/internal/rapidseed"
+	"lynxledge/internal/resources"
 
 	"lynxledge/internal/config"
 	"lynxledge/internal/scheduler"
@@ -34,7 +36,7 @@
 	case 2:
 		j.SingleZone, j.SpreadZones = true, false
 	}
-	s := &Service{Job: j, AtRisk: map[string]int{}, Zones: scheduler.ZoneCounts{}, Since: int64(id)}
+	s := &Service{Job: j, AtRisk: map[string]int{}, Zones: placement.ZoneCounts{}, Since: int64(id)}
 	left := j.TaskCount
 	for _, zone := range []string{"a", "b", "c"} {
 		if !s.Zones.Allows(j, zone) || j.Zone != "" && j.Zone != zone {
@@ -54,7 +56,7 @@
 }
 
 func genInput(t *rapid.T) Input {
-	in := Input{Usage: scheduler.Usage{}, TeamQuota: func(name string) config.TeamQuota {
+	in := Input{Usage: resources.Usage{}, TeamQuota: func(name string) config.TeamQuota {
 		if name == "red" {
 			return config.TeamQuota{Name: name, MaxCPUs: 24}
 		}
@@ -65,7 +67,7 @@
 			Name: fmt.Sprintf("i-%02d", i), MachineType: rapid.SampledFrom(testTypes).Draw(t, "type"), Schedulable: true,
 			Zone: rapid.SampledFrom([]string{"a", "b", "b", "c", "c"}).Draw(t, "zone"), Spot: rapid.Bool().Draw(t, "spot"),
 		}
-		n.Used = scheduler.Resources{CPUs: float64(rapid.IntRange(0, 4).Draw(t, "used")), MemoryGB: float64(rapid.IntRange(0, 8).Draw(t, "usedMemory"))}
+		n.Used = resources.Vector{CPUs: float64(rapid.IntRange(0, 4).Draw(t, "used")), MemoryGB: float64(rapid.IntRange(0, 8).Draw(t, "usedMemory"))}
 		if n.Zone == "a" {
 			in.LastResort = append(in.LastResort, n)
 		} else {
@@ -81,21 +83,21 @@
 
 // verify checks a plan against the protocol's rules, machine by machine.
 func verify(t *rapid.T, in *Input, plan Plan) {
-	used := map[*scheduler.Node]scheduler.Resources{}
-	teams := scheduler.Usage{}
-	zones := map[*Service]map[bool]scheduler.ZoneCounts{}
+	used := map[*scheduler.Node]resources.Vector{}
+	teams := resources.Usage{}
+	zones := map[*Service]map[bool]placement.ZoneCounts{}
 	placed := map[*Service]int{}
 	for _, s := range in.Services {
-		bound := scheduler.ZoneCounts{}
+		bound := placement.ZoneCounts{}
 		for z, n := range s.Zones {
 			bound[z] = n
 		}
-		zones[s] = map[bool]scheduler.ZoneCounts{false: bound, true: s.zonesAfterLoss()}
+		zones[s] = map[bool]placement.ZoneCounts{false: bound, true: s.zonesAfterLoss()}
 	}
 	for _, p := range plan.Placements {
 		j, n := p.Service.Job, p.Node
-		need := scheduler.RequestOf(j)
-		if !scheduler.Allowed(j, n.MachineType.Name, n.Zone, n.Spot) {
+		need := resources.OfTask(j)
+		if !placement.Allowed(j, n.MachineType.Name, n.Zone, n.Spot) {
 			t.Fatalf("%s may not be on %s", j.ID, n.Name)
 		}
 		if z := zones[p.Service][p.AtRisk]; !z.Allows(j, n.Zone) {
@@ -103,7 +105,7 @@
 		}
 		zones[p.Service][p.AtRisk][n.Zone]++
 		used[n] = used[n].Plus(need, 1)
-		if !n.Used.Plus(used[n], 1).Fits(scheduler.Capacity(n.MachineType)) {
+		if !n.Used.Plus(used[n], 1).Fits(resources.OfMachineType(n.MachineType)) {
 			t.Fatalf("%s is overfull", n.Name)
 		}
 		if !p.AtRisk {
@@ -164,7 +166,7 @@
 	}
 	service := func(id, zone string) *Service {
 		j := &wire.Job{ID: id, Team: "blue", Kind: wire.KindService, Priority: wire.PriorityProduction, TaskCount: 1, CPUs: 4, MemoryGB: 1, Zone: zone}
-		return &Service{Job: j, Waiting: 1, AtRisk: map[string]int{}, Zones: scheduler.ZoneCounts{}}
+		return &Service{Job: j, Waiting: 1, AtRisk: map[string]int{}, Zones: placement.ZoneCounts{}}
 	}
 	in := Input{
 		Services:  []*Service{service("req-000001", ""), service("req-000002", "b")},
@@ -184,7 +186,7 @@
 	}
 	for i := range 60 {
 		j := &wire.Job{ID: fmt.Sprintf("req-%06d", i), Team: "blue", Kind: wire.KindService, TaskCount: 9, CPUs: 1 + float64(i)/30, MemoryGB: 1, SpreadZones: true}
-		in.Services = append(in.Services, &Service{Job: j, Waiting: 9, AtRisk: map[string]int{}, Zones: scheduler.ZoneCounts{}})
+		in.Services = append(in.Services, &Service{Job: j, Waiting: 9, AtRisk: map[string]int{}, Zones: placement.ZoneCounts{}})
 	}
 	p := build(&in, newRoom(in.Nodes))
 	if len(p.rows) == 0 || len(p.rows) > maxRows || len(p.columns) > maxColumns {
@@ -227,7 +229,7 @@
 		in := Input{TeamQuota: func(string) config.TeamQuota { return config.TeamQuota{} }}
 		for i := range machines * 2 / 3 {
 			n := &scheduler.Node{Name: fmt.Sprintf("i-%06d", i), MachineType: testTypes[i%2], Zone: []string{"b", "c"}[i/2%2], Spot: i%5 == 0, Schedulable: true}
-			n.Used = scheduler.Resources{CPUs: float64(i % 4), MemoryGB: float64(i % 9)}
+			n.Used = resources.Vector{CPUs: float64(i % 4), MemoryGB: float64(i % 9)}
 			in.Nodes = append(in.Nodes, n)
 		}
 		for i := range machines / 6 {
@@ -235,7 +237,7 @@
 				ID: fmt.Sprintf("req-%06d", i), Team: "blue", Kind: wire.KindService, Priority: wire.PriorityProduction,
 				TaskCount: 4, CPUs: 1 + float64(i%3), MemoryGB: 2, SpreadZones: true,
 			}
-			in.Services = append(in.Services, &Service{Job: j, Waiting: 1, AtRisk: map[string]int{"a": 1}, Zones: scheduler.ZoneCounts{"a": 1, "b": 1, "c": 1}})
+			in.Services = append(in.Services, &Service{Job: j, Waiting: 1, AtRisk: map[string]int{"a": 1}, Zones: placement.ZoneCounts{"a": 1, "b": 1, "c": 1}})
 		}
 		b.Run(fmt.Sprint(machines), func(b *testing.B) {
 			b.ReportAllocs()
--- a/internal/recovery/room.go
+++ b/internal/recovery/room.go
@@ -6,6 +6,8 @@
 	"slices"
 	"strings"
 
+	"lynxledge/internal/placement"
+	"lynxledge/internal/resources"
 	"lynxledge/internal/scheduler"
 	"lynxledge/wire"
 )
@@ -25,12 +27,12 @@
 	slots       []*slot
 	// first is, for a request, the first slot that may still have room for it. A plan
 	// only fills slots, so one without room never gets it back.
-	first map[scheduler.Resources]int
+	first map[resources.Vector]int
 }
 
 type slot struct {
 	node *scheduler.Node
-	used scheduler.Resources
+	used resources.Vector
 }
 
 func newRoom(nodes []*scheduler.Node) *room {
@@ -44,7 +46,7 @@
 		k := kind{n.MachineType.Name, n.Zone, n.Spot}
 		b := byKind[k]
 		if b == nil {
-			b = &bucket{machineType: n.MachineType, zone: n.Zone, spot: n.Spot, first: map[scheduler.Resources]int{}}
+			b = &bucket{machineType: n.MachineType, zone: n.Zone, spot: n.Spot, first: map[resources.Vector]int{}}
 			byKind[k] = b
 			r.buckets = append(r.buckets, b)
 		}
@@ -53,7 +55,7 @@
 		}
 	}
 	for _, b := range r.buckets {
-		limit := scheduler.Capacity(b.machineType)
+		limit := resources.OfMachineType(b.machineType)
 		slices.SortFunc(b.slots, func(x, y *slot) int {
 			return cmp.Or(cmp.Compare(y.used.Share(limit), x.used.Share(limit)), strings.Compare(x.node.Name, y.node.Name))
 		})
@@ -76,12 +78,12 @@
 
 // allows tells whether the bucket's machines are ones that a job may use at all.
 func (b *bucket) allows(j *wire.Job) bool {
-	return scheduler.Allowed(j, b.machineType.Name, b.zone, b.spot)
+	return placement.Allowed(j, b.machineType.Name, b.zone, b.spot)
 }
 
 // fit finds a machine with room for a request, or nil.
-func (b *bucket) fit(need scheduler.Resources) *slot {
-	limit := scheduler.Capacity(b.machineType)
+func (b *bucket) fit(need resources.Vector) *slot {
+	limit := resources.OfMachineType(b.machineType)
 	i := b.first[need]
 	for i < len(b.slots) && !b.slots[i].used.Plus(need, 1).Fits(limit) {
 		i++
@@ -94,9 +96,9 @@
 }
 
 // free is the sum of what is free on machines that have room for a request at all.
-func (b *bucket) free(need scheduler.Resources) scheduler.Resources {
-	limit := scheduler.Capacity(b.machineType)
-	var sum scheduler.Resources
+func (b *bucket) free(need resources.Vector) resources.Vector {
+	limit := resources.OfMachineType(b.machineType)
+	var sum resources.Vector
 	for _, s := range b.slots {
 		if s.used.Plus(need, 1).Fits(limit) {
 			sum = sum.Plus(limit, 1).Plus(s.used, -1)
@@ -106,8 +108,8 @@
 }
 
 // whole is how many replicas with a request the bucket has room for.
-func (b *bucket) whole(need scheduler.Resources) int {
-	limit := scheduler.Capacity(b.machineType)
+func (b *bucket) whole(need resources.Vector) int {
+	limit := resources.OfMachineType(b.machineType)
 	n := 0
 	for _, s := range b.slots {
 		left := limit.Plus(s.used, -1)
--- a/internal/recovery/service.go
+++ b/internal/recovery/service.go
@@ -8,7 +8,7 @@
 	"slices"
 	"strings"
 
-	"lynxledge/internal/scheduler"
+	"lynxledge/internal/placement"
 	"lynxledge/internal/statecache"
 	"lynxledge/internal/zonehealth"
 	"lynxledge/wire"
@@ -23,7 +23,7 @@
 	// nobody hears. They count until they are proved gone, and may still run.
 	AtRisk map[string]int
 	// Zones counts all bound replicas by zone, those at risk included.
-	Zones scheduler.ZoneCounts
+	Zones placement.ZoneCounts
 	// Since is the time of day from which the service could run, in milliseconds.
 	Since int64
 }
@@ -43,8 +43,8 @@
 }
 
 // zonesAfterLoss counts the replicas that are left once those at risk are gone.
-func (s *Service) zonesAfterLoss() scheduler.ZoneCounts {
-	left := scheduler.ZoneCounts{}
+func (s *Service) zonesAfterLoss() placement.ZoneCounts {
+	left := placement.ZoneCounts{}
 	for zone, n := range s.Zones {
 		left[zone] = n - s.AtRisk[zone]
 	}
@@ -71,7 +71,7 @@
 		s := found[id]
 		if s == nil {
 			j := active[id]
-			s = &Service{Job: j.Spec, AtRisk: map[string]int{}, Zones: scheduler.ZoneCountsOf(view, id), Since: j.RunnableSince()}
+			s = &Service{Job: j.Spec, AtRisk: map[string]int{}, Zones: placement.ZoneCountsOf(view, id), Since: j.RunnableSince()}
 			found[id] = s
 		}
 		return s
--- a/internal/recovery/solver.go
+++ b/internal/recovery/solver.go
@@ -8,7 +8,7 @@
 	"gonum.org/v1/gonum/mat"
 	"gonum.org/v1/gonum/optimize/convex/lp"
 
-	"lynxledge/internal/scheduler"
+	"lynxledge/internal/resources"
 	"lynxledge/wire"
 )
 
@@ -30,7 +30,7 @@
 // group of the program.
 type groupKey struct {
 	team, types, zone string
-	need              scheduler.Resources
+	need              resources.Vector
 	rank              wire.Priority
 	spot, spread      bool
 	pinned            string // the zone that its other replicas leave it
@@ -41,7 +41,7 @@
 	j := s.Job
 	key := groupKey{
 		team: j.Team, types: strings.Join(j.MachineTypes, " "), zone: j.Zone,
-		need: scheduler.RequestOf(j), rank: j.Priority, spot: j.AllowSpot, spread: j.SpreadZones, atRisk: atRisk,
+		need: resources.OfTask(j), rank: j.Priority, spot: j.AllowSpot, spread: j.SpreadZones, atRisk: atRisk,
 	}
 	if j.SingleZone {
 		for zone, n := range s.Zones {
@@ -252,13 +252,13 @@
 // limitBuckets bounds what is put into each bucket by what is free there.
 func (p *program) limitBuckets(room *room) {
 	for i, b := range room.buckets {
-		amounts := [...]func(scheduler.Resources) float64{
-			func(r scheduler.Resources) float64 { return r.CPUs },
-			func(r scheduler.Resources) float64 { return r.MemoryGB },
-			func(r scheduler.Resources) float64 { return r.GPUs },
+		amounts := [...]func(resources.Vector) float64{
+			func(r resources.Vector) float64 { return r.CPUs },
+			func(r resources.Vector) float64 { return r.MemoryGB },
+			func(r resources.Vector) float64 { return r.GPUs },
 		}
 		for _, amount := range amounts {
-			if amount(scheduler.Capacity(b.machineType)) == 0 {
+			if amount(resources.OfMachineType(b.machineType)) == 0 {
 				continue
 			}
 			r := row{coefficients: map[int]float64{}}
--- /dev/null
+++ b/internal/resources/doc.go
@@ -0,0 +1,4 @@
+// Package resources has the amounts of processors, GPUs and memory that tasks request and
+// machines offer, the pools that machines are provisioned from, and the teams' usage of their
+// quotas.
+package resources
--- /dev/null
+++ b/internal/resources/pool.go
@@ -0,0 +1,7 @@
+package resources
+
+// Pool is a type in a zone, spot or ordinary: what one rental names.
+type Pool struct {
+	MachineType, Zone string
+	Spot              bool
+}
--- a/internal/scheduler/advice.go
+++ b/internal/scheduler/advisor.go
@@ -5,6 +5,8 @@
 	"time"
 
 	"lynxledge/internal/config"
+	"lynxledge/internal/placement"
+	"lynxledge/internal/resources"
 	"lynxledge/internal/statecache"
 	"lynxledge/wire"
 )
@@ -20,7 +22,7 @@
 	View       *statecache.View
 	ActiveJobs map[string]*statecache.Job
 	Nodes      []*Node
-	Usage      Usage
+	Usage      resources.Usage
 	TeamQuota  func(name string) config.TeamQuota
 }
 
@@ -36,7 +38,7 @@
 	// Position is a service's place in the order in which services are made whole.
 	RecoveryOrder(service string) int
 	// Reserved is the room kept for replicas that are about to be placed anew.
-	ReservedCapacity() map[*Node]Resources
+	ReservedCapacity() map[*Node]resources.Vector
 }
 
 // SetAdvisor sets the advisor. To be called before the ledger runs.
@@ -49,7 +51,7 @@
 	}
 	p.advice = p.advisor.Advise(now, p.clusterState())
 	for _, n := range p.nodesWithReservation {
-		n.Reserved = Resources{}
+		n.Reserved = resources.Vector{}
 	}
 	p.nodesWithReservation = p.nodesWithReservation[:0]
 	if p.advice == nil {
@@ -90,8 +92,8 @@
 // zoneCountsInCycle counts a job's bound tasks by zone. While zones recover, replicas that the
 // round proves gone count no more: the room that they leave is for the service itself
 // before it is for arrays.
-func (p *Scheduler) zoneCountsInCycle(r *cycle, job string) ZoneCounts {
-	zones := ZoneCountsOf(p.view, job)
+func (p *Scheduler) zoneCountsInCycle(r *cycle, job string) placement.ZoneCounts {
+	zones := placement.ZoneCountsOf(p.view, job)
 	if j := p.activeJobs[job]; p.advice == nil || j == nil || !j.Spec.IsService() {
 		return zones
 	}
--- a/internal/scheduler/advice_test.go
+++ b/internal/scheduler/advisor_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"lynxledge/internal/config"
+	"lynxledge/internal/resources"
 	"lynxledge/internal/statecache"
 	"lynxledge/wire"
 )
@@ -19,16 +20,16 @@
 // zoneAdvice withholds a zone from arrays, and reserves room on a machine.
 type zoneAdvice struct {
 	zone     string
-	reserved map[*Node]Resources
+	reserved map[*Node]resources.Vector
 }
 
-func (a zoneAdvice) Advise(time.Time, ClusterState) Advice       { return a }
-func (a zoneAdvice) Admits(n *Node, j *wire.Job) bool            { return j.IsService() || n.Zone != a.zone }
-func (a zoneAdvice) IsFallback(*Node, *wire.Job) bool            { return false }
-func (a zoneAdvice) PreferredNodes(string) []*Node                    { return nil }
-func (a zoneAdvice) RecoveryOrder(string) int                         { return 0 }
-func (a zoneAdvice) ReservedCapacity() map[*Node]Resources               { return a.reserved }
-func (a zoneAdvice) with(m map[*Node]Resources) (out zoneAdvice) { a.reserved = m; return a }
+func (a zoneAdvice) Advise(time.Time, ClusterState) Advice              { return a }
+func (a zoneAdvice) Admits(n *Node, j *wire.Job) bool                   { return j.IsService() || n.Zone != a.zone }
+func (a zoneAdvice) IsFallback(*Node, *wire.Job) bool                   { return false }
+func (a zoneAdvice) PreferredNodes(string) []*Node                      { return nil }
+func (a zoneAdvice) RecoveryOrder(string) int                           { return 0 }
+func (a zoneAdvice) ReservedCapacity() map[*Node]resources.Vector       { return a.reserved }
+func (a zoneAdvice) with(m map[*Node]resources.Vector) (out zoneAdvice) { a.reserved = m; return a }
 
 // advised makes a placer with machines in two zones, an urgent array of the highest
 // priority but one, and a service of the lowest.
@@ -101,10 +102,10 @@
 		t.Errorf("%v", got)
 	}
 	p = advised(nil)
-	reserved := map[*Node]Resources{}
+	reserved := map[*Node]resources.Vector{}
 	for _, n := range p.allNodes {
 		if n.Zone == "b" {
-			reserved[n] = Resources{CPUs: 3, MemoryGB: 3}
+			reserved[n] = resources.Vector{CPUs: 3, MemoryGB: 3}
 		}
 	}
 	p.advisor = advice.with(reserved)
@@ -128,7 +129,7 @@
 	p := advised(lastResortAdvice{})
 	p.consultAdvisor(time.Now())
 	p.nodesWithCapacity = nil
-	r := newCycle(time.Now(), 24, Usage{})
+	r := newCycle(time.Now(), 24, resources.Usage{})
 	service := p.activeJobs["req-000002"].Spec
 	if n := len(p.fallbackNodes(r, service)); n != 0 {
 		t.Errorf("%d machines before any is opened", n)
@@ -153,7 +154,7 @@
 		m.Bindings, m.Group, m.Zone, m.MachineType = []statecache.TaskBinding{{Job: "req-000002", TaskIndex: i, Attempt: 1}}, "a", "a", "s"
 	}
 	p.view.Apply(statecache.Change{Kind: statecache.KindMachineGroup, Name: "a", Record: g, ModRevision: 2})
-	r := newCycle(time.Now(), 24, Usage{})
+	r := newCycle(time.Now(), 24, resources.Usage{})
 	if z := p.zoneCountsInCycle(r, "req-000002"); z["a"] != 3 {
 		t.Errorf("%v before anything has left", z)
 	}
--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"lynxledge/internal/config"
+	"lynxledge/internal/reconcile"
 	"lynxledge/internal/statecache"
 	"lynxledge/wire"
 )
@@ -68,7 +69,7 @@
 		for i := range b.Bindings {
 			report.Tasks = append(report.Tasks, wire.TaskStatus{Task: b.Bindings[i].TaskName(), Attempt: b.Bindings[i].Attempt, State: wire.TaskExited, ExitReason: wire.ReasonCompleted})
 		}
-		p.storeEvidence(group, b.Name, &pendingEvidence{Evidence{Heartbeat: report}, now, 1})
+		p.storeEvidence(group, b.Name, &pendingEvidence{reconcile.Evidence{Heartbeat: report}, now, 1})
 	}
 }
 
--- a/internal/scheduler/transaction.go
+++ b/internal/scheduler/commit.go
@@ -5,6 +5,7 @@
 	"maps"
 	"time"
 
+	"lynxledge/internal/resources"
 	"lynxledge/internal/statecache"
 	"lynxledge/wire"
 )
@@ -23,7 +24,7 @@
 	jobPreconditions        map[string]uint64                      // guarded jobs
 	assignmentPreconditions map[string]uint64
 	placed                  map[string]int
-	usage                   Usage
+	usage                   resources.Usage
 	guaranteed              map[string]bool // jobs within their teams' guarantees
 	launches                map[string][]wire.Command
 	stops                   map[string][]wire.Command
@@ -38,7 +39,7 @@
 }
 
 // newCycle begins a round of at most so many writes. tally is what teams use before it.
-func newCycle(now time.Time, limit int, tally Usage) *cycle {
+func newCycle(now time.Time, limit int, tally resources.Usage) *cycle {
 	return &cycle{
 		now:                     now,
 		limit:                   limit,
--- a/internal/scheduler/round.go
+++ b/internal/scheduler/cycle.go
@@ -8,6 +8,8 @@
 	"golang.org/x/time/rate"
 
 	"lynxledge/internal/overload"
+	"lynxledge/internal/placement"
+	"lynxledge/internal/resources"
 	"lynxledge/internal/statecache"
 	"lynxledge/wire"
 )
@@ -138,7 +140,7 @@
 
 // canHost tells whether a node could take a task of a job, wherever the job's others are.
 func (p *Scheduler) canHost(r *cycle, n *Node, j *wire.Job) bool {
-	return n.HasCapacity() && !r.now.Before(p.avoidUntil[n.Name]) && Allowed(j, n.MachineType.Name, n.Zone, n.Spot) && n.hasCapacityFor(j, RequestOf(j))
+	return n.HasCapacity() && !r.now.Before(p.avoidUntil[n.Name]) && placement.Allowed(j, n.MachineType.Name, n.Zone, n.Spot) && n.hasCapacityFor(j, resources.OfTask(j))
 }
 
 // bind puts a task into a machine's row; false when there is no room for that.
--- a/internal/scheduler/round_test.go
+++ b/internal/scheduler/cycle_test.go
@@ -9,6 +9,8 @@
 	"time"
 
 	"lynxledge/internal/config"
+	"lynxledge/internal/reconcile"
+	"lynxledge/internal/resources"
 	"lynxledge/internal/simulation"
 	"lynxledge/internal/statecache"
 	"lynxledge/wire"
@@ -59,9 +61,9 @@
 }
 
 // endedOn is a report that a machine's one task has completed.
-func endedOn(g *statecache.MachineGroup, i int) Evidence {
+func endedOn(g *statecache.MachineGroup, i int) reconcile.Evidence {
 	b := g.Machines[i]
-	return Evidence{Heartbeat: &wire.Heartbeat{Machine: b.Name, Address: "x:1", MachineType: "s", Zone: "a", Incarnation: 1, Sequence: 1, FencingToken: 9, Tasks: []wire.TaskStatus{
+	return reconcile.Evidence{Heartbeat: &wire.Heartbeat{Machine: b.Name, Address: "x:1", MachineType: "s", Zone: "a", Incarnation: 1, Sequence: 1, FencingToken: 9, Tasks: []wire.TaskStatus{
 		{Task: b.Bindings[0].TaskName(), Attempt: 1, State: wire.TaskExited, ExitReason: wire.ReasonCompleted},
 	}}}
 }
@@ -111,7 +113,7 @@
 					n := endedOn(groupOf("b", 30), i)
 					p.storeEvidence("b", n.Heartbeat.Machine, &pendingEvidence{n, now.Add(-bWaits), 1})
 				}
-				r := newCycle(now, 1, Usage{})
+				r := newCycle(now, 1, resources.Usage{})
 				p.applyPendingEvidence(r, true, false)
 				for g := range r.groupUpdates {
 					first = append(first, g)
@@ -137,7 +139,7 @@
 	placing(t, map[string]int{"a": 30}, func(_ *statecache.Cache, p *Scheduler) {
 		fold := func(fill func(d *groupUpdate)) (n int) {
 			in(p, func() {
-				r := newCycle(time.Now(), 8, Usage{})
+				r := newCycle(time.Now(), 8, resources.Usage{})
 				d := p.openGroup(r, "a")
 				fill(d)
 				if d.EncodedSize() <= p.valueSizeShare(compactionFillShare) {
@@ -179,7 +181,7 @@
 				for m, b := range p.view.Machines {
 					p.refreshNode(m, b)
 				}
-				r := newCycle(time.Now(), 8, Usage{})
+				r := newCycle(time.Now(), 8, resources.Usage{})
 				p.openGroup(r, "a")
 				p.openGroup(r, "b")
 				var c statecache.Commit
@@ -231,7 +233,7 @@
 				if want := min(1, float64(maxVictimSearches)/float64(size.jobs)); share != want {
 					t.Errorf("%v of %d jobs look, not %v", share, size.jobs, want)
 				}
-				r := newCycle(time.Now(), 8, Usage{})
+				r := newCycle(time.Now(), 8, resources.Usage{})
 				r.victimSearchShare = map[wire.Priority]float64{wire.PriorityProduction: 1}
 				p.placeJob(r, q[0])
 				if n := len(r.victimFactsUpdated); n != maxSample {
@@ -425,7 +427,7 @@
 				p.view.Jobs["req-000001"].Spec.EstimatedRuntime = 0.1 // leaves the cluster to it soon
 				p.config.Params.Objectives = []config.Objective{{Kind: "guarantee", Within: 5}}
 				p.view.Assignments["red"] = &statecache.Assignment{Member: "n0", Incarnation: p.incarnation}
-				r := newCycle(now, 8, Usage{})
+				r := newCycle(now, 8, resources.Usage{})
 				r.victimSearchShare = map[wire.Priority]float64{wire.PriorityHigh: 1}
 				for _, w := range p.queue(p.ownAssignments(), now) {
 					if w.id == "req-000002" {
@@ -461,7 +463,7 @@
 				p.view.Assignments["red"] = &statecache.Assignment{Member: "n0", Incarnation: p.incarnation}
 				p.view.Jobs["req-000001"].Spec.Kind = shape
 				n := p.nodes["i-a000"]
-				r := newCycle(time.Now(), 8, Usage{})
+				r := newCycle(time.Now(), 8, resources.Usage{})
 				n.Tasks[0].RuntimeSoFar = spent
 				p.preempt(r, p.openGroup(r, "a"), &PreemptionVictims{Node: n, Tasks: []int{0}})
 				for _, w := range p.queue(p.ownAssignments(), r.now.Add(later)) {
@@ -492,7 +494,7 @@
 				n := endedOn(group, i)
 				p.storeEvidence("a", n.Heartbeat.Machine, &pendingEvidence{n, time.Now(), 1})
 			}
-			r := newCycle(time.Now(), 8, Usage{})
+			r := newCycle(time.Now(), 8, resources.Usage{})
 			if full := p.view.Groups["a"].RetainedSize(); full < p.valueSizeShare(bindingFillShare)*9/10 {
 				t.Errorf("%d bytes: the record has room anyhow", full)
 			}
@@ -544,7 +546,7 @@
 				}
 				report.Tasks = append(report.Tasks, task)
 			}
-			p.HandleEvidence(Evidence{Heartbeat: report}, 0)
+			p.HandleEvidence(reconcile.Evidence{Heartbeat: report}, 0)
 		}
 		time.Sleep(10 * time.Second)
 		in(p, func() {
--- a/internal/scheduler/jobplacing.go
+++ b/internal/scheduler/job_placement.go
@@ -5,6 +5,8 @@
 	"time"
 
 	"lynxledge/internal/config"
+	"lynxledge/internal/placement"
+	"lynxledge/internal/resources"
 	"lynxledge/wire"
 )
 
@@ -15,8 +17,8 @@
 	queuedJob
 	spec  *wire.Job
 	team  config.TeamQuota
-	need  Resources
-	zones ZoneCounts // of the job's tasks, those placed here included
+	need  resources.Vector
+	zones placement.ZoneCounts // of the job's tasks, those placed here included
 
 	mayPreempt      bool // other work may be stopped for a task
 	searchesVictims bool // it is this job's turn to look for places of other work
@@ -29,7 +31,7 @@
 // placeJob places what it can of a job.
 func (p *Scheduler) placeJob(r *cycle, w queuedJob) {
 	spec, team := w.job.Spec, p.teamQuota(w.job.Spec.Team)
-	need := RequestOf(spec)
+	need := resources.OfTask(spec)
 	if r.finishedJobs[w.id] > 0 || !r.usage.WithinLimit(team, need) {
 		return
 	}
--- a/internal/scheduler/nodes.go
+++ b/internal/scheduler/node_index.go
@@ -4,6 +4,7 @@
 	"slices"
 	"time"
 
+	"lynxledge/internal/resources"
 	"lynxledge/internal/statecache"
 )
 
@@ -14,8 +15,8 @@
 
 // poolCapacity is what a pool has.
 type poolCapacity struct {
-	schedulableNodes int       // machines that may take tasks
-	serviceUsage     Resources // what replicas hold of them
+	schedulableNodes int              // machines that may take tasks
+	serviceUsage     resources.Vector // what replicas hold of them
 }
 
 type cachedImage struct {
@@ -132,14 +133,14 @@
 		}
 	}
 	for _, j := range n.countedTasks {
-		p.usage[j.Team] = p.usage[j.Team].Plus(RequestOf(j), sign)
+		p.usage[j.Team] = p.usage[j.Team].Plus(resources.OfTask(j), sign)
 	}
 	if n.countedPool != nil {
 		s := p.pools[*n.countedPool]
 		s.schedulableNodes += int(sign)
 		for _, j := range n.countedTasks {
 			if j.IsService() {
-				s.serviceUsage = s.serviceUsage.Plus(RequestOf(j), sign)
+				s.serviceUsage = s.serviceUsage.Plus(resources.OfTask(j), sign)
 			}
 		}
 		p.pools[*n.countedPool] = s
@@ -162,7 +163,7 @@
 func (p *Scheduler) loadNode(n *Node, b *statecache.Machine) {
 	old := n.Tasks
 	n.Group, n.MachineType, n.Zone, n.Spot, n.Schedulable = b.Group, p.machineTypes[b.MachineType], b.Zone, b.Spot, b.Schedulable()
-	n.Used, n.Tasks = Resources{}, make([]RunningTask, 0, len(b.Bindings))
+	n.Used, n.Tasks = resources.Vector{}, make([]RunningTask, 0, len(b.Bindings))
 	for i := range b.Bindings {
 		t := &b.Bindings[i]
 		task := RunningTask{TaskIndex: t.TaskIndex, Stopping: t.StopToken > 0, BoundSince: time.Now()}
@@ -171,7 +172,7 @@
 			// What is ordered to stop without saving is gone before a launch in
 			// the same commands is carried out.
 			if t.StopToken == 0 || t.GraceSeconds > 0 {
-				n.Used = n.Used.Plus(RequestOf(j.Spec), 1)
+				n.Used = n.Used.Plus(resources.OfTask(j.Spec), 1)
 			}
 		}
 		for _, o := range old {
--- a/internal/scheduler/observations.go
+++ b/internal/scheduler/pending_evidence.go
@@ -4,26 +4,20 @@
 	"maps"
 	"time"
 
+	"lynxledge/internal/reconcile"
 	"lynxledge/internal/statecache"
 	"lynxledge/wire"
 )
 
-// Evidence is a report that proves something of its machine's record, and how long
-// the tasks ran that it calls ended, as far as its hearer knows.
-type Evidence struct {
-	Heartbeat    *wire.Heartbeat    `json:"report"`
-	TaskRuntimes map[string]float64 `json:"ranS,omitempty"`
-}
-
 type pendingEvidence struct {
-	Evidence
+	reconcile.Evidence
 	applyAt     time.Time // when this process writes it, if no other has
 	exitedTasks int       // tasks that it shows ended: places that stand empty until it is written
 }
 
 // HandleEvidence takes what a report proves; it is written at once if the teams are
 // handed to this process, else after wait unless another process has.
-func (p *Scheduler) HandleEvidence(n Evidence, wait time.Duration) {
+func (p *Scheduler) HandleEvidence(n reconcile.Evidence, wait time.Duration) {
 	p.Post(func() {
 		rec := p.view.Machines[n.Heartbeat.Machine]
 		if rec == nil {
@@ -75,6 +69,6 @@
 
 // stillProves tells whether a note still has anything to write.
 func (p *Scheduler) stillProves(rec *statecache.Machine, n *pendingEvidence) bool {
-	proof := Reconcile(rec, n.Heartbeat, p.view.Active)
+	proof := reconcile.Heartbeat(rec, n.Heartbeat, p.view.Active)
 	return proof.RequiresUpdate()
 }
--- a/internal/scheduler/choose.go
+++ b/internal/scheduler/pick_node.go
@@ -1,5 +1,3 @@
-// Package place binds tasks to machines: the choice is pure, and an actor
-// makes it through the state service for the teams handed to this controller.
 package scheduler
 
 import (
@@ -8,17 +6,11 @@
 	"slices"
 	"time"
 
-	"lynxledge/internal/statecache"
+	"lynxledge/internal/placement"
+	"lynxledge/internal/resources"
 	"lynxledge/wire"
 )
 
-// Allowed tells whether a job's tasks may run on a type, in a zone and on a
-// kind of machine at all.
-func Allowed(j *wire.Job, typ, zone string, spot bool) bool {
-	return (len(j.MachineTypes) == 0 || slices.Contains(j.MachineTypes, typ)) &&
-		(j.Zone == "" || j.Zone == zone) && (j.AllowSpot || !spot)
-}
-
 // RunningTask is one task on a node, as far as the choice cares.
 type RunningTask struct {
 	Job             *wire.Job // nil when its job is unknown
@@ -37,13 +29,13 @@
 	MachineType *wire.MachineType
 	Zone        string
 	Spot        bool
-	Schedulable bool      // tasks may be bound to it
-	Used        Resources // of tasks that are to stay
+	Schedulable bool             // tasks may be bound to it
+	Used        resources.Vector // of tasks that are to stay
 	Tasks       []RunningTask
 	HasImage    func(image string) bool
 	// Reserved is kept for replicas that are about to be placed anew: work that may wait
 	// leaves it alone.
-	Reserved Resources
+	Reserved resources.Vector
 	// NeedsOwnWrite: using it takes a write of its own. Few groups are written at once.
 	NeedsOwnWrite bool
 
@@ -55,31 +47,7 @@
 
 // HasCapacity tells whether the node has any of its processors and memory left.
 func (n *Node) HasCapacity() bool {
-	return n.Schedulable && n.Used.CPUs < n.MachineType.CPUs-roundingTolerance && (n.MachineType.MemoryGB == 0 || n.Used.MemoryGB < n.MachineType.MemoryGB-roundingTolerance)
-}
-
-// ZoneCounts counts a job's tasks by zone, those that are stopping included.
-type ZoneCounts map[string]int
-
-// ZoneCountsOf counts a job's bound tasks by zone.
-func ZoneCountsOf(v *statecache.View, job string) ZoneCounts {
-	z := ZoneCounts{}
-	for _, m := range v.Bindings[job] {
-		z[v.Machines[m].Zone]++
-	}
-	return z
-}
-
-// Allows tells whether one more task of the job may be in a zone now.
-func (z ZoneCounts) Allows(j *wire.Job, zone string) bool {
-	if j.SingleZone {
-		for other, n := range z {
-			if n > 0 && other != zone {
-				return false
-			}
-		}
-	}
-	return !j.SpreadZones || z[zone] < (j.TaskCount+1)/2
+	return n.Schedulable && n.Used.CPUs < n.MachineType.CPUs-resources.RoundingTolerance && (n.MachineType.MemoryGB == 0 || n.Used.MemoryGB < n.MachineType.MemoryGB-resources.RoundingTolerance)
 }
 
 // maxSample bounds a choice: beyond it a random sample of the machines is
@@ -111,17 +79,17 @@
 
 // CanTake tells whether the node has room for one more task of a job, which needs that
 // much, and the job allows it, given the zones of its other tasks.
-func (n *Node) CanTake(j *wire.Job, need Resources, zones ZoneCounts) bool {
-	return Allowed(j, n.MachineType.Name, n.Zone, n.Spot) && zones.Allows(j, n.Zone) && n.hasCapacityFor(j, need)
+func (n *Node) CanTake(j *wire.Job, need resources.Vector, zones placement.ZoneCounts) bool {
+	return placement.Allowed(j, n.MachineType.Name, n.Zone, n.Spot) && zones.Allows(j, n.Zone) && n.hasCapacityFor(j, need)
 }
 
 // hasCapacityFor tells whether one more task of a job fits into what the node has free for it.
-func (n *Node) hasCapacityFor(j *wire.Job, need Resources) bool {
+func (n *Node) hasCapacityFor(j *wire.Job, need resources.Vector) bool {
 	used := n.Used
 	if !j.IsService() && j.Priority < wire.PriorityHigh {
 		used = used.Plus(n.Reserved, 1)
 	}
-	return used.Plus(need, 1).Fits(Capacity(n.MachineType))
+	return used.Plus(need, 1).Fits(resources.OfMachineType(n.MachineType))
 }
 
 // ZoneOffers tells how many machine types can be rented in a zone, as a share of
@@ -131,15 +99,15 @@
 // PickNode returns the node with room that suits a task of the job best, or nil.
 // Urgent work goes where its image is; the rest packs machines that are in
 // use already, and spot machines before ordinary ones.
-func PickNode(j *wire.Job, zones ZoneCounts, offers ZoneOffers, nodes []*Node) *Node {
+func PickNode(j *wire.Job, zones placement.ZoneCounts, offers ZoneOffers, nodes []*Node) *Node {
 	var best *Node
 	bestScore := math.Inf(1)
-	need := RequestOf(j)
+	need := resources.OfTask(j)
 	for _, n := range nodes {
 		if !n.CanTake(j, need, zones) {
 			continue
 		}
-		if s := score(j, zones, offers, n, Capacity(n.MachineType)); s < bestScore {
+		if s := score(j, zones, offers, n, resources.OfMachineType(n.MachineType)); s < bestScore {
 			best, bestScore = n, s
 		}
 	}
@@ -148,7 +116,7 @@
 
 // score orders the nodes that have room; the lowest is best. Its parts are
 // shares of one machine.
-func score(j *wire.Job, zones ZoneCounts, offers ZoneOffers, n *Node, limit Resources) float64 {
+func score(j *wire.Job, zones placement.ZoneCounts, offers ZoneOffers, n *Node, limit resources.Vector) float64 {
 	s := 1 - n.Used.Share(limit)
 	if !n.HasImage(j.Image) {
 		if j.Priority >= wire.PriorityHigh {
--- a/internal/scheduler/choose_test.go
+++ b/internal/scheduler/pick_node_test.go
@@ -7,7 +7,9 @@
 
 	"pgregory.net/rapid"
 
-	_ "lynxledge/internal/seeded"
+	"lynxledge/internal/placement"
+	_ "lynxledge/internal/rapidseed"
+	"lynxledge/internal/resources"
 
 	"lynxledge/internal/config"
 	"lynxledge/wire"
@@ -35,8 +37,8 @@
 		}
 		for k := range rapid.IntRange(0, 4).Draw(t, "held") {
 			j := genSpec(t, 100+k)
-			if n.Used.Plus(RequestOf(j), 1).Fits(Capacity(n.MachineType)) {
-				n.Used = n.Used.Plus(RequestOf(j), 1)
+			if n.Used.Plus(resources.OfTask(j), 1).Fits(resources.OfMachineType(n.MachineType)) {
+				n.Used = n.Used.Plus(resources.OfTask(j), 1)
 				n.Tasks = append(n.Tasks, RunningTask{Job: j, TaskIndex: i, WithinGuarantee: rapid.Bool().Draw(t, "guaranteed")})
 			}
 		}
@@ -49,11 +51,11 @@
 func TestPick(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		j, nodes := genSpec(t, 1), genNodes(t)
-		zones := ZoneCounts{"p": rapid.IntRange(0, 2).Draw(t, "inP"), "q": rapid.IntRange(0, 2).Draw(t, "inQ")}
+		zones := placement.ZoneCounts{"p": rapid.IntRange(0, 2).Draw(t, "inP"), "q": rapid.IntRange(0, 2).Draw(t, "inQ")}
 		ok := func(n *Node) bool {
 			inOther := zones["p"] + zones["q"] - zones[n.Zone]
 			return (j.AllowSpot || !n.Spot) && (!j.SingleZone || inOther == 0) && (!j.SpreadZones || 2*zones[n.Zone] < j.TaskCount) &&
-				n.Used.Plus(RequestOf(j), 1).Fits(Capacity(n.MachineType))
+				n.Used.Plus(resources.OfTask(j), 1).Fits(resources.OfMachineType(n.MachineType))
 		}
 		got := PickNode(j, zones, ZoneOffers{}, nodes)
 		if got != nil && !ok(got) {
@@ -73,13 +75,13 @@
 	team := func(n string) config.TeamQuota { return teams[n] }
 	rapid.Check(t, func(t *rapid.T) {
 		j, nodes := genSpec(t, 1), genNodes(t)
-		tally := Usage{}
+		tally := resources.Usage{}
 		for _, n := range nodes {
 			for _, task := range n.Tasks {
-				tally[task.Job.Team] = tally[task.Job.Team].Plus(RequestOf(task.Job), 1)
+				tally[task.Job.Team] = tally[task.Job.Team].Plus(resources.OfTask(task.Job), 1)
 			}
 		}
-		v := FindVictims(j, ZoneCounts{}, ZoneOffers{}, nodes, tally, team)
+		v := FindVictims(j, placement.ZoneCounts{}, ZoneOffers{}, nodes, tally, team)
 		if v == nil {
 			return
 		}
@@ -90,7 +92,7 @@
 		}
 		for _, i := range v.Tasks {
 			victim := v.Node.Tasks[i]
-			used = used.Plus(RequestOf(victim.Job), -1)
+			used = used.Plus(resources.OfTask(victim.Job), -1)
 			if victim.Job.Priority < j.Priority {
 				continue
 			}
@@ -100,7 +102,7 @@
 			if victim.Job.Team == j.Team {
 				t.Fatal("equal or higher rank of the same team stopped")
 			}
-			if !tally.WithinGuarantee(team(j.Team), RequestOf(j)) {
+			if !tally.WithinGuarantee(team(j.Team), resources.OfTask(j)) {
 				t.Fatal("taken back beyond the guarantee")
 			}
 			if left <= teams[victim.Job.Team].GuaranteedCPUs {
@@ -108,7 +110,7 @@
 			}
 			left -= victim.Job.CPUs
 		}
-		if !used.Plus(RequestOf(j), 1).Fits(Capacity(v.Node.MachineType)) {
+		if !used.Plus(resources.OfTask(j), 1).Fits(resources.OfMachineType(v.Node.MachineType)) {
 			t.Fatal("victims make no room")
 		}
 	})
@@ -135,16 +137,16 @@
 		return &wire.Job{ID: fmt.Sprintf("req-%06d", n), Kind: wire.KindService, Priority: wire.PriorityProduction, TaskCount: 1 + n%2, CPUs: 4, Image: "x", SpreadZones: spread}
 	}
 	has := func(string) bool { return true }
-	full := &Node{Name: "f", MachineType: &testTypes[0], Zone: "p", HasImage: has, Used: Resources{CPUs: 4}, Tasks: []RunningTask{{Job: replica(2, false)}}}
-	other := &Node{Name: "g", MachineType: &testTypes[0], Zone: "p", HasImage: has, Used: Resources{CPUs: 4}, Tasks: []RunningTask{{Job: replica(4, false)}}}
+	full := &Node{Name: "f", MachineType: &testTypes[0], Zone: "p", HasImage: has, Used: resources.Vector{CPUs: 4}, Tasks: []RunningTask{{Job: replica(2, false)}}}
+	other := &Node{Name: "g", MachineType: &testTypes[0], Zone: "p", HasImage: has, Used: resources.Vector{CPUs: 4}, Tasks: []RunningTask{{Job: replica(4, false)}}}
 	free := &Node{Name: "h", MachineType: &testTypes[0], Zone: "q", HasImage: has}
 	nodes := []*Node{full, other, free}
-	first := FindReplicaToMove(replica(1, true), ZoneCounts{"q": 1}, nodes)
+	first := FindReplicaToMove(replica(1, true), placement.ZoneCounts{"q": 1}, nodes)
 	if first == nil || first.Node != full {
 		t.Fatalf("not moved: %+v", first)
 	}
 	full.Tasks[0].Stopping = true
-	if second := FindReplicaToMove(replica(3, true), ZoneCounts{"q": 1}, nodes); second != nil {
+	if second := FindReplicaToMove(replica(3, true), placement.ZoneCounts{"q": 1}, nodes); second != nil {
 		t.Fatalf("moved without room: %+v", second)
 	}
 }
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -4,6 +4,7 @@
 	"log/slog"
 	"slices"
 
+	"lynxledge/internal/resources"
 	"lynxledge/wire"
 )
 
@@ -55,7 +56,7 @@
 	for _, i := range v.Tasks {
 		task := &v.Node.Tasks[i]
 		task.Stopping = true
-		v.Node.Used = v.Node.Used.Plus(RequestOf(task.Job), -1)
+		v.Node.Used = v.Node.Used.Plus(resources.OfTask(task.Job), -1)
 		t := rec.FindBinding(task.Job.ID, task.TaskIndex)
 		if t == nil {
 			continue
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -5,6 +5,9 @@
 	"time"
 
 	"lynxledge/internal/config"
+	"lynxledge/internal/estimate"
+	"lynxledge/internal/placement"
+	"lynxledge/internal/resources"
 	"lynxledge/internal/statecache"
 	"lynxledge/wire"
 )
@@ -77,7 +80,7 @@
 			continue
 		}
 		w.candidate = deadlineCandidate{clusterTime: run * float64(left) / p.clusterSlots(j.Spec), runtime: run}
-		for _, d := range Deadlines(p.config, j, run, age, age) {
+		for _, d := range estimate.Deadlines(p.config, j, run, age, age) {
 			w.candidate.deadlines = append(w.candidate.deadlines, d-age)
 		}
 		q = append(q, w)
@@ -134,9 +137,9 @@
 func (p *Scheduler) clusterSlots(j *wire.Job) float64 {
 	sum := 1.0
 	for k, s := range p.pools {
-		if s.schedulableNodes > 0 && Allowed(j, k.typ, k.zone, k.spot) {
-			limit := Capacity(p.machineTypes[k.typ])
-			whole := float64(s.schedulableNodes) * math.Floor(1/RequestOf(j).Share(limit)+roundingTolerance)
+		if s.schedulableNodes > 0 && placement.Allowed(j, k.typ, k.zone, k.spot) {
+			limit := resources.OfMachineType(p.machineTypes[k.typ])
+			whole := float64(s.schedulableNodes) * math.Floor(1/resources.OfTask(j).Share(limit)+resources.RoundingTolerance)
 			sum += whole * max(0, 1-s.serviceUsage.Share(limit)/float64(s.schedulableNodes))
 		}
 	}
@@ -157,7 +160,7 @@
 		}
 	}
 	for m, s := range p.startingNodes {
-		if !s.Spot && p.zoneOffers[s.Zone] > p.zoneOffers[n.Zone] && Allowed(j, s.MachineType.Name, s.Zone, s.Spot) && RequestOf(j).Fits(Capacity(s.MachineType)) &&
+		if !s.Spot && p.zoneOffers[s.Zone] > p.zoneOffers[n.Zone] && placement.Allowed(j, s.MachineType.Name, s.Zone, s.Spot) && resources.OfTask(j).Fits(resources.OfMachineType(s.MachineType)) &&
 			now.Sub(time.UnixMilli(p.view.Machines[m].ProvisionedAt)) < config.Seconds(UsualBootFactor*s.MachineType.BootTime) {
 			return true
 		}
--- a/internal/scheduler/order_test.go
+++ b/internal/scheduler/queue_order_test.go
@@ -8,7 +8,7 @@
 
 	"pgregory.net/rapid"
 
-	_ "lynxledge/internal/seeded"
+	_ "lynxledge/internal/rapidseed"
 )
 
 // onTime is how many of the jobs in a set are in time when they run one after
--- a/internal/scheduler/guarantees.go
+++ b/internal/scheduler/quota.go
@@ -6,6 +6,7 @@
 	"strings"
 
 	"lynxledge/internal/config"
+	"lynxledge/internal/resources"
 	"lynxledge/internal/statecache"
 	"lynxledge/wire"
 )
@@ -27,10 +28,10 @@
 // guarantee is the rest. It sorts the claims.
 func JobsWithinGuarantee(claims []QuotaClaim, team func(string) config.TeamQuota) map[string]bool {
 	slices.SortFunc(claims, compareClaims)
-	used := Usage{}
+	used := resources.Usage{}
 	guaranteed := map[string]bool{}
 	for _, c := range claims {
-		all := Resources{}.Plus(RequestOf(c.Job), float64(c.RemainingTasks))
+		all := resources.Vector{}.Plus(resources.OfTask(c.Job), float64(c.RemainingTasks))
 		if used.WithinGuarantee(team(c.Job.Team), all) {
 			guaranteed[c.Job.ID] = true
 		}
--- a/internal/scheduler/proofs.go
+++ b/internal/scheduler/reconciliation.go
@@ -7,6 +7,8 @@
 	"time"
 
 	"lynxledge/internal/config"
+	"lynxledge/internal/reconcile"
+	"lynxledge/internal/resources"
 	"lynxledge/internal/statecache"
 	"lynxledge/wire"
 )
@@ -105,7 +107,7 @@
 		}
 		for m, n := range p.pendingEvidence[g.group] {
 			rec := p.view.Machines[m]
-			proof := Reconcile(rec, n.Heartbeat, p.view.Active)
+			proof := reconcile.Heartbeat(rec, n.Heartbeat, p.view.Active)
 			if !proof.RequiresUpdate() {
 				delete(p.pendingEvidence[g.group], m)
 				continue
@@ -120,7 +122,7 @@
 }
 
 // applyReconciliation rewrites a machine's row by what a report proves.
-func (p *Scheduler) applyReconciliation(r *cycle, rec *statecache.Machine, n *pendingEvidence, proof *Reconciliation) {
+func (p *Scheduler) applyReconciliation(r *cycle, rec *statecache.Machine, n *pendingEvidence, proof *reconcile.Result) {
 	d := p.openGroup(r, rec.Group)
 	if d == nil {
 		return
@@ -156,7 +158,7 @@
 		r.terminated++
 		r.terminationBytes += statecache.TerminationBytes(&g)
 		if j := p.view.Jobs[g.Job]; j != nil && j.Spec != nil {
-			r.usage[j.Spec.Team] = r.usage[j.Spec.Team].Plus(RequestOf(j.Spec), -1)
+			r.usage[j.Spec.Team] = r.usage[j.Spec.Team].Plus(resources.OfTask(j.Spec), -1)
 		}
 		if g.Reason != wire.ReasonCompleted {
 			r.onCommitted = append(r.onCommitted, func() { slog.Info("task left machine", "task", g.TaskName(), "machine", m, "why", g.Reason) })
--- a/internal/scheduler/placer.go
+++ b/internal/scheduler/scheduler.go
@@ -11,6 +11,8 @@
 
 	"lynxledge/internal/actor"
 	"lynxledge/internal/config"
+	"lynxledge/internal/estimate"
+	"lynxledge/internal/resources"
 	"lynxledge/internal/statecache"
 	"lynxledge/wire"
 )
@@ -45,7 +47,7 @@
 	zoneOffers          ZoneOffers
 	activeJobs          map[string]*statecache.Job
 	quotaClaims         quotaClaimList // of the active jobs
-	runtimes            *RuntimeEstimator
+	runtimes            *estimate.RuntimeEstimator
 	firstIncompleteTask map[string]int           // lowest task of a job that may not be done
 	imageCaches         map[string][]cachedImage // machine: images fetched there, newest first
 	failures            map[string]*jobFailures  // job: what went wrong lately
@@ -57,7 +59,7 @@
 	nodesWithCapacity []*Node // those with room
 	pools             map[nodePool]poolCapacity
 	startingNodes     map[string]*Node // machines that are coming up
-	usage             Usage
+	usage             resources.Usage
 
 	advisor              Advisor // nil: zones that recover are treated like any other
 	advice               Advice  // of the last round; nil: no zone recovers
@@ -98,7 +100,7 @@
 		view:                statecache.NewUnfinishedView(statecache.ChunkTasks(s.MaxValueKB)),
 		machineTypes:        map[string]*wire.MachineType{},
 		activeJobs:          map[string]*statecache.Job{},
-		runtimes:            NewRuntimeEstimator(),
+		runtimes:            estimate.NewRuntimeEstimator(),
 		firstIncompleteTask: map[string]int{},
 		imageCaches:         map[string][]cachedImage{},
 		failures:            map[string]*jobFailures{},
@@ -107,7 +109,7 @@
 		nodes:               map[string]*Node{},
 		pools:               map[nodePool]poolCapacity{},
 		startingNodes:       map[string]*Node{},
-		usage:               Usage{},
+		usage:               resources.Usage{},
 		pendingEvidence:     map[string]map[string]*pendingEvidence{},
 		fullyCompletedSince: map[string]time.Time{},
 		oversizedGroups:     map[string]bool{},
--- a/internal/scheduler/victims.go
+++ b/internal/scheduler/victims.go
@@ -5,6 +5,8 @@
 	"slices"
 
 	"lynxledge/internal/config"
+	"lynxledge/internal/placement"
+	"lynxledge/internal/resources"
 	"lynxledge/wire"
 )
 
@@ -18,28 +20,28 @@
 // FindVictims finds the cheapest set of tasks to stop for a task of job j. Work
 // of lower priority may go; with the team inside its guarantee so may work of any
 // priority that another team runs beyond its own. Nothing else may.
-func FindVictims(j *wire.Job, zones ZoneCounts, offers ZoneOffers, nodes []*Node, tally Usage, team func(string) config.TeamQuota) *PreemptionVictims {
+func FindVictims(j *wire.Job, zones placement.ZoneCounts, offers ZoneOffers, nodes []*Node, tally resources.Usage, team func(string) config.TeamQuota) *PreemptionVictims {
 	var best *PreemptionVictims
 	bestScore := 0.0
-	need := RequestOf(j)
+	need := resources.OfTask(j)
 	guaranteed := tally.WithinGuarantee(team(j.Team), need)
 	for _, n := range nodes {
-		if !Allowed(j, n.MachineType.Name, n.Zone, n.Spot) || !zones.Allows(j, n.Zone) {
+		if !placement.Allowed(j, n.MachineType.Name, n.Zone, n.Spot) || !zones.Allows(j, n.Zone) {
 			continue
 		}
 		v := victimsOnNode(j, n, need, guaranteed, tally, team)
 		if v == nil {
 			continue
 		}
-		if s := score(j, zones, offers, n, Capacity(n.MachineType)); best == nil || s-bestScore < -1 || s-bestScore < 1 && v.Cost < best.Cost {
+		if s := score(j, zones, offers, n, resources.OfMachineType(n.MachineType)); best == nil || s-bestScore < -1 || s-bestScore < 1 && v.Cost < best.Cost {
 			best, bestScore = v, s
 		}
 	}
 	return best
 }
 
-func victimsOnNode(j *wire.Job, n *Node, need Resources, guaranteed bool, tally Usage, team func(string) config.TeamQuota) *PreemptionVictims {
-	limit := Capacity(n.MachineType)
+func victimsOnNode(j *wire.Job, n *Node, need resources.Vector, guaranteed bool, tally resources.Usage, team func(string) config.TeamQuota) *PreemptionVictims {
+	limit := resources.OfMachineType(n.MachineType)
 	type candidate struct {
 		i    int
 		cost float64
@@ -75,7 +77,7 @@
 	})
 	v := &PreemptionVictims{Node: n}
 	used := n.Used
-	left := Usage{}
+	left := resources.Usage{}
 	for _, c := range cands {
 		if used.Plus(need, 1).Fits(limit) {
 			break
@@ -88,12 +90,12 @@
 			if !ok {
 				u = tally[owner.Name]
 			}
-			if u.CPUs <= owner.GuaranteedCPUs+roundingTolerance && u.GPUs <= owner.GuaranteedGPUs+roundingTolerance {
+			if u.CPUs <= owner.GuaranteedCPUs+resources.RoundingTolerance && u.GPUs <= owner.GuaranteedGPUs+resources.RoundingTolerance {
 				continue
 			}
-			left[owner.Name] = u.Plus(RequestOf(t.Job), -1)
+			left[owner.Name] = u.Plus(resources.OfTask(t.Job), -1)
 		}
-		used = used.Plus(RequestOf(t.Job), -1)
+		used = used.Plus(resources.OfTask(t.Job), -1)
 		v.Tasks = append(v.Tasks, c.i)
 		v.Cost += c.cost
 	}
@@ -106,13 +108,13 @@
 // FindReplicaToMove finds a replica that could as well run in another zone, where there is
 // room for it, and whose going makes room for a task that must spread into
 // its zone. The replica is stopped to be placed again.
-func FindReplicaToMove(j *wire.Job, zones ZoneCounts, nodes []*Node) *PreemptionVictims {
+func FindReplicaToMove(j *wire.Job, zones placement.ZoneCounts, nodes []*Node) *PreemptionVictims {
 	if !j.SpreadZones || !j.IsService() {
 		return nil
 	}
-	need := RequestOf(j)
+	need := resources.OfTask(j)
 	for _, n := range nodes {
-		if !Allowed(j, n.MachineType.Name, n.Zone, n.Spot) || !zones.Allows(j, n.Zone) {
+		if !placement.Allowed(j, n.MachineType.Name, n.Zone, n.Spot) || !zones.Allows(j, n.Zone) {
 			continue
 		}
 		elsewhere := slices.DeleteFunc(slices.Clone(nodes), func(o *Node) bool { return o.Zone == n.Zone })
@@ -120,11 +122,11 @@
 			if t.Job == nil || t.Stopping || !t.Job.IsService() || t.Job.SpreadZones && t.Job.TaskCount > 1 || t.Job.CheckpointInterval > 0 {
 				continue
 			}
-			if !n.Used.Plus(RequestOf(t.Job), -1).Plus(need, 1).Fits(Capacity(n.MachineType)) {
+			if !n.Used.Plus(resources.OfTask(t.Job), -1).Plus(need, 1).Fits(resources.OfMachineType(n.MachineType)) {
 				continue
 			}
-			if to := PickNode(t.Job, ZoneCounts{}, ZoneOffers{}, elsewhere); to != nil && to.HasImage(t.Job.Image) {
-				to.Used = to.Used.Plus(RequestOf(t.Job), 1) // one room is not for two
+			if to := PickNode(t.Job, placement.ZoneCounts{}, ZoneOffers{}, elsewhere); to != nil && to.HasImage(t.Job.Image) {
+				to.Used = to.Used.Plus(resources.OfTask(t.Job), 1) // one room is not for two
 				return &PreemptionVictims{Node: n, Tasks: []int{i}}
 			}
 		}
--- a/internal/simulation/history/order.go
+++ b/internal/simulation/history/order.go
@@ -9,6 +9,8 @@
 	"time"
 
 	"lynxledge/internal/config"
+	"lynxledge/internal/placement"
+	"lynxledge/internal/resources"
 	"lynxledge/internal/scheduler"
 	"lynxledge/internal/statecache"
 	"lynxledge/internal/zonehealth"
@@ -177,16 +179,16 @@
 	node := &scheduler.Node{Name: m.Name, MachineType: c.types[m.MachineType], Zone: m.Zone, Spot: m.Spot, Schedulable: m.Schedulable()}
 	for i := range m.Bindings {
 		if j := c.view.Jobs[m.Bindings[i].Job]; j != nil && j.Spec != nil {
-			node.Used = node.Used.Plus(scheduler.RequestOf(j.Spec), 1)
+			node.Used = node.Used.Plus(resources.OfTask(j.Spec), 1)
 		}
 	}
 	for _, j := range arrays {
-		node.Used = node.Used.Plus(scheduler.RequestOf(j), -1)
+		node.Used = node.Used.Plus(resources.OfTask(j), -1)
 	}
 	for id := range c.waitsSince {
 		j, since := c.view.Jobs[id], c.longestWait(id)
 		if decided.Sub(since) <= c.patience || !node.Schedulable || !c.withinLimit(j.Spec) ||
-			!node.CanTake(j.Spec, scheduler.RequestOf(j.Spec), scheduler.ZoneCountsOf(c.view, id)) {
+			!node.CanTake(j.Spec, resources.OfTask(j.Spec), placement.ZoneCountsOf(c.view, id)) {
 			continue
 		}
 		c.violations = append(c.violations, fmt.Sprintf("%s: %s (%s) was put on %s (%s, recorded %s) while %s had waited for %v",
@@ -195,12 +197,12 @@
 }
 
 func (c *OrderChecker) withinLimit(j *wire.Job) bool {
-	used := scheduler.Usage{}
+	used := resources.Usage{}
 	for id, tasks := range c.view.Bindings {
 		if other := c.view.Jobs[id]; other != nil && other.Spec != nil {
-			used[other.Spec.Team] = used[other.Spec.Team].Plus(scheduler.RequestOf(other.Spec), float64(len(tasks)))
+			used[other.Spec.Team] = used[other.Spec.Team].Plus(resources.OfTask(other.Spec), float64(len(tasks)))
 		}
 	}
 	team, _ := c.params.TeamQuota(j.Team)
-	return used.WithinLimit(team, scheduler.RequestOf(j))
+	return used.WithinLimit(team, resources.OfTask(j))
 }
--- a/internal/simulation/idle_test.go
+++ b/internal/simulation/idle_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 
 	"lynxledge/internal/config"
-	_ "lynxledge/internal/seeded"
+	_ "lynxledge/internal/rapidseed"
 	"lynxledge/wire"
 )
 
--- a/internal/simulation/state.go
+++ b/internal/simulation/store.go
@@ -1,6 +1,3 @@
-// Package fakes plays the state service, the cloud, the workers, the users
-// and the network between them for the project's tests, and checks the
-// protocol's rules while it does. It runs on whatever clock the test runs on.
 package simulation
 
 import (
--- a/internal/statecache/ledger_test.go
+++ b/internal/statecache/cache_test.go
@@ -17,7 +17,7 @@
 
 	"pgregory.net/rapid"
 
-	_ "lynxledge/internal/seeded"
+	_ "lynxledge/internal/rapidseed"
 	"lynxledge/internal/simulation"
 	"lynxledge/wire"
 )
--- a/internal/statecache/records.go
+++ b/internal/statecache/records.go
@@ -1,5 +1,3 @@
-// Package ledger keeps a watched view of everything the controllers hold in
-// the state service, and commits guarded changes to it.
 package statecache
 
 import (
--- a/internal/worker/client.go
+++ b/internal/worker/client.go
@@ -9,7 +9,7 @@
 	"net/http"
 	"time"
 
-	"lynxledge/internal/rpc"
+	"lynxledge/internal/httpjson"
 	"lynxledge/wire"
 )
 
@@ -24,7 +24,7 @@
 // given up may still be executed later. It keeps so many idle sockets, and has no
 // more than busy requests under way, each of which may take one more.
 func New(timeout time.Duration, idle, busy int) *Client {
-	return &Client{httpClient: rpc.Client(timeout/2, 1, max(1, idle)), timeout: timeout, inFlight: make(chan struct{}, max(1, busy))}
+	return &Client{httpClient: httpjson.Client(timeout/2, 1, max(1, idle)), timeout: timeout, inFlight: make(chan struct{}, max(1, busy))}
 }
 
 // SendCommands sends commands. The worker's report comes back whether or not it
@@ -47,7 +47,7 @@
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
-	status, b, err := rpc.Call(ctx, c.httpClient, c.timeout, method, url, in)
+	status, b, err := httpjson.Call(ctx, c.httpClient, c.timeout, method, url, in)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/zonecontrol/controller.go
+++ b/internal/zonecontrol/controller.go
@@ -10,7 +10,7 @@
 	"lynxledge/internal/actor"
 	"lynxledge/internal/config"
 	"lynxledge/internal/election"
-	"lynxledge/internal/planner"
+	"lynxledge/internal/resources"
 	"lynxledge/internal/scheduler"
 	"lynxledge/internal/statecache"
 	"lynxledge/internal/zonehealth"
@@ -34,7 +34,7 @@
 
 	census         *zonehealth.Census
 	tracker        *zonehealth.Tracker
-	exhaustedPools map[planner.Pool]time.Time // until when the cloud is not asked again
+	exhaustedPools map[resources.Pool]time.Time // until when the cloud is not asked again
 	lastCheck      time.Time
 
 	term       uint64 // of the leadership that the tracker's state belongs to
@@ -66,7 +66,7 @@
 		view:           statecache.NewUnfinishedView(statecache.ChunkTasks(cfg.Params.Store.MaxValueKB)),
 		census:         zonehealth.NewCensus(now, policy.Silence),
 		tracker:        zonehealth.NewTracker(policy),
-		exhaustedPools: map[planner.Pool]time.Time{},
+		exhaustedPools: map[resources.Pool]time.Time{},
 		lastCheck:      now,
 	}
 	l.Subscribe(func(d statecache.Update) { c.Send(func() { c.apply(d) }) })
@@ -85,7 +85,7 @@
 }
 
 // PoolExhausted notes that the cloud rents no machines of a pool for now.
-func (c *Controller) PoolExhausted(pool planner.Pool, until time.Time) {
+func (c *Controller) PoolExhausted(pool resources.Pool, until time.Time) {
 	c.Post(func() { c.exhaustedPools[pool] = until })
 }
 
@@ -214,7 +214,7 @@
 			}
 			for _, spot := range []bool{false, true} {
 				e.Pools++
-				if now.Before(c.exhaustedPools[planner.Pool{MachineType: c.machineTypes[i].Name, Zone: zone, Spot: spot}]) {
+				if now.Before(c.exhaustedPools[resources.Pool{MachineType: c.machineTypes[i].Name, Zone: zone, Spot: spot}]) {
 					e.PoolsRefused++
 				}
 			}
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -9,7 +9,7 @@
 
 	"pgregory.net/rapid"
 
-	_ "lynxledge/internal/seeded"
+	_ "lynxledge/internal/rapidseed"
 )
 
 func genJob(t *rapid.T) *Job {
