--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -97,7 +97,7 @@
 			in.Demands = append(in.Demands, Demand{Job: j, Count: j.TaskCount, Deadline: rapid.Float64Range(-50, 300).Draw(t, "due"), Runtime: 20, Zones: placement.ZoneCounts{}})
 		}
 		for i := range rapid.IntRange(0, 6).Draw(t, "machines") {
-			m := Machine{Name: fmt.Sprint(i), Pool: resources.Pool{rapid.SampledFrom([]string{"s", "l"}).Draw(t, "type"), "a", rapid.Bool().Draw(t, "spotm")}, Schedulable: true, Age: rapid.Float64Range(0, 300).Draw(t, "age")}
+			m := Machine{Name: fmt.Sprint(i), Pool: resources.Pool{MachineType: rapid.SampledFrom([]string{"s", "l"}).Draw(t, "type"), Zone: "a", Spot: rapid.Bool().Draw(t, "spotm")}, Schedulable: true, Age: rapid.Float64Range(0, 300).Draw(t, "age")}
 			if rapid.Bool().Draw(t, "busy") {
 				m.Tasks = []RunningTask{{job(2, true), 10}}
 			}
