--- a/cmd/lynxledge/fleet_test.go
+++ b/cmd/lynxledge/fleet_test.go
@@ -58,7 +58,7 @@
 			types: threeSizes,
 		},
 		tweak: func(p *config.Params) {
-			p.Workers = config.WorkerTimings{HeartbeatInterval: 5, LeaseDuration: 34, CancellationDeadline: 64}
+			p.Workers = config.WorkerTimings{HeartbeatInterval: 5 * time.Second, LeaseDuration: 34 * time.Second, CancellationDeadline: 64 * time.Second}
 			p.Store = config.StoreLimits{RequestRate: 600, WriteRate: 180, MaxValueKB: 8, MaxTxnOps: 24}
 			p.Resources = config.ControllerResources{CPUCores: 0.336, MemoryMB: 220, FileDescriptorLimit: 2783}
 		},
@@ -70,9 +70,9 @@
 			types: twoSizes,
 		},
 		tweak: func(p *config.Params) {
-			p.Workers = config.WorkerTimings{HeartbeatInterval: 8, LeaseDuration: 44, CancellationDeadline: 74}
+			p.Workers = config.WorkerTimings{HeartbeatInterval: 8 * time.Second, LeaseDuration: 44 * time.Second, CancellationDeadline: 74 * time.Second}
 			p.Store = config.StoreLimits{RequestRate: 180, WriteRate: 18, MaxValueKB: 4, MaxTxnOps: 8}
-			p.Cloud = config.CloudLimits{RequestRate: 10, ListLag: 10}
+			p.Cloud = config.CloudLimits{RequestRate: 10, ListLag: 10 * time.Second}
 			p.Resources = config.ControllerResources{CPUCores: 0.252, MemoryMB: 322, FileDescriptorLimit: 4233}
 		},
 		arrays: 30, urgent: 4, services: 260, tasks: 100, replicas: 12, cpus: 4, mem: 29,
@@ -83,9 +83,9 @@
 			types: twoSizes,
 		},
 		tweak: func(p *config.Params) {
-			p.Workers = config.WorkerTimings{HeartbeatInterval: 8, LeaseDuration: 44, CancellationDeadline: 74}
+			p.Workers = config.WorkerTimings{HeartbeatInterval: 8 * time.Second, LeaseDuration: 44 * time.Second, CancellationDeadline: 74 * time.Second}
 			p.Store = config.StoreLimits{RequestRate: 200, WriteRate: 20, MaxValueKB: 4, MaxTxnOps: 8}
-			p.Cloud = config.CloudLimits{RequestRate: 10, ListLag: 10}
+			p.Cloud = config.CloudLimits{RequestRate: 10, ListLag: 10 * time.Second}
 			p.Resources = config.ControllerResources{CPUCores: 0.09, MemoryMB: 212, FileDescriptorLimit: 5000}
 		},
 		arrays: 44, urgent: 4, services: 390, tasks: 100, replicas: 12, cpus: 4, mem: 29, lostZone: "c", fewSockets: true,
@@ -96,7 +96,7 @@
 			types: threeSizes,
 		},
 		tweak: func(p *config.Params) {
-			p.Workers = config.WorkerTimings{HeartbeatInterval: 5, LeaseDuration: 34, CancellationDeadline: 64}
+			p.Workers = config.WorkerTimings{HeartbeatInterval: 5 * time.Second, LeaseDuration: 34 * time.Second, CancellationDeadline: 64 * time.Second}
 			p.Store = config.StoreLimits{RequestRate: 150, WriteRate: 50, MaxValueKB: 8, MaxTxnOps: 24}
 			p.Resources = config.ControllerResources{CPUCores: 0.3, MemoryMB: 300, FileDescriptorLimit: 800}
 		},
--- a/cmd/lynxledge/run.go
+++ b/cmd/lynxledge/run.go
@@ -35,6 +35,7 @@
 	"lynxledge/internal/scheduler"
 	"lynxledge/internal/standby"
 	"lynxledge/internal/statecache"
+	"lynxledge/internal/storelimits"
 	"lynxledge/internal/worker"
 	"lynxledge/internal/zonecontrol"
 )
@@ -79,7 +80,7 @@
 // serve puts the controller together and answers until the process is killed.
 func serve(ctx context.Context, cfg *config.Config, users, peers net.Listener) error {
 	p, ops := cfg.Params, cfg.Operator
-	report := config.Seconds(p.Workers.HeartbeatInterval)
+	report := p.Workers.HeartbeatInterval
 	sockets := newSocketBudget(p.Resources)
 	n := assemble(ctx, cfg, rand.Uint64()>>1, connections{
 		state:   kvstore.New(cfg.External.State, p.Store.RequestRateLimit(), p.Store.WriteRate, p.Store.MaxTxnOps, report/2),
@@ -154,16 +155,16 @@
 // earlier ones.
 func assemble(ctx context.Context, cfg *config.Config, boot uint64, to connections) node {
 	p, ops := cfg.Params, cfg.Operator
-	report := config.Seconds(p.Workers.HeartbeatInterval)
+	report := p.Workers.HeartbeatInterval
 	chunk := statecache.ChunkTasks(p.Store.MaxValueKB)
-	cfg.StoreRates = &config.StoreRates{}
-	cfg.Overload = overload.Start(ctx, report)
+	limits := &storelimits.Tracker{}
+	load := overload.Start(ctx, report)
 	slog.Info("starting", "member", cfg.MemberName, "zone", cfg.Zone, "boot", boot)
 
 	led := statecache.Start(ctx, to.state, statecache.Options{
 		ChunkTasks: chunk, WatchHold: 5 * report, MinWatchInterval: readPause(cfg, watchShare), MinRefreshInterval: readPause(cfg, refreshShare),
 		MaxViewAge: report / 2, Backoff: report / 30, WriteInterval: config.Seconds(1 / p.Store.WriteRate),
-		MaxValueBytes: p.Store.ValueSizeLimit(), MaxCompletionChunkBytes: int(p.Store.MaxValueKB * 1024), OnThrottled: cfg.StoreRates.ObserveThrottled, OnSizeRejected: cfg.StoreRates.ObserveLowerSizeLimit,
+		MaxValueBytes: p.Store.ValueSizeLimit(), MaxCompletionChunkBytes: int(p.Store.MaxValueKB * 1024), OnThrottled: limits.ObserveThrottled, OnSizeRejected: limits.ObserveLowerSizeLimit,
 		JobCountWarning: jobCountWarning(p.Resources),
 	})
 	msh := peer.Start(ctx, cfg, to.peers, led.FreshAsOf)
@@ -172,15 +173,19 @@
 		FreshPeer: msh.FreshPeer, Isolated: msh.Isolated, SendEvidence: msh.SendEvidence,
 		ApplyEvidence: func(n reconcile.Evidence, wait time.Duration) { placer.HandleEvidence(n, wait) },
 	})
-	placer = scheduler.Start(ctx, cfg, boot, led, to.workers, rep.HandleCommandResponse)
-	front := apiserver.Start(ctx, cfg, led, rep, msh)
-	renter := autoscaler.Start(ctx, cfg, boot, led, to.cloud, to.workers, rep.HandleCommandResponse)
+	placer = scheduler.Start(ctx, scheduler.Options{
+		Config: cfg, Incarnation: boot, Cache: led, Workers: to.workers, OnCommandResponse: rep.HandleCommandResponse, StoreLimits: limits, Overload: load,
+	})
+	front := apiserver.Start(ctx, apiserver.Options{Config: cfg, Cache: led, Heartbeats: rep, Peer: msh, StoreLimits: limits, Overload: load})
+	renter := autoscaler.Start(ctx, autoscaler.Options{
+		Config: cfg, Incarnation: boot, Cache: led, Cloud: to.cloud, Prober: to.workers, OnProbeResponse: rep.HandleCommandResponse, StoreLimits: limits, Overload: load,
+	})
 	rep.OnReachable(msh.AnnounceReachable)
 	rep.OnReachable(renter.MachinesReachable)
 	msh.OnReachable(renter.MachinesReachable)
 	msh.OnEvidence(func(n reconcile.Evidence) { placer.HandleEvidence(n, 0) })
 	elect := election.Start(ctx, to.state, led, election.Options{
-		MemberName: cfg.MemberName, Incarnation: boot, LeaseTTL: time.Duration(float64(report) * ops.MemberLeaseHeartbeats),
+		MemberName: cfg.MemberName, Incarnation: boot, LeaseTTL: p.Workers.Heartbeats(ops.MemberLeaseHeartbeats),
 		Teams: teams(p.Teams), MaxTxnOps: p.Store.TxnOpsLimit(), ChunkTasks: chunk, Capabilities: capabilities(ops),
 	})
 	catalog := cloud.NewCatalog(ctx, to.cloud)
@@ -205,10 +210,10 @@
 	}
 	if ops.Standby != nil {
 		n.standby = standby.Start(ctx, cfg, boot, led, elect)
-		msh.Watch(n.standby, boot, standby.HeartbeatInterval(cfg))
+		msh.Watch(n.standby, boot, ops.Standby.HeartbeatInterval(p.Workers))
 		n.actors = append(n.actors, n.standby.Actor)
 	}
-	go catalog.Run(ctx, 12*config.Seconds(ops.PlanningInterval), report/3)
+	go catalog.Run(ctx, 12*ops.PlanningInterval, report/3)
 	led.Run()
 	return n
 }
--- a/cmd/lynxledge/standby_test.go
+++ b/cmd/lynxledge/standby_test.go
@@ -33,8 +33,8 @@
 func standbyWorld(ctx context.Context, seed uint64) *world {
 	w := newWorld(ctx, seed, standbyScale(true), func(p *config.Params) {
 		p.Teams = []config.TeamQuota{{Name: "red"}, {Name: "blue"}}
-		p.Workers.HeartbeatInterval = 8 // a lease is as long: takeovers without standby take as long
-		p.Workers.LeaseDuration, p.Workers.CancellationDeadline = 44, 74
+		p.Workers.HeartbeatInterval = 8 * time.Second // a lease is as long: takeovers without standby take as long
+		p.Workers.LeaseDuration, p.Workers.CancellationDeadline = 44*time.Second, 74*time.Second
 	})
 	w.pass(10 * time.Second)
 	for i := range 4 {
@@ -84,7 +84,7 @@
 					}
 					// A leader and a placer that die together leave one controller, which
 					// can't tell their deaths from its own isolation.
-					if took, lease := w.untilSettled(dead...), config.Seconds(w.cfg.Params.Workers.HeartbeatInterval); role != "both" && took > lease*5/8 {
+					if took, lease := w.untilSettled(dead...), w.cfg.Params.Workers.HeartbeatInterval; role != "both" && took > lease*5/8 {
 						t.Errorf("taken over after %v, with a lease of %v", took, lease)
 					}
 					w.array("req-900000", "blue", 4, 5*time.Second, func(j *wire.Job) { j.Priority = wire.PriorityHigh })
--- a/cmd/lynxledge/takeover_measure_test.go
+++ b/cmd/lynxledge/takeover_measure_test.go
@@ -80,7 +80,7 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		w := newWorld(ctx, seed, standbyScale(early), func(p *config.Params) {
 			p.Teams = []config.TeamQuota{{Name: "red"}, {Name: "blue"}}
-			p.Workers.HeartbeatInterval = report
+			p.Workers.HeartbeatInterval = config.Seconds(report)
 		})
 		k := &takeover{}
 		observer := statecache.Start(ctx, &simulation.StoreConn{Store: w.state, Net: w.net, Node: "observer", Timeout: time.Second}, statecache.Options{
--- a/cmd/lynxledge/world_test.go
+++ b/cmd/lynxledge/world_test.go
@@ -102,7 +102,7 @@
 	if err != nil {
 		panic(err)
 	}
-	cfg.Operator.BootLag = 20
+	cfg.Operator.BootLag = 20 * time.Second
 	if tweak != nil {
 		tweak(&cfg.Params)
 	}
@@ -120,7 +120,7 @@
 		w.nodes = append(w.nodes, fmt.Sprintf("n%d", i))
 	}
 	opt := simulation.WorkerOptions{
-		HeartbeatInterval: config.Seconds(cfg.Params.Workers.HeartbeatInterval), LeaseDuration: config.Seconds(cfg.Params.Workers.LeaseDuration),
+		HeartbeatInterval: cfg.Params.Workers.HeartbeatInterval, LeaseDuration: cfg.Params.Workers.LeaseDuration,
 		Nodes: w.nodes, Net: w.net, Checker: w.rules, Fetch: time.Second,
 		Post: func(node string) simulation.Post {
 			door := w.doors[node]
--- a/internal/apiserver/bench_test.go
+++ b/internal/apiserver/bench_test.go
@@ -31,7 +31,7 @@
 func newReportingMachine(tb testing.TB, ctx context.Context) *reportingMachine {
 	slog.SetDefault(slog.New(slog.NewTextHandler(io.Discard, nil)))
 	cfg := &config.Config{Operator: config.DefaultOperatorSettings()}
-	cfg.Params.Workers = config.WorkerTimings{HeartbeatInterval: 8, LeaseDuration: 44, CancellationDeadline: 74}
+	cfg.Params.Workers = config.WorkerTimings{HeartbeatInterval: 8 * time.Second, LeaseDuration: 44 * time.Second, CancellationDeadline: 74 * time.Second}
 	cfg.Params.Store = config.StoreLimits{MaxValueKB: 4, MaxTxnOps: 8, RequestRate: 1e6, WriteRate: 1e6}
 	cfg.Params.Teams = []config.TeamQuota{{Name: "red"}}
 	conn := &simulation.StoreConn{Store: simulation.NewStore(), Net: simulation.NewNetwork(1, 0), Node: "n0", Timeout: time.Second}
@@ -42,7 +42,7 @@
 		ApplyEvidence: func(reconcile.Evidence, time.Duration) {},
 		SendEvidence:  func(string, reconcile.Evidence) bool { return false },
 	})
-	front := Start(ctx, cfg, l, reporter, nil)
+	front := Start(ctx, Options{Config: cfg, Cache: l, Heartbeats: reporter})
 	front.SetMachineTypes([]wire.MachineType{{Name: "s", CPUs: 16, MemoryGB: 128, Zones: []string{"a"}}})
 	l.Run()
 	machine := &statecache.Machine{Name: "i-000231", Address: "10.1.0.232:9000", Incarnation: 1, FencingToken: 41}
--- a/internal/apiserver/server.go
+++ b/internal/apiserver/server.go
@@ -16,7 +16,9 @@
 	"lynxledge/internal/actor"
 	"lynxledge/internal/config"
 	"lynxledge/internal/heartbeat"
+	"lynxledge/internal/overload"
 	"lynxledge/internal/statecache"
+	"lynxledge/internal/storelimits"
 	"lynxledge/wire"
 )
 
@@ -39,28 +41,42 @@
 // Server is the actor that knows the jobs as users see them.
 type Server struct {
 	*actor.Actor
-	config     *config.Config
-	cache      *statecache.Cache
-	heartbeats *heartbeat.Receiver
-	peer       Peer
-	admission  *rate.Limiter  // of accepted jobs
-	queue      admissionQueue // of users whose submissions were refused
-	maxViewAge time.Duration  // a view older than this is not worth a commit
+	config      *config.Config
+	cache       *statecache.Cache
+	heartbeats  *heartbeat.Receiver
+	peer        Peer
+	storeLimits *storelimits.Tracker
+	overload    *overload.Gauge
+	admission   *rate.Limiter  // of accepted jobs
+	queue       admissionQueue // of users whose submissions were refused
+	maxViewAge  time.Duration  // a view older than this is not worth a commit
 
 	view         *statecache.View
 	freshAsOf    time.Time
 	machineTypes []wire.MachineType
 }
 
-// Start runs the actor. peer may be nil.
-func Start(ctx context.Context, cfg *config.Config, l *statecache.Cache, r *heartbeat.Receiver, peer Peer) *Server {
+// Options are what a Server works with.
+type Options struct {
+	Config      *config.Config
+	Cache       *statecache.Cache
+	Heartbeats  *heartbeat.Receiver
+	Peer        Peer                 // nil: there is no other controller
+	StoreLimits *storelimits.Tracker // nil: the limits are as configured
+	Overload    *overload.Gauge      // nil: this process is never overloaded
+}
+
+// Start runs the actor until ctx ends.
+func Start(ctx context.Context, o Options) *Server {
+	cfg := o.Config
 	f := &Server{
-		Actor: actor.Start(ctx, "apiserver", 512), config: cfg, cache: l, heartbeats: r, peer: peer,
-		maxViewAge: config.Seconds(cfg.Params.Workers.HeartbeatInterval),
-		admission:  newAdmissionLimiter(cfg),
+		Actor: actor.Start(ctx, "apiserver", 512), config: cfg, cache: o.Cache, heartbeats: o.Heartbeats, peer: o.Peer,
+		storeLimits: o.StoreLimits, overload: o.Overload,
+		maxViewAge: cfg.Params.Workers.HeartbeatInterval,
+		admission:  newAdmissionLimiter(cfg, o.StoreLimits),
 		view:       statecache.NewView(statecache.ChunkTasks(cfg.Params.Store.MaxValueKB)),
 	}
-	l.Subscribe(func(d statecache.Update) {
+	o.Cache.Subscribe(func(d statecache.Update) {
 		f.Send(func() {
 			f.freshAsOf = d.FreshAsOf
 			for _, c := range d.Changes {
@@ -280,7 +296,7 @@
 		reply(time.Since(f.freshAsOf).Seconds())
 	})
 	alone := f.peer == nil || f.peer.FreshPeer() == ""
-	lost := age > isolationTimeoutLeases*f.config.Params.Workers.LeaseDuration
+	lost := age > f.config.Params.Workers.Leases(isolationTimeoutLeases).Seconds()
 	if !ok || math.IsInf(age, 1) || lost || age > f.maxViewAge.Seconds() && !alone {
 		writeUnavailable(w, "not ready")
 		return
--- a/internal/apiserver/server_test.go
+++ b/internal/apiserver/server_test.go
@@ -33,13 +33,13 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		cfg := &config.Config{Operator: config.DefaultOperatorSettings()}
-		cfg.Params.Workers = config.WorkerTimings{HeartbeatInterval: 3, LeaseDuration: 34, CancellationDeadline: 64}
+		cfg.Params.Workers = config.WorkerTimings{HeartbeatInterval: 3 * time.Second, LeaseDuration: 34 * time.Second, CancellationDeadline: 64 * time.Second}
 		cfg.Params.Store = config.StoreLimits{MaxValueKB: 8, MaxTxnOps: 8, RequestRate: 150, WriteRate: 50}
 		cfg.Params.Teams = []config.TeamQuota{{Name: "red", MaxCPUs: 6}}
 		s := simulation.NewStore()
 		conn := &simulation.StoreConn{Store: s, Net: simulation.NewNetwork(1, time.Millisecond), Node: "n0", Timeout: time.Second}
 		l := statecache.Start(ctx, conn, statecache.Options{ChunkTasks: statecache.ChunkTasks(8), WatchHold: time.Second, MaxViewAge: time.Second, Backoff: 100 * time.Millisecond})
-		front := Start(ctx, cfg, l, nil, nil)
+		front := Start(ctx, Options{Config: cfg, Cache: l})
 		l.Run()
 		time.Sleep(time.Second)
 		f(&door{t, s, front})
--- a/internal/apiserver/submit.go
+++ b/internal/apiserver/submit.go
@@ -16,6 +16,7 @@
 	"lynxledge/internal/placement"
 	"lynxledge/internal/resources"
 	"lynxledge/internal/statecache"
+	"lynxledge/internal/storelimits"
 	"lynxledge/wire"
 )
 
@@ -25,18 +26,18 @@
 // a part of it some seconds sooner. More than the rate would only be refused.
 const admissionRateFactor = 1.2
 
-func newAdmissionLimiter(cfg *config.Config) *rate.Limiter {
-	each := admissionRate(cfg)
+func newAdmissionLimiter(cfg *config.Config, limits *storelimits.Tracker) *rate.Limiter {
+	each := admissionRate(cfg, limits)
 	return rate.NewLimiter(each, 1+int(2*each))
 }
 
 // admissionRate is this controller's part.
-func admissionRate(cfg *config.Config) rate.Limit {
-	return rate.Limit(cfg.StoreWriteRate() * admissionRateFactor / float64(len(cfg.Peers)+1))
+func admissionRate(cfg *config.Config, limits *storelimits.Tracker) rate.Limit {
+	return rate.Limit(limits.WriteRate(&cfg.Params.Store) * admissionRateFactor / float64(len(cfg.Peers)+1))
 }
 
 func (f *Server) submit(w http.ResponseWriter, r *http.Request) {
-	if f.config.Overload.Level() >= overload.Overloaded {
+	if f.overload.Level() >= overload.Overloaded {
 		f.refuseSubmission(w, http.StatusServiceUnavailable, "overloaded")
 		return
 	}
@@ -89,7 +90,7 @@
 
 // refuseSubmission tells a user at once to come back, and when there will be a turn.
 func (f *Server) refuseSubmission(w http.ResponseWriter, status int, why string) {
-	wait := f.queue.next(time.Now(), float64(admissionRate(f.config)))
+	wait := f.queue.next(time.Now(), float64(admissionRate(f.config, f.storeLimits)))
 	writeRetryAfter(w, status, wait, why)
 }
 
@@ -179,7 +180,7 @@
 	key := statecache.Key(statecache.KindJob, j.ID)
 	// A crowd of users must not take all the writes: who comes too early is told
 	// when to come back.
-	f.admission.SetLimit(admissionRate(f.config))
+	f.admission.SetLimit(admissionRate(f.config, f.storeLimits))
 	if !f.admission.Allow() {
 		f.refuseSubmission(w, http.StatusTooManyRequests, "too many submissions at once")
 		return
--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -15,6 +15,7 @@
 	"lynxledge/internal/recovery"
 	"lynxledge/internal/resources"
 	"lynxledge/internal/statecache"
+	"lynxledge/internal/storelimits"
 	"lynxledge/wire"
 )
 
@@ -43,6 +44,8 @@
 	writeLimiter    *rate.Limiter // of writes
 	prober          Prober
 	onProbeResponse func(*wire.Heartbeat)
+	storeLimits     *storelimits.Tracker
+	overload        *overload.Gauge
 
 	zoneRecovery    *recovery.ScalingPolicy // nil: zones that recover are treated like any other
 	onPoolExhausted func(pool resources.Pool, until time.Time)
@@ -72,18 +75,33 @@
 	lastPlanned             time.Time // when the last pass was made
 }
 
-// Start runs the actor; it acts only while this process leads.
-func Start(ctx context.Context, cfg *config.Config, boot uint64, l *statecache.Cache, c Cloud, p Prober, report func(*wire.Heartbeat)) *Autoscaler {
+// Options are what an Autoscaler works with.
+type Options struct {
+	Config          *config.Config
+	Incarnation     uint64 // of this process
+	Cache           *statecache.Cache
+	Cloud           Cloud
+	Prober          Prober
+	OnProbeResponse func(*wire.Heartbeat)
+	StoreLimits     *storelimits.Tracker // nil: the limits are as configured
+	Overload        *overload.Gauge      // nil: this process is never overloaded
+}
+
+// Start runs the actor until ctx ends; it acts only while this process leads.
+func Start(ctx context.Context, o Options) *Autoscaler {
+	cfg := o.Config
 	r := &Autoscaler{
 		Actor:           actor.Start(ctx, "renter", 256),
 		ctx:             ctx,
 		config:          cfg,
-		incarnation:     boot,
+		incarnation:     o.Incarnation,
 		startedAt:       time.Now(),
-		cache:           l,
-		cloud:           c,
-		prober:          p,
-		onProbeResponse: report,
+		cache:           o.Cache,
+		cloud:           o.Cloud,
+		prober:          o.Prober,
+		onProbeResponse: o.OnProbeResponse,
+		storeLimits:     o.StoreLimits,
+		overload:        o.Overload,
 		writeLimiter:    rate.NewLimiter(rate.Limit(cfg.Params.Store.WriteRate*(1-cfg.Operator.SchedulerWriteShare)), cfg.Params.Store.TxnOpsLimit()),
 		view:            statecache.NewUnfinishedView(statecache.ChunkTasks(cfg.Params.Store.MaxValueKB)),
 		activeJobs:      map[string]*statecache.Job{},
@@ -98,9 +116,9 @@
 		pendingUpdates:  map[string]machineUpdate{},
 		terminatedAt:    map[string]time.Time{},
 	}
-	l.Subscribe(func(d statecache.Update) { r.Send(func() { r.apply(d) }) })
-	r.Every(config.Seconds(cfg.Operator.PlanningInterval), r.runCycle)
-	r.Every(config.Seconds(cfg.Params.Workers.HeartbeatInterval/2), r.checkLiveness)
+	o.Cache.Subscribe(func(d statecache.Update) { r.Send(func() { r.apply(d) }) })
+	r.Every(cfg.Operator.PlanningInterval, r.runCycle)
+	r.Every(cfg.Params.Workers.HeartbeatInterval/2, r.checkLiveness)
 	return r
 }
 
@@ -197,7 +215,7 @@
 
 // leadership is the leadership of this process, if it is confirmed.
 func (r *Autoscaler) leadership() (election.Leadership, bool) {
-	lead, ok := election.ConfirmLeadership(r.view, r.incarnation, r.revision, r.freshAsOf, r.heartbeats(maxViewAgeHeartbeats))
+	lead, ok := election.ConfirmLeadership(r.view, r.incarnation, r.revision, r.freshAsOf, r.config.Params.Workers.Heartbeats(maxViewAgeHeartbeats))
 	if ok && r.term != lead.Term() {
 		r.term, r.provisionCount = lead.Term(), 0
 		now := time.Now()
@@ -251,14 +269,14 @@
 // deferPlanning tells whether planning should wait, because the processor has more urgent
 // work to do.
 func (r *Autoscaler) deferPlanning() bool {
-	longest := config.Seconds(r.config.Operator.PlanningInterval * maxSkippedCycles)
-	return r.config.Overload.Level() >= overload.Behind && time.Since(r.lastPlanned) < longest
+	longest := r.config.Operator.PlanningIntervals(maxSkippedCycles)
+	return r.overload.Level() >= overload.Behind && time.Since(r.lastPlanned) < longest
 }
 
 // commit makes a change within the leader's part of the writes; reply runs in
 // the actor.
 func (r *Autoscaler) commit(c statecache.Commit, reply func(statecache.Outcome)) {
-	r.writeLimiter.SetLimit(rate.Limit(r.config.StoreWriteRate() * (1 - r.config.Operator.SchedulerWriteShare)))
+	r.writeLimiter.SetLimit(rate.Limit(r.storeLimits.WriteRate(&r.config.Params.Store) * (1 - r.config.Operator.SchedulerWriteShare)))
 	wait := r.writeLimiter.ReserveN(time.Now(), min(c.Ops(), r.writeLimiter.Burst())).Delay()
 	r.After(wait, func() {
 		r.cache.Commit(c, func(out statecache.Outcome) { r.Send(func() { reply(out) }) })
--- a/internal/autoscaler/autoscaler_test.go
+++ b/internal/autoscaler/autoscaler_test.go
@@ -25,9 +25,9 @@
 		defer cancel()
 		cfg := &config.Config{Operator: config.DefaultOperatorSettings()}
 		cfg.Operator.HeadroomShare = 0
-		cfg.Params.Workers = config.WorkerTimings{HeartbeatInterval: 3, LeaseDuration: 34, CancellationDeadline: 64}
+		cfg.Params.Workers = config.WorkerTimings{HeartbeatInterval: 3 * time.Second, LeaseDuration: 34 * time.Second, CancellationDeadline: 64 * time.Second}
 		cfg.Params.Store = config.StoreLimits{MaxValueKB: 8, MaxTxnOps: 8, RequestRate: 150, WriteRate: 50}
-		cfg.Params.Cloud = config.CloudLimits{RequestRate: 3, ListLag: 10}
+		cfg.Params.Cloud = config.CloudLimits{RequestRate: 3, ListLag: 10 * time.Second}
 		cfg.Params.Teams = []config.TeamQuota{{Name: "red"}}
 		types := []wire.MachineType{{Name: "s", CPUs: 4, MemoryGB: 16, HourlyPrice: 1, BootTime: 25, Zones: []string{"a"}}}
 		types = append(types, more...)
@@ -40,8 +40,8 @@
 				Post: func(string) simulation.Post { return nil },
 			}, 0)
 		})
-		r := Start(ctx, cfg, 7, l, &simulation.CloudConn{Cloud: cloud, Net: net, Node: "n0", Timeout: 4 * time.Second, World: ctx},
-			&simulation.WorkerConn{Cloud: cloud, Net: net, Node: "n0", Timeout: time.Second}, func(*wire.Heartbeat) {})
+		r := Start(ctx, Options{Config: cfg, Incarnation: 7, Cache: l, Cloud: &simulation.CloudConn{Cloud: cloud, Net: net, Node: "n0", Timeout: 4 * time.Second, World: ctx},
+			Prober: &simulation.WorkerConn{Cloud: cloud, Net: net, Node: "n0", Timeout: time.Second}, OnProbeResponse: func(*wire.Heartbeat) {}})
 		r.SetMachineTypes(types)
 		l.Run()
 		time.Sleep(time.Second)
@@ -287,7 +287,7 @@
 		cfg := &config.Config{Operator: config.DefaultOperatorSettings()}
 		cfg.Params.Cloud.RequestRate = rps
 		r := &Autoscaler{config: cfg}
-		if pause := r.listInterval(250); pause > config.Seconds(cfg.Operator.PlanningInterval) {
+		if pause := r.listInterval(250); pause > cfg.Operator.PlanningInterval {
 			t.Errorf("at %v calls a second a list of one page is read every %v", rps, pause)
 		}
 		const pages = 9
--- a/internal/autoscaler/instances.go
+++ b/internal/autoscaler/instances.go
@@ -45,7 +45,7 @@
 // reconcileInstances adopts unexpected machines and closes failed ones.
 func (r *Autoscaler) reconcileInstances(lead election.Leadership, hosts []wire.Instance) {
 	now := time.Now()
-	lag := config.Seconds(r.config.Params.Cloud.ListLag)
+	lag := r.config.Params.Cloud.ListLag
 	for m, t := range r.terminatedAt {
 		if now.Sub(t) > 6*lag {
 			delete(r.terminatedAt, m)
--- a/internal/autoscaler/planning_input.go
+++ b/internal/autoscaler/planning_input.go
@@ -6,6 +6,7 @@
 	"math"
 	"time"
 
+	"lynxledge/internal/config"
 	"lynxledge/internal/estimate"
 	"lynxledge/internal/placement"
 	"lynxledge/internal/planner"
@@ -47,7 +48,7 @@
 	now := time.Now()
 	ops := r.config.Operator
 	in := planner.Input{
-		Types: r.machineTypes, BootLag: ops.BootLag, PlanningInterval: ops.PlanningInterval, BillingPeriod: ops.BillingPeriod, HeadroomShare: ops.HeadroomShare, MaxPriceMultiple: ops.MaxPriceMultiple,
+		Types: r.machineTypes, BootLag: ops.BootLag.Seconds(), PlanningInterval: ops.PlanningInterval.Seconds(), BillingPeriod: ops.BillingPeriod.Seconds(), HeadroomShare: ops.HeadroomShare, MaxPriceMultiple: ops.MaxPriceMultiple,
 		Refused: func(p resources.Pool) bool { return now.Before(r.exhaustedPools[p]) },
 	}
 	if recovery.Recovering(r.view.ZoneRecoveries) {
@@ -60,23 +61,24 @@
 			pools[resources.Pool{MachineType: b.MachineType, Zone: b.Zone, Spot: b.Spot}] = true
 		}
 	}
-	add := func(id string, j *statecache.Job, startS float64) {
+	add := func(id string, j *statecache.Job, wait time.Duration) {
 		n := r.view.PendingTasks(id, j)
 		if n <= 0 {
 			return
 		}
 		// The first deadline that a machine rented now can still keep.
-		age, due := float64(now.UnixMilli()-j.RunnableSince())/1000, 0.0
-		run := r.runtimes.Estimate(j.Spec)
-		deadlines := estimate.Deadlines(r.config, j, run, age, age+startS)
+		age, due := config.Milliseconds(now.UnixMilli()-j.RunnableSince()), time.Duration(0)
+		runSeconds := r.runtimes.Estimate(j.Spec)
+		run := config.Seconds(runSeconds)
+		deadlines := estimate.Deadlines(r.config, j, run, age, age+wait)
 		for _, d := range deadlines {
 			if due = d - age; ops.BootLag+run <= due {
 				break
 			}
 		}
 		in.Demands = append(in.Demands, planner.Demand{
-			Job: j.Spec, Count: r.limitedByQuota(j, n), Runtime: run, Zones: placement.ZoneCountsOf(r.view, id),
-			Deadline: due, Late: !j.Spec.IsService() && ops.BootLag+run > due, Overdue: age > overdueDeadlineMultiple*deadlines[len(deadlines)-1] && !r.hasSuitableMachine(j.Spec, pools),
+			Job: j.Spec, Count: r.limitedByQuota(j, n), Runtime: runSeconds, Zones: placement.ZoneCountsOf(r.view, id),
+			Deadline: due.Seconds(), Late: !j.Spec.IsService() && ops.BootLag+run > due, Overdue: age > overdueDeadlineMultiple*deadlines[len(deadlines)-1] && !r.hasSuitableMachine(j.Spec, pools),
 		})
 	}
 	for id, j := range r.activeJobs {
@@ -86,8 +88,8 @@
 	// rented when they would be up as it becomes ready, not long before.
 	for id, h := range r.dependencyWaits(now) {
 		r.logDeadlineRisk(id, h, now)
-		if h.Wait <= ops.BootLag+ops.PlanningInterval {
-			add(id, r.blockedJobs[id], h.Wait)
+		if wait := config.Seconds(h.Wait); wait <= ops.BootLag+ops.PlanningInterval {
+			add(id, r.blockedJobs[id], wait)
 		}
 	}
 	for name, b := range r.view.Machines {
--- a/internal/autoscaler/provision.go
+++ b/internal/autoscaler/provision.go
@@ -109,7 +109,7 @@
 	asked := min(intent.Count, wire.MaxMachinesPerProvision)
 	left, short := intent.Count-asked, none || len(machines) < asked
 	if short {
-		r.exhaustedPools[pool] = time.Now().Add(config.Seconds(r.config.Operator.PlanningInterval * exhaustionCycles))
+		r.exhaustedPools[pool] = time.Now().Add(r.config.Operator.PlanningIntervals(exhaustionCycles))
 		if r.onPoolExhausted != nil {
 			r.onPoolExhausted(pool, r.exhaustedPools[pool])
 		}
@@ -165,7 +165,7 @@
 	s := r.config.Params.Store
 	per := statecache.MachinesPerGroup(int(float64(s.ValueSizeLimit())*groupFillShare), intent.TasksPerMachine)
 	key := statecache.Key(statecache.KindProvisioningIntent, name)
-	c := statecache.Commit{Preconditions: []wire.Precondition{lead.Precondition(), {Key: key, ModRevision: stored.ModRevision}}, RetryFor: config.Seconds(r.config.Operator.PlanningInterval)}
+	c := statecache.Commit{Preconditions: []wire.Precondition{lead.Precondition(), {Key: key, ModRevision: stored.ModRevision}}, RetryFor: r.config.Operator.PlanningInterval}
 	for len(rest) > 0 && len(c.Puts) < s.TxnOpsLimit()-1 {
 		n := min(per, len(rest))
 		group := fmt.Sprintf("%s.%s", name, rest[0])
@@ -214,5 +214,5 @@
 			return r.machineTypes[i].BootTime
 		}
 	}
-	return r.config.Operator.BootLag
+	return r.config.Operator.BootLag.Seconds()
 }
--- a/internal/autoscaler/unreachable.go
+++ b/internal/autoscaler/unreachable.go
@@ -76,8 +76,8 @@
 
 // surveyLiveness finds out which machines are heard, and probes those that aren't.
 func (r *Autoscaler) surveyLiveness(now time.Time) *livenessSurvey {
-	report := r.heartbeats(1)
-	silence := r.heartbeats(r.config.Operator.UnreachableHeartbeats)
+	report := r.config.Params.Workers.Heartbeats(1)
+	silence := r.config.Params.Workers.Heartbeats(r.config.Operator.UnreachableHeartbeats)
 	h := &livenessSurvey{startedByZone: map[string]int{}, missedHeartbeatByZone: map[string]int{}}
 	for m, b := range r.view.Machines {
 		if b.Terminating { // it is being deleted
@@ -112,11 +112,6 @@
 	}
 }
 
-// heartbeats is a number of the workers' report intervals.
-func (r *Autoscaler) heartbeats(n float64) time.Duration {
-	return config.Seconds(r.config.Params.Workers.HeartbeatInterval * n)
-}
-
 // suspicionHeartbeats is for how many report intervals a machine has to be marked as suspected
 // before it is returned. A leader that is cut off from the workers hears none, and then
 // the mesh may be silent too: others have that time to take the mark away.
@@ -127,7 +122,7 @@
 	var others []*scheduler.Node // made once, for there may be many silent machines
 	for _, m := range h.unreachable {
 		row, known := r.view.Machines[m], r.livenessOf(m)
-		if !row.Suspected || now.Sub(known.suspectedAt) < r.heartbeats(suspicionHeartbeats) || r.mayRecover(row, now.Sub(known.lastReachable), h) {
+		if !row.Suspected || now.Sub(known.suspectedAt) < r.config.Params.Workers.Heartbeats(suspicionHeartbeats) || r.mayRecover(row, now.Sub(known.lastReachable), h) {
 			continue
 		}
 		if now.Sub(known.lastReachable) < r.maxUnreachableRetention() {
@@ -146,7 +141,7 @@
 // failed long before; one that is cut off ends its tasks after a lease, but may be back
 // sooner than another.
 func (r *Autoscaler) maxUnreachableRetention() time.Duration {
-	return config.Seconds(2 * r.config.Params.Workers.LeaseDuration)
+	return r.config.Params.Workers.Leases(2)
 }
 
 // mayRecover tells whether a silent machine is rather cut off than lost. It will be back
--- a/internal/autoscaler/updates.go
+++ b/internal/autoscaler/updates.go
@@ -71,7 +71,7 @@
 }
 
 func (r *Autoscaler) flushLater() {
-	r.After(config.Seconds(r.config.Operator.PlanningInterval*updateDelayCycles), r.flush)
+	r.After(r.config.Operator.PlanningIntervals(updateDelayCycles), r.flush)
 }
 
 // flush writes the edits: as many groups as a transaction holds. That machines
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -2,12 +2,12 @@
 
 import (
 	"encoding/json"
+	"math"
 	"os"
 	"path/filepath"
 	"slices"
 	"strings"
 	"testing"
-	"testing/synctest"
 	"time"
 
 	"pgregory.net/rapid"
@@ -99,8 +99,8 @@
 	}
 }
 
-// A machine that looks small is no reason not to start; what looks small is named.
-func TestSmallMachineIsNamed(t *testing.T) {
+// Small resources give warnings that name them; they are no errors.
+func TestSmallResourcesGiveWarnings(t *testing.T) {
 	for _, c := range []struct {
 		resources ControllerResources
 		want      []string
@@ -120,7 +120,7 @@
 		t.Fatal(err)
 	}
 	if got, want := slow.Warnings(), []string{"params.state.rps<4"}; !slices.Equal(got, want) {
-		t.Errorf("a state service that can't even renew leases: %v, not %v", got, want)
+		t.Errorf("a store too slow for lease renewals: %v, not %v", got, want)
 	}
 	small := strings.NewReplacer("cpu = 0.1", "cpu = 0.001", "memory_mb = 70.0", "memory_mb = 1.0").Replace(sound)
 	if _, err := Parse(small); err != nil {
@@ -128,9 +128,9 @@
 	}
 }
 
-// Limits to come are optional; given, each must be one that the ledger can work with.
-// Sizes fit the smaller of both from the start.
-func TestLimitsToCome(t *testing.T) {
+// Upcoming store limits are optional; if present, each of them is validated. Sizes fit the
+// smaller of both from the start.
+func TestUpcomingStoreLimits(t *testing.T) {
 	with := func(next string) (*Config, error) {
 		return Parse(strings.Replace(sound, "[params.cloud]", "[params.state.next]\n"+next+"\n[params.cloud]", 1))
 	}
@@ -149,39 +149,12 @@
 	}
 }
 
-// The lower rate is taken up when refusals go on, for a while; for good once a size
-// was refused. A burst says nothing, nor do refusals where no other rate is to come.
-func TestLowerRateIsTakenUp(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		c := &Config{StoreRates: &StoreRates{}}
-		c.Params.Store = StoreLimits{WriteRate: 50, Upcoming: &UpcomingStoreLimits{WriteRate: 35}}
-		refused := func(seconds int) {
-			for range 3 * seconds {
-				c.StoreRates.ObserveThrottled(time.Now())
-				time.Sleep(time.Second / 3)
-			}
-		}
-		want := func(when string, rate float64) {
-			if got := c.StoreWriteRate(); got != rate {
-				t.Errorf("%s: %v", when, got)
-			}
-		}
-		want("at first", 50)
-		refused(3)
-		want("after a burst", 50)
-		time.Sleep(10 * time.Second)
-		refused(3)
-		want("after another", 50)
-		time.Sleep(10 * time.Second)
-		refused(6)
-		want("after refusals that went on", 35)
-		time.Sleep(time.Minute)
-		want("a minute later", 50)
-		c.StoreRates.ObserveLowerSizeLimit()
-		want("after a size was refused", 35)
-		c.Params.Store.Upcoming = nil
-		want("with no other to come", 50)
-	})
+func seconds(ns ...int) []time.Duration {
+	var list []time.Duration
+	for _, n := range ns {
+		list = append(list, time.Duration(n)*time.Second)
+	}
+	return list
 }
 
 func TestDeadlines(t *testing.T) {
@@ -189,29 +162,29 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	own := 40.0
+	own := 40 * time.Second
 	for _, x := range []struct {
 		class string
-		own   *float64
-		want  []float64
+		own   *time.Duration
+		want  []time.Duration
 	}{
-		{"c", nil, []float64{100, 150}}, {"c", &own, []float64{40, 100, 150}}, {"d", &own, []float64{40, 70}},
-		{"w", &own, []float64{40, 127}}, // a new machine can keep it
-		{"other", nil, []float64{c.Operator.DefaultDeadline}},
+		{"c", nil, seconds(100, 150)}, {"c", &own, seconds(40, 100, 150)}, {"d", &own, seconds(40, 70)},
+		{"w", &own, seconds(40, 127)}, // a new machine can keep it
+		{"other", nil, []time.Duration{c.Operator.DefaultDeadline}},
 	} {
-		if got := c.Deadlines(x.class, x.own, 7, 0); !slices.Equal(got, x.want) {
+		if got := c.Deadlines(x.class, x.own, 7*time.Second, 0); !slices.Equal(got, x.want) {
 			t.Errorf("%s: %v, want %v", x.class, got, x.want)
 		}
 	}
-	// What a job waited for others comes off its own deadline, off no other time.
-	if got, want := c.Deadlines("w", &own, 7, 30), []float64{10, 127}; !slices.Equal(got, want) {
+	// The time that a job waited for its dependencies shortens its own deadline alone.
+	if got, want := c.Deadlines("w", &own, 7*time.Second, 30*time.Second), seconds(10, 127); !slices.Equal(got, want) {
 		t.Errorf("after a wait: %v, want %v", got, want)
 	}
 }
 
 func TestOperatorsSettings(t *testing.T) {
 	if o, err := ParseOperatorSettings(operatorSettingsDefaults); err != nil || o != DefaultOperatorSettings() {
-		t.Fatalf("the defaults don't keep the schema: %v", err)
+		t.Fatalf("the defaults don't conform to the schema: %v", err)
 	}
 	for body, names := range map[string]string{
 		`{"pass_s": "5"}`: "/pass_s", `{"pass_s": 0}`: "/pass_s", `{"state_share": 2}`: "/state_share", `{"passs": 5}`: "passs",
@@ -223,8 +196,9 @@
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		want := DefaultOperatorSettings()
-		want.PlanningInterval = rapid.Float64Range(1, 300).Draw(t, "pass")
-		b, _ := json.Marshal(map[string]any{"pass_s": want.PlanningInterval})
+		interval := rapid.Float64Range(1, 300).Draw(t, "interval")
+		want.PlanningInterval = time.Duration(math.Round(interval * 1e9))
+		b, _ := json.Marshal(map[string]any{"pass_s": interval})
 		if got, err := ParseOperatorSettings(b); err != nil || got != want {
 			t.Fatalf("%s: %+v %v", b, got, err)
 		}
--- a/internal/config/standby_test.go
+++ b/internal/config/standby_test.go
@@ -6,14 +6,14 @@
 	"testing"
 )
 
-// The section switches early takeovers on; what is wrong in it is named; a warning names
-// the settings under which takeovers can't be as fast as they should.
+// The section enables early failover; errors name its wrong fields; a warning names the
+// settings with which failover misses its target.
 func TestStandbySection(t *testing.T) {
 	if DefaultOperatorSettings().Standby != nil {
 		t.Error("on by default")
 	}
 	o, err := ParseOperatorSettings([]byte(`{"standby": {"failed_beats": 3}}`))
-	if want := DefaultStandby(); err != nil || o.Standby.FailedAfterHeartbeats != 3 || o.Standby.HeartbeatIntervalReports != want.HeartbeatIntervalReports {
+	if want := DefaultStandby(); err != nil || o.Standby.FailedAfterHeartbeats != 3 || o.Standby.HeartbeatIntervalMultiple != want.HeartbeatIntervalMultiple {
 		t.Errorf("%+v %v", o.Standby, err)
 	}
 	for body, field := range map[string]string{
@@ -36,10 +36,10 @@
 	section := DefaultStandby()
 	c.Operator.Standby = &section
 	if w := c.Warnings(); len(w) > 0 {
-		t.Errorf("warned of sound settings: %v", w)
+		t.Errorf("warnings about sound settings: %v", w)
 	}
 	section.FailedAfterHeartbeats = 20
 	if w := c.Warnings(); !slices.ContainsFunc(w, func(s string) bool { return strings.Contains(s, "standby") }) {
-		t.Errorf("not warned: %v", w)
+		t.Errorf("no warning: %v", w)
 	}
 }
--- /dev/null
+++ b/internal/config/store_limits.go
@@ -0,0 +1,48 @@
+package config
+
+// StoreLimits holds the limits of the key-value store.
+type StoreLimits struct {
+	RequestRate float64 `toml:"rps"`
+	WriteRate   float64 `toml:"write_rps"`
+	MaxValueKB  float64 `toml:"value_kb"`
+	MaxTxnOps   int     `toml:"txn_ops"`
+	// Upcoming holds the limits that come into force at some later time, without notice;
+	// nil if none do.
+	Upcoming *UpcomingStoreLimits `toml:"next"`
+}
+
+// UpcomingStoreLimits holds the limits that will replace the present ones.
+type UpcomingStoreLimits struct {
+	RequestRate *float64 `toml:"rps"` // nil: unchanged
+	WriteRate   float64  `toml:"write_rps"`
+	MaxValueKB  float64  `toml:"value_kb"`
+	MaxTxnOps   int      `toml:"txn_ops"`
+}
+
+// ValueSizeLimit returns the largest value in bytes that both the present and the upcoming
+// limits accept. Values are written within it from the start.
+func (s *StoreLimits) ValueSizeLimit() int {
+	kb := s.MaxValueKB
+	if s.Upcoming != nil {
+		kb = min(kb, s.Upcoming.MaxValueKB)
+	}
+	return int(kb * 1024)
+}
+
+// RequestRateLimit returns the request rate that both the present and the upcoming limits
+// accept.
+func (s *StoreLimits) RequestRateLimit() float64 {
+	if s.Upcoming != nil && s.Upcoming.RequestRate != nil {
+		return min(s.RequestRate, *s.Upcoming.RequestRate)
+	}
+	return s.RequestRate
+}
+
+// TxnOpsLimit returns the number of writes in a transaction that both the present and the
+// upcoming limits accept.
+func (s *StoreLimits) TxnOpsLimit() int {
+	if s.Upcoming != nil {
+		return min(s.MaxTxnOps, s.Upcoming.MaxTxnOps)
+	}
+	return s.MaxTxnOps
+}
--- /dev/null
+++ b/internal/config/warnings.go
@@ -0,0 +1,58 @@
+package config
+
+import (
+	"fmt"
+	"math"
+)
+
+// The least resources with which a controller serves a deployment of a few hundred
+// machines, as measured: docs/performance.md.
+const (
+	minRecommendedCPU             = 0.02 // of a core
+	minRecommendedMemoryMB        = 40.0
+	minRecommendedFileDescriptors = 100 // sockets; with fewer, commands and heartbeats queue for them
+)
+
+const (
+	// RenewalsPerLeaseTTL is how many times a controller renews its membership lease within
+	// the lease's time to live.
+	RenewalsPerLeaseTTL = 3
+
+	// leaseRenewalRateShare is the share of the store's request rate that lease renewals may
+	// take. The rest is for transactions, watches and users' reads.
+	leaseRenewalRateShare = 0.25
+)
+
+// Warnings names the settings that look too small, and what each should be at least.
+// A controller starts in spite of them and does the best that it can.
+func (c *Config) Warnings() []string {
+	warnings := c.Params.Resources.Warnings()
+	if needed := c.leaseRenewalRate() / leaseRenewalRateShare; c.Params.Store.RequestRateLimit() < needed {
+		warnings = append(warnings, fmt.Sprintf("params.state.rps<%.0f", math.Ceil(needed)))
+	}
+	if s := c.Operator.Standby; s != nil && s.warning(c.Params.Workers) != "" {
+		warnings = append(warnings, s.warning(c.Params.Workers))
+	}
+	return warnings
+}
+
+// leaseRenewalRate returns how many lease renewals all controllers send per second.
+func (c *Config) leaseRenewalRate() float64 {
+	leaseTTLSeconds := c.Params.Workers.HeartbeatInterval.Seconds() * c.Operator.MemberLeaseHeartbeats
+	return float64(len(c.Peers)+1) * RenewalsPerLeaseTTL / leaseTTLSeconds
+}
+
+// Warnings names the resources that look too small.
+func (r ControllerResources) Warnings() []string {
+	var warnings []string
+	if r.CPUCores < minRecommendedCPU {
+		warnings = append(warnings, fmt.Sprintf("params.resources.cpu<%v", minRecommendedCPU))
+	}
+	if r.MemoryMB < minRecommendedMemoryMB {
+		warnings = append(warnings, fmt.Sprintf("params.resources.memory_mb<%v", minRecommendedMemoryMB))
+	}
+	if r.FileDescriptorLimit > 0 && r.FileDescriptorLimit < minRecommendedFileDescriptors {
+		warnings = append(warnings, fmt.Sprintf("params.resources.fd_limit<%v", minRecommendedFileDescriptors))
+	}
+	return warnings
+}
--- a/internal/config/zone_recovery_test.go
+++ b/internal/config/zone_recovery_test.go
@@ -8,8 +8,7 @@
 	"testing"
 )
 
-// A section that is there switches the feature on with its defaults; what is wrong in it
-// is refused with the field's name; without it the feature is off.
+// The section's presence enables the feature with its defaults; errors name its wrong fields.
 func TestZoneRecoverySection(t *testing.T) {
 	if o := DefaultOperatorSettings(); o.ZoneRecovery != nil {
 		t.Error("on by default")
@@ -51,9 +50,9 @@
 	}
 }
 
-// A zone that is well again must not be withheld for longer than two leases, which
+// Work must not be kept off a recovered zone for longer than two leases, which
 // depends on the deployment: it is refused when both files are loaded.
-func TestZoneRecoveryOfTheDeployment(t *testing.T) {
+func TestZoneRecoveryFitsTheDeployment(t *testing.T) {
 	write := func(name, text string) string {
 		path := filepath.Join(t.TempDir(), name)
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -67,11 +66,11 @@
 	}
 	_, err := Load(platform, write("o.json", `{"zone_recovery": {"hold_down_max_leases": 1.8}}`))
 	if err == nil || !strings.Contains(err.Error(), "zone_recovery") {
-		t.Errorf("withheld for too long: %v", err)
+		t.Errorf("work kept off for too long: %v", err)
 	}
 	_, err = Load(platform, write("o.json", `{"zone_recovery": {"evacuate_leases": 1.05}}`))
 	if err == nil || !strings.Contains(err.Error(), "evacuate_leases") {
-		t.Errorf("given up before a lease and a report: %v", err)
+		t.Errorf("evacuated within a lease and a heartbeat interval: %v", err)
 	}
 	for _, file := range []string{"growth.json", "operators.json"} {
 		if _, err := Load(platform, "../../deploy/"+file); err != nil {
--- a/internal/estimate/deadlines.go
+++ b/internal/estimate/deadlines.go
@@ -1,39 +1,45 @@
 package estimate
 
 import (
-	"math"
 	"slices"
+	"time"
 
 	"lynxledge/internal/config"
 	"lynxledge/internal/statecache"
 )
 
-// Deadlines lists when a job is to be done, in seconds from when it could run, the
-// earliest first. A job that others need is a stage of theirs: it has the part of
-// what is left until their deadline that its running time is of the way there, as
-// the paper splits a workflow's deadline over its stages. nowS and startS are on
-// the same count: now, and when it starts at the earliest.
-func Deadlines(cfg *config.Config, j *statecache.Job, runS, nowS, startS float64) []float64 {
+// Deadlines lists when a job has to have finished, counted from when it became runnable, in
+// ascending order. A job that others depend on is a stage of theirs: it gets the share of the
+// time left until their deadline that its runtime has of the runtimes on the way there, as
+// the paper splits a workflow's deadline over its stages. now and start count from the same
+// moment: the present, and when the job starts at the earliest.
+func Deadlines(cfg *config.Config, j *statecache.Job, runtime, now, start time.Duration) []time.Duration {
 	spec := j.Spec
-	var out []float64
-	if j.Blocked { // it could run from startS on, and Since is its submission yet
-		out = cfg.Deadlines(spec.Class, spec.Deadline, runS, startS)
+	var own *time.Duration
+	if spec.Deadline != nil {
+		deadline := config.Seconds(*spec.Deadline)
+		own = &deadline
+	}
+	var out []time.Duration
+	if j.Blocked { // it is runnable from start on, which still counts from its submission
+		out = cfg.Deadlines(spec.Class, own, runtime, start)
 		for i := range out {
-			out[i] += startS
+			out[i] += start
 		}
 	} else {
-		out = cfg.Deadlines(spec.Class, spec.Deadline, runS, float64(j.RunnableSince()-j.SubmittedAt)/1000)
+		out = cfg.Deadlines(spec.Class, own, runtime, config.Milliseconds(j.RunnableSince()-j.SubmittedAt))
 	}
 	if j.InheritedDeadline == 0 {
 		return out
 	}
-	due := float64(j.InheritedDeadline-j.RunnableSince()) / 1000
-	from := math.Max(nowS, startS)
+	due := config.Milliseconds(j.InheritedDeadline - j.RunnableSince())
+	from := max(now, start)
 	if due > from {
-		due = from + (due-from)*runS/math.Max(runS+j.DownstreamRuntime, 1e-9)
+		runtimeSeconds := runtime.Seconds()
+		due = from + config.Seconds((due-from).Seconds()*runtimeSeconds/max(runtimeSeconds+j.DownstreamRuntime, 1e-9))
 	}
 	if !cfg.HasCompletionObjective(spec.Class) && spec.Deadline == nil {
-		return []float64{due} // nobody else says when
+		return []time.Duration{due} // nobody else says when
 	}
 	out = append(out, due)
 	slices.Sort(out)
--- a/internal/estimate/deadlines_test.go
+++ b/internal/estimate/deadlines_test.go
@@ -3,7 +3,9 @@
 import (
 	"fmt"
 	"math"
+	"slices"
 	"testing"
+	"time"
 
 	"pgregory.net/rapid"
 
@@ -31,7 +33,7 @@
 		for i, run := range runs {
 			tail -= run
 			j := &statecache.Job{Spec: &wire.Job{Class: "c"}, InheritedDeadline: int64(1000 * due), DownstreamRuntime: tail}
-			got := Deadlines(cfg, j, run, now, now)
+			got := Deadlines(cfg, j, config.Seconds(run), config.Seconds(now), config.Seconds(now))
 			if len(got) != 1 {
 				t.Fatalf("%v", got)
 			}
@@ -39,10 +41,10 @@
 			if due > now {
 				want = now + (due-now)*run/(run+tail)
 			}
-			if math.Abs(got[0]-want) > 0.01 || due > now && got[0] > due+0.01 {
+			if math.Abs(got[0].Seconds()-want) > 0.01 || due > now && got[0].Seconds() > due+0.01 {
 				t.Fatalf("stage %d of %v, %v of %v left: due %v, not %v", i, runs, tail, whole, got[0], want)
 			}
-			now = math.Max(now, got[0])
+			now = math.Max(now, got[0].Seconds())
 		}
 	})
 }
@@ -51,14 +53,14 @@
 // when it could run.
 func TestTimesOfABlockedJob(t *testing.T) {
 	cfg := &config.Config{Operator: config.DefaultOperatorSettings()}
-	cfg.Params.Objectives = []config.Objective{{Kind: "finished", Class: "c", Within: 100}}
+	cfg.Params.Objectives = []config.Objective{{Kind: config.ObjectiveFinished, Class: "c", Within: 100 * time.Second}}
 	due := 60.0
 	j := &statecache.Job{SubmittedAt: 5000, Blocked: true, Spec: &wire.Job{Class: "c", Deadline: &due}}
-	if got := Deadlines(cfg, j, 10, 20, 50); len(got) != 2 || got[0] != 60 || got[1] != 150 {
+	if got := Deadlines(cfg, j, 10*time.Second, 20*time.Second, 50*time.Second); !slices.Equal(got, []time.Duration{60 * time.Second, 150 * time.Second}) {
 		t.Errorf("blocked: %v", got)
 	}
 	ready := &statecache.Job{SubmittedAt: 5000, DependenciesDoneAt: 45000, Spec: j.Spec} // 40 s later
-	if got := Deadlines(cfg, ready, 10, 5, 5); len(got) != 2 || got[0] != 20 || got[1] != 100 {
+	if got := Deadlines(cfg, ready, 10*time.Second, 5*time.Second, 5*time.Second); !slices.Equal(got, []time.Duration{20 * time.Second, 100 * time.Second}) {
 		t.Errorf("ready: %v", got)
 	}
 }
--- a/internal/heartbeat/receiver.go
+++ b/internal/heartbeat/receiver.go
@@ -69,7 +69,7 @@
 		reachable: map[string]bool{}, contacts: map[string]*contact{}, redirected: map[string]bool{},
 	}
 	l.Subscribe(func(d statecache.Update) { r.Send(func() { r.apply(d) }) })
-	r.Every(config.Seconds(cfg.Params.Workers.HeartbeatInterval/3), r.announceReachable)
+	r.Every(cfg.Params.Workers.HeartbeatInterval/3, r.announceReachable)
 	return r
 }
 
@@ -114,7 +114,7 @@
 // every cancellation and the moment at which it must stop renewing leases.
 func (r *Receiver) renewalWindow() time.Duration {
 	w := r.config.Params.Workers
-	return config.Seconds(w.CancellationDeadline - w.LeaseDuration - cancellationMarginHeartbeats*w.HeartbeatInterval)
+	return w.CancellationDeadline - w.LeaseDuration - w.Heartbeats(cancellationMarginHeartbeats)
 }
 
 // cancellationMarginHeartbeats, in report intervals, is left for clocks that drift and for
@@ -132,7 +132,7 @@
 	switch {
 	case age > r.renewalWindow():
 		return true
-	case age <= min(r.renewalWindow()/2, config.Seconds(r.config.Params.Workers.HeartbeatInterval)):
+	case age <= min(r.renewalWindow()/2, r.config.Params.Workers.HeartbeatInterval):
 		return false
 	case r.routes.FreshPeer() != "":
 		return true
@@ -211,7 +211,7 @@
 	k, news := r.contact(rep)
 	proof := reconcile.Heartbeat(rec, rep, r.view.Active)
 	writer := r.forwardEvidence(rep, k, &proof)
-	if writer != "" && now.Sub(k.redirectedAt) > config.Seconds(2*r.config.Params.Workers.HeartbeatInterval) {
+	if writer != "" && now.Sub(k.redirectedAt) > r.config.Params.Workers.Heartbeats(2) {
 		k.redirectedAt = now
 		r.markReachable(rep, k, news, now)
 		reply(Response{RedirectTo: writer})
@@ -293,7 +293,7 @@
 // machine doesn't count as heard, so the leader marks and returns it.
 func (r *Receiver) inboundPartitioned(rep *wire.Heartbeat, k *contact, now time.Time) bool {
 	was := k.inboundPartitioned
-	k.inboundPartitioned = k.unacknowledgedToken > 0 && now.Sub(k.unacknowledgedSince) > config.Seconds(inboundPartitionHeartbeats*r.config.Params.Workers.HeartbeatInterval)
+	k.inboundPartitioned = k.unacknowledgedToken > 0 && now.Sub(k.unacknowledgedSince) > r.config.Params.Workers.Heartbeats(inboundPartitionHeartbeats)
 	if k.inboundPartitioned && !was {
 		slog.Info("machine doesn't hear", "machine", rep.Machine, "token", rep.FencingToken, "answered", k.unacknowledgedToken)
 	}
@@ -336,7 +336,7 @@
 	}
 	wait := time.Duration(0)
 	if w := r.assignedScheduler(); w != "" && w != r.config.MemberName {
-		wait = config.Seconds(2 * r.config.Params.Workers.HeartbeatInterval)
+		wait = r.config.Params.Workers.Heartbeats(2)
 		if !r.routes.SendEvidence(w, n) {
 			unreached = w
 		}
--- a/internal/heartbeat/receiver_test.go
+++ b/internal/heartbeat/receiver_test.go
@@ -25,13 +25,13 @@
 
 func newBench(ctx context.Context, t *testing.T, bind *statecache.Machine, job *statecache.Job) *bench {
 	cfg := &config.Config{Operator: config.DefaultOperatorSettings()}
-	cfg.Params.Workers = config.WorkerTimings{HeartbeatInterval: 3, LeaseDuration: 34, CancellationDeadline: 64}
+	cfg.Params.Workers = config.WorkerTimings{HeartbeatInterval: 3 * time.Second, LeaseDuration: 34 * time.Second, CancellationDeadline: 64 * time.Second}
 	cfg.Params.Store = config.StoreLimits{MaxValueKB: 8, MaxTxnOps: 8, RequestRate: 150, WriteRate: 50}
 	conn := &simulation.StoreConn{Store: simulation.NewStore(), Net: simulation.NewNetwork(1, time.Millisecond), Node: "n0", Timeout: time.Second}
 	chunk := statecache.ChunkTasks(8)
 	l := statecache.Start(ctx, conn, statecache.Options{ChunkTasks: chunk, WatchHold: time.Second, MaxViewAge: time.Second, Backoff: 100 * time.Millisecond})
 	b := &bench{ledger: l}
-	placer := scheduler.Start(ctx, cfg, 1, l, nil, func(*wire.Heartbeat) {})
+	placer := scheduler.Start(ctx, scheduler.Options{Config: cfg, Incarnation: 1, Cache: l, OnCommandResponse: func(*wire.Heartbeat) {}})
 	b.reports = Start(ctx, cfg, 1, l, Routes{
 		FreshPeer: func() string { return b.elsewhere }, Isolated: func() bool { return b.alone },
 		ApplyEvidence: placer.HandleEvidence, SendEvidence: func(string, reconcile.Evidence) bool { return false },
--- a/internal/peer/transport.go
+++ b/internal/peer/transport.go
@@ -99,7 +99,7 @@
 
 // Start opens the streams. fresh tells from when this node's view is.
 func Start(ctx context.Context, cfg *config.Config, dial Dial, fresh func() time.Time) *Transport {
-	period := config.Seconds(cfg.Params.Workers.HeartbeatInterval / 3)
+	period := cfg.Params.Workers.HeartbeatInterval / 3
 	m := &Transport{
 		Actor: actor.Start(ctx, "mesh", 128), ctx: ctx, config: cfg, heartbeatInterval: period, freshAsOf: fresh,
 		peers: map[string]*peerState{},
--- a/internal/peer/transport_test.go
+++ b/internal/peer/transport_test.go
@@ -40,7 +40,7 @@
 		for i, name := range names {
 			other := names[1-i]
 			cfg := &config.Config{MemberName: name, Peers: []config.Peer{{Name: other, Address: other + ":1"}}}
-			cfg.Params.Workers.HeartbeatInterval = 3
+			cfg.Params.Workers.HeartbeatInterval = 3 * time.Second
 			n := &node{}
 			n.Transport = Start(ctx, cfg, pipes.Dial(name), func() time.Time {
 				if fresh[name] {
--- a/internal/recovery/advisor.go
+++ b/internal/recovery/advisor.go
@@ -28,7 +28,7 @@
 func NewAdvisor(cfg *config.Config) *Advisor {
 	return &Advisor{
 		policy: zonehealth.PolicyOf(cfg),
-		pause:  config.Seconds(cfg.Params.Workers.HeartbeatInterval * adviceShare),
+		pause:  cfg.Params.Workers.Heartbeats(adviceShare),
 	}
 }
 
--- a/internal/recovery/scaling_policy.go
+++ b/internal/recovery/scaling_policy.go
@@ -21,7 +21,7 @@
 func NewScalingPolicy(cfg *config.Config) *ScalingPolicy {
 	return &ScalingPolicy{
 		policy:   zonehealth.PolicyOf(cfg),
-		evacuate: config.Seconds(cfg.Operator.ZoneRecovery.EvacuateLeases * cfg.Params.Workers.LeaseDuration),
+		evacuate: cfg.Params.Workers.Leases(cfg.Operator.ZoneRecovery.EvacuateLeases),
 	}
 }
 
--- a/internal/scheduler/advisor_test.go
+++ b/internal/scheduler/advisor_test.go
@@ -35,7 +35,7 @@
 // priority but one, and a service of the lowest.
 func advised(advisor Advisor) *Scheduler {
 	cfg := &config.Config{Operator: config.DefaultOperatorSettings()}
-	cfg.Params.Workers = config.WorkerTimings{HeartbeatInterval: 3, LeaseDuration: 34, CancellationDeadline: 64}
+	cfg.Params.Workers = config.WorkerTimings{HeartbeatInterval: 3 * time.Second, LeaseDuration: 34 * time.Second, CancellationDeadline: 64 * time.Second}
 	cfg.Params.Store = config.StoreLimits{MaxValueKB: 8, MaxTxnOps: 24, RequestRate: 150, WriteRate: 50}
 	cfg.Params.Teams = []config.TeamQuota{{Name: "red"}}
 	p := newScheduler(cfg, 2)
--- a/internal/scheduler/backoff.go
+++ b/internal/scheduler/backoff.go
@@ -5,7 +5,6 @@
 	"math"
 	"time"
 
-	"lynxledge/internal/config"
 	"lynxledge/internal/statecache"
 	"lynxledge/wire"
 )
@@ -46,11 +45,12 @@
 	}
 	f.machines[machine] = true
 	if why == wire.ReasonInsufficientCapacity || why == wire.ReasonAttemptConflict {
-		p.avoidUntil[machine] = now.Add(p.heartbeats(1))
+		p.avoidUntil[machine] = now.Add(p.config.Params.Workers.Heartbeats(1))
 		return
 	}
 	f.count++
-	wait := min(p.config.Params.Workers.HeartbeatInterval*math.Pow(2, float64(min(f.count, 6)-2)), p.config.Params.Workers.LeaseDuration)
-	f.until = now.Add(config.Seconds(wait))
-	slog.Info("task failed", "job", job, "machine", machine, "why", why, "failures", f.count, "wait_s", wait)
+	workers := p.config.Params.Workers
+	wait := min(workers.Heartbeats(math.Pow(2, float64(min(f.count, 6)-2))), workers.LeaseDuration)
+	f.until = now.Add(wait)
+	slog.Info("task failed", "job", job, "machine", machine, "why", why, "failures", f.count, "wait_s", wait.Seconds())
 }
--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -28,7 +28,7 @@
 func busyPlacer(machines int) *Scheduler {
 	slog.SetDefault(slog.New(slog.NewTextHandler(io.Discard, nil)))
 	cfg := &config.Config{Operator: config.DefaultOperatorSettings()}
-	cfg.Params.Workers = config.WorkerTimings{HeartbeatInterval: 8, LeaseDuration: 44, CancellationDeadline: 74}
+	cfg.Params.Workers = config.WorkerTimings{HeartbeatInterval: 8 * time.Second, LeaseDuration: 44 * time.Second, CancellationDeadline: 74 * time.Second}
 	cfg.Params.Store = config.StoreLimits{MaxValueKB: 4, MaxTxnOps: 8, RequestRate: 200, WriteRate: 20}
 	cfg.Params.Teams = []config.TeamQuota{{Name: "red"}}
 	p := newScheduler(cfg, 1)
--- a/internal/scheduler/commit.go
+++ b/internal/scheduler/commit.go
@@ -143,7 +143,7 @@
 
 // commit makes the round's changes, if there are any.
 func (p *Scheduler) commit(r *cycle) {
-	c := statecache.Commit{RetryUntilCertain: true, RetryFor: p.heartbeats(0.5)}
+	c := statecache.Commit{RetryUntilCertain: true, RetryFor: p.config.Params.Workers.Heartbeats(0.5)}
 	var touched []string
 	for _, d := range r.groupUpdates {
 		for _, b := range d.Machines {
--- a/internal/scheduler/cycle.go
+++ b/internal/scheduler/cycle.go
@@ -17,7 +17,7 @@
 // runCycle takes what has come together and makes one commit of it.
 func (p *Scheduler) runCycle() {
 	now := time.Now()
-	if now.Sub(p.freshAsOf) > p.heartbeats(maxViewAgeHeartbeats) {
+	if now.Sub(p.freshAsOf) > p.config.Params.Workers.Heartbeats(maxViewAgeHeartbeats) {
 		return
 	}
 	limit, wait := p.writeBudget(now)
@@ -71,7 +71,7 @@
 		p.finishJob(r, job)
 	}
 	p.storeDependencyCancellations(r, places)
-	if p.config.Overload.Level() < overload.Behind {
+	if p.overload.Level() < overload.Behind {
 		r.victimSearchShare = victimSearchShares(q)
 	}
 	for _, w := range q {
--- a/internal/scheduler/cycle_test.go
+++ b/internal/scheduler/cycle_test.go
@@ -13,6 +13,7 @@
 	"lynxledge/internal/resources"
 	"lynxledge/internal/simulation"
 	"lynxledge/internal/statecache"
+	"lynxledge/internal/storelimits"
 	"lynxledge/wire"
 )
 
@@ -22,12 +23,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		cfg := &config.Config{Operator: config.DefaultOperatorSettings()}
-		cfg.Params.Workers = config.WorkerTimings{HeartbeatInterval: 8, LeaseDuration: 44, CancellationDeadline: 74}
+		cfg.Params.Workers = config.WorkerTimings{HeartbeatInterval: 8 * time.Second, LeaseDuration: 44 * time.Second, CancellationDeadline: 74 * time.Second}
 		cfg.Params.Store = config.StoreLimits{MaxValueKB: 4, MaxTxnOps: 8, RequestRate: 180, WriteRate: 18}
 		cfg.Params.Teams = []config.TeamQuota{{Name: "red"}}
 		conn := &simulation.StoreConn{Store: simulation.NewStore(), Net: simulation.NewNetwork(1, time.Millisecond), Node: "n0", Timeout: time.Second}
 		l := statecache.Start(ctx, conn, statecache.Options{ChunkTasks: statecache.ChunkTasks(4), WatchHold: time.Second, MaxViewAge: time.Second, Backoff: 100 * time.Millisecond})
-		p := Start(ctx, cfg, 2, l, nil, func(*wire.Heartbeat) {})
+		p := Start(ctx, Options{Config: cfg, Incarnation: 2, Cache: l, OnCommandResponse: func(*wire.Heartbeat) {}})
 		p.SetMachineTypes([]wire.MachineType{{Name: "s", CPUs: 4, MemoryGB: 16, HourlyPrice: 1, Zones: []string{"a"}}})
 		l.Run()
 		time.Sleep(time.Second)
@@ -352,7 +353,7 @@
 	placing(t, map[string]int{"a": 1}, func(_ *statecache.Cache, p *Scheduler) {
 		in(p, func() {
 			p.config.Params.Store.Upcoming = &config.UpcomingStoreLimits{WriteRate: 15, MaxValueKB: 1, MaxTxnOps: 4}
-			p.config.StoreRates = &config.StoreRates{}
+			p.storeLimits = &storelimits.Tracker{}
 			part := statecache.TasksPerCompletionPart(1024)
 			r := &cycle{completionChunks: map[string]*statecache.CompletionChunk{}}
 			for _, task := range []int{0, part - 1, part, 9000} {
@@ -360,7 +361,7 @@
 					t.Errorf("before: task %d goes to %v", task, id)
 				}
 			}
-			p.config.StoreRates.ObserveLowerSizeLimit()
+			p.storeLimits.ObserveLowerSizeLimit()
 			for task, from := range map[int]int{0: statecache.WholeChunk, part - 1: statecache.WholeChunk, part: part, 9000: 9000 / part * part} {
 				if id := p.completionChunkFor(r, "req-000001", task); id != (statecache.CompletionChunkID{FirstTask: from}) {
 					t.Errorf("after: task %d goes to %v", task, id)
@@ -425,7 +426,7 @@
 				j := &statecache.Job{Spec: spec, TaskCount: 1, SubmittedAt: now.Add(-20 * time.Second).UnixMilli(), PriorityInherited: inherited, InheritedDeadline: now.Add(due).UnixMilli()}
 				p.activeJobs["req-000002"], p.view.Jobs["req-000002"] = j, j
 				p.view.Jobs["req-000001"].Spec.EstimatedRuntime = 0.1 // leaves the cluster to it soon
-				p.config.Params.Objectives = []config.Objective{{Kind: "guarantee", Within: 5}}
+				p.config.Params.Objectives = []config.Objective{{Kind: config.ObjectiveGuarantee, Within: 5 * time.Second}}
 				p.view.Assignments["red"] = &statecache.Assignment{Member: "n0", Incarnation: p.incarnation}
 				r := newCycle(now, 8, resources.Usage{})
 				r.victimSearchShare = map[wire.Priority]float64{wire.PriorityHigh: 1}
--- a/internal/scheduler/job_placement.go
+++ b/internal/scheduler/job_placement.go
@@ -67,7 +67,7 @@
 		return false
 	}
 	within, _ := j.config.StartObjective(j.spec.Class)
-	age := j.cycle.now.Sub(time.UnixMilli(j.job.RunnableSince())).Seconds()
+	age := j.cycle.now.Sub(time.UnixMilli(j.job.RunnableSince()))
 	return j.spec.Priority == wire.PriorityProduction || age >= (within-j.config.Params.Workers.HeartbeatInterval/3)/2
 }
 
--- a/internal/scheduler/launch.go
+++ b/internal/scheduler/launch.go
@@ -10,7 +10,7 @@
 
 // MaxLaunchViewAge is how old the view may be from which a task is launched.
 func MaxLaunchViewAge(cfg *config.Config) time.Duration {
-	return config.Seconds(launchViewAgeHeartbeats * cfg.Params.Workers.HeartbeatInterval)
+	return cfg.Params.Workers.Heartbeats(launchViewAgeHeartbeats)
 }
 
 // launchViewAgeHeartbeats, in report intervals, is what a ledger that has state keeps its view
@@ -33,7 +33,7 @@
 			rep, err := p.workers.SendCommands(p.ctx, rec.Address, cmd)
 			if err != nil {
 				slog.Debug("commands unanswered", "machine", m, "err", err)
-				p.Send(func() { p.avoidUntil[m] = time.Now().Add(p.heartbeats(1)) })
+				p.Send(func() { p.avoidUntil[m] = time.Now().Add(p.config.Params.Workers.Heartbeats(1)) })
 				return
 			}
 			p.onCommandResponse(rep)
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -34,8 +34,8 @@
 // fetchesTooLong tells whether a task would start too late for the aims of its
 // class because the node lacks its image.
 func (p *Scheduler) fetchesTooLong(j *wire.Job, n *Node) bool {
-	within, own := p.config.StartObjective(j.Class)
-	return own && !n.HasImage(j.Image) && n.MachineType.ImageFetchGBps > 0 && j.ImageGB/n.MachineType.ImageFetchGBps > within*maxImageFetchShare
+	within, ofClass := p.config.StartObjective(j.Class)
+	return ofClass && !n.HasImage(j.Image) && n.MachineType.ImageFetchGBps > 0 && j.ImageGB/n.MachineType.ImageFetchGBps > within.Seconds()*maxImageFetchShare
 }
 
 // maxImageFetchShare is the part of the time to a start that a fetch may take.
@@ -64,8 +64,8 @@
 		t.StopToken = rec.FencingToken
 		// What gives way as soon as it is placed would take the next free place, and give
 		// way again: each time two writes and a launch for nothing.
-		if !task.Job.IsService() && task.RuntimeSoFar < p.config.Params.Workers.HeartbeatInterval {
-			p.preemptedUntil[t.Job] = r.now.Add(p.heartbeats(1))
+		if !task.Job.IsService() && task.RuntimeSoFar < p.config.Params.Workers.HeartbeatInterval.Seconds() {
+			p.preemptedUntil[t.Job] = r.now.Add(p.config.Params.Workers.Heartbeats(1))
 		}
 		d.size += stopOverheadBytes
 		grace := 0.0
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -70,7 +70,7 @@
 			continue
 		}
 		run := p.runtimes.Estimate(j.Spec)
-		age := float64(now.UnixMilli()-j.RunnableSince()) / 1000
+		age := config.Milliseconds(now.UnixMilli() - j.RunnableSince())
 		if age > starved && left == j.TaskCount {
 			w.deadlineStage, w.deadline = -1, float64(j.RunnableSince())
 			if !j.Spec.IsService() {
@@ -80,8 +80,8 @@
 			continue
 		}
 		w.candidate = deadlineCandidate{clusterTime: run * float64(left) / p.clusterSlots(j.Spec), runtime: run}
-		for _, d := range estimate.Deadlines(p.config, j, run, age, age) {
-			w.candidate.deadlines = append(w.candidate.deadlines, d-age)
+		for _, d := range estimate.Deadlines(p.config, j, config.Seconds(run), age, age) {
+			w.candidate.deadlines = append(w.candidate.deadlines, (d - age).Seconds())
 		}
 		q = append(q, w)
 	}
--- a/internal/scheduler/reconciliation.go
+++ b/internal/scheduler/reconciliation.go
@@ -6,7 +6,6 @@
 	"slices"
 	"time"
 
-	"lynxledge/internal/config"
 	"lynxledge/internal/reconcile"
 	"lynxledge/internal/resources"
 	"lynxledge/internal/statecache"
@@ -18,7 +17,7 @@
 	for job, since := range p.fullyCompletedSince {
 		if !p.view.AllTasksCompleted(job) {
 			delete(p.fullyCompletedSince, job)
-		} else if placing || r.now.Sub(since) > p.heartbeats(1) {
+		} else if placing || r.now.Sub(since) > p.config.Params.Workers.Heartbeats(1) {
 			p.finishJob(r, job)
 		}
 	}
@@ -61,7 +60,7 @@
 func (p *Scheduler) applyPendingEvidence(r *cycle, placing, queued bool) {
 	// A writer that is slow is not dead: others that wrote for it made its guards
 	// fail, and it slower yet.
-	idle := r.now.Sub(p.lastTermination) > p.heartbeats(1)
+	idle := r.now.Sub(p.lastTermination) > p.config.Params.Workers.Heartbeats(1)
 	type due struct {
 		group string
 		late  bool
@@ -77,9 +76,9 @@
 				continue
 			}
 			waits := r.now.Sub(n.applyAt)
-			if placing || waits > 0 && (idle || waits > config.Seconds(p.config.Params.Workers.LeaseDuration)) {
+			if placing || waits > 0 && (idle || waits > p.config.Params.Workers.LeaseDuration) {
 				d.empty = max(d.empty, 0) + waits.Seconds()*float64(max(n.exitedTasks, 1))
-				d.late = d.late || waits > p.heartbeats(1)
+				d.late = d.late || waits > p.config.Params.Workers.Heartbeats(1)
 			}
 		}
 		if len(machines) == 0 {
@@ -216,7 +215,7 @@
 func (p *Scheduler) completionChunkFor(r *cycle, job string, task int) statecache.CompletionChunkID {
 	chunk, bit := p.view.CompletionChunkOf(task)
 	id := statecache.CompletionChunkID{Chunk: chunk, FirstTask: statecache.WholeChunk}
-	if !p.config.StoreRates.LowerLimitsInForce() {
+	if !p.storeLimits.LowerLimitsInForce() {
 		return id
 	}
 	reach := bit + 1
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -12,8 +12,10 @@
 	"lynxledge/internal/actor"
 	"lynxledge/internal/config"
 	"lynxledge/internal/estimate"
+	"lynxledge/internal/overload"
 	"lynxledge/internal/resources"
 	"lynxledge/internal/statecache"
+	"lynxledge/internal/storelimits"
 	"lynxledge/wire"
 )
 
@@ -34,6 +36,8 @@
 	cache             *statecache.Cache
 	workers           CommandSender
 	onCommandResponse func(*wire.Heartbeat) // takes what workers answer to commands
+	storeLimits       *storelimits.Tracker
+	overload          *overload.Gauge
 	rng               *rand.Rand
 	writeLimiter      *rate.Limiter // of writes
 
@@ -76,16 +80,29 @@
 	cycleScheduled bool
 }
 
-// Start runs a placer. report must not wait for the placer.
-func Start(ctx context.Context, cfg *config.Config, boot uint64, l *statecache.Cache, w CommandSender, report func(*wire.Heartbeat)) *Scheduler {
-	p := newScheduler(cfg, boot)
+// Options are what a Scheduler works with.
+type Options struct {
+	Config            *config.Config
+	Incarnation       uint64 // of this process
+	Cache             *statecache.Cache
+	Workers           CommandSender
+	OnCommandResponse func(*wire.Heartbeat) // takes what workers answer to commands; must not wait for the scheduler
+	StoreLimits       *storelimits.Tracker  // nil: the limits are as configured
+	Overload          *overload.Gauge       // nil: this process is never overloaded
+}
+
+// Start runs a scheduler until ctx ends.
+func Start(ctx context.Context, o Options) *Scheduler {
+	p := newScheduler(o.Config, o.Incarnation)
+	p.storeLimits = o.StoreLimits
+	p.overload = o.Overload
 	p.Actor = actor.Start(ctx, "placer", 512)
 	p.ctx = ctx
-	p.cache = l
-	p.workers = w
-	p.onCommandResponse = report
-	l.Subscribe(func(d statecache.Update) { p.Send(func() { p.apply(d) }) })
-	p.Every(p.heartbeats(1.0/6), p.schedule)
+	p.cache = o.Cache
+	p.workers = o.Workers
+	p.onCommandResponse = o.OnCommandResponse
+	o.Cache.Subscribe(func(d statecache.Update) { p.Send(func() { p.apply(d) }) })
+	p.Every(p.config.Params.Workers.Heartbeats(1.0/6), p.schedule)
 	return p
 }
 
@@ -116,18 +133,13 @@
 		crowdedGroups:       map[string]bool{},
 		cancelledDependents: map[string]*statecache.Job{},
 	}
-	p.otherWriters.window = p.heartbeats(writeMeterHeartbeats)
+	p.otherWriters.window = p.config.Params.Workers.Heartbeats(writeMeterHeartbeats)
 	return p
 }
 
 // writeMeterHeartbeats is over how many report intervals others' writes are averaged.
 const writeMeterHeartbeats = 1
 
-// heartbeats is a multiple of the workers' report interval.
-func (p *Scheduler) heartbeats(times float64) time.Duration {
-	return config.Seconds(p.config.Params.Workers.HeartbeatInterval * times)
-}
-
 // SetMachineTypes tells the placer of the machine types.
 func (p *Scheduler) SetMachineTypes(types []wire.MachineType) {
 	p.Send(func() {
@@ -220,7 +232,7 @@
 	}
 	p.cycleScheduled = true
 	// Changes that come together are written together.
-	p.After(p.heartbeats(batchDelayHeartbeats), func() {
+	p.After(p.config.Params.Workers.Heartbeats(batchDelayHeartbeats), func() {
 		p.cycleScheduled = false
 		if !p.commitInFlight {
 			p.runCycle()
--- a/internal/scheduler/write_rate.go
+++ b/internal/scheduler/write_rate.go
@@ -31,7 +31,7 @@
 // writeRate is how many writes a second this placer may make: its share of the state
 // service's rate, and what the others were seen to leave of theirs.
 func (p *Scheduler) writeRate(now time.Time) float64 {
-	limit := p.config.StoreWriteRate()
+	limit := p.storeLimits.WriteRate(&p.config.Params.Store)
 	left := limit*usableShare - p.otherWriters.rate(now)
 	return max(limit*p.config.Operator.SchedulerWriteShare, left)
 }
--- a/internal/simulation/history/order.go
+++ b/internal/simulation/history/order.go
@@ -44,7 +44,7 @@
 		view:       statecache.NewUnfinishedView(statecache.ChunkTasks(params.Store.MaxValueKB)),
 		types:      map[string]*wire.MachineType{},
 		params:     params,
-		patience:   config.Seconds(viewReports * params.Workers.HeartbeatInterval),
+		patience:   params.Workers.Heartbeats(viewReports),
 		decided:    decided,
 		always:     always,
 		waitsSince: map[string]map[int]time.Time{},
--- a/internal/simulation/invariants.go
+++ b/internal/simulation/invariants.go
@@ -46,7 +46,7 @@
 func NewInvariantChecker(p config.Params) *InvariantChecker {
 	r := &InvariantChecker{
 		teams:   map[string]config.TeamQuota{},
-		cancelS: config.Seconds(p.Workers.CancellationDeadline),
+		cancelS: p.Workers.CancellationDeadline,
 		jobs:    map[string]*jobRecord{},
 		on:      map[string]wire.Instance{},
 		used:    map[string]float64{},
--- a/internal/standby/standby.go
+++ b/internal/standby/standby.go
@@ -76,7 +76,7 @@
 // Start runs the actor; the settings' Standby section is set.
 func Start(ctx context.Context, cfg *config.Config, boot uint64, l *statecache.Cache, roles Roles) *Standby {
 	section := cfg.Operator.Standby
-	beat := HeartbeatInterval(cfg)
+	beat := section.HeartbeatInterval(cfg.Params.Workers)
 	beats := func(n float64) time.Duration { return time.Duration(n * float64(beat)) }
 	var members []string
 	for _, p := range cfg.Peers {
@@ -96,11 +96,6 @@
 	return s
 }
 
-// HeartbeatInterval is the time between two heartbeats.
-func HeartbeatInterval(cfg *config.Config) time.Duration {
-	return config.Seconds(cfg.Operator.Standby.HeartbeatIntervalReports * cfg.Params.Workers.HeartbeatInterval)
-}
-
 // Opened notes a connection from a controller or to it.
 func (s *Standby) Opened(member string) { s.Post(func() { s.detector.Opened(member) }) }
 
@@ -133,11 +128,12 @@
 		h = &hold{}
 		s.holds[member] = h
 	}
-	section, report := s.config.Operator.Standby, s.config.Params.Workers.HeartbeatInterval
-	reports := min(section.HoldDownReports*float64(uint64(1)<<min(h.refuted, maxDoublings)), section.HoldDownMaxReports)
+	section := s.config.Operator.Standby
+	reports := min(section.HoldDownHeartbeats*float64(uint64(1)<<min(h.refuted, maxDoublings)), section.HoldDownMaxHeartbeats)
 	h.refuted++
-	h.until = now.Add(config.Seconds(reports * report))
-	slog.Warn("a controller taken for failed is alive", "member", member, "times", h.refuted, "hold_s", int(reports*report))
+	wait := s.config.Params.Workers.Heartbeats(reports)
+	h.until = now.Add(wait)
+	slog.Warn("a controller taken for failed is alive", "member", member, "times", h.refuted, "hold_s", int(wait.Seconds()))
 }
 
 // maxDoublings keeps the doubling of a hold-down from overflowing.
@@ -170,7 +166,7 @@
 func (s *Standby) check() {
 	now := time.Now()
 	verdicts := s.detector.Check(now)
-	if now.Sub(s.freshAsOf) > config.Seconds(s.config.Params.Workers.HeartbeatInterval) {
+	if now.Sub(s.freshAsOf) > s.config.Params.Workers.HeartbeatInterval {
 		return // without the state service nothing could be written
 	}
 	standing := map[processID]bool{}
@@ -195,7 +191,7 @@
 
 // longestHold is the longest time for which verdicts on a member are held down.
 func (s *Standby) longestHold() time.Duration {
-	return config.Seconds(s.config.Operator.Standby.HoldDownMaxReports * s.config.Params.Workers.HeartbeatInterval)
+	return s.config.Params.Workers.Heartbeats(s.config.Operator.Standby.HoldDownMaxHeartbeats)
 }
 
 // act claims the lead of a leader that has failed, when it is this controller's turn, or
--- a/internal/zonecontrol/controller.go
+++ b/internal/zonecontrol/controller.go
@@ -62,7 +62,7 @@
 		cache:          l,
 		scheduler:      placer,
 		policy:         policy,
-		period:         config.Seconds(cfg.Params.Workers.HeartbeatInterval / checksPerHeartbeat),
+		period:         cfg.Params.Workers.HeartbeatInterval / checksPerHeartbeat,
 		view:           statecache.NewUnfinishedView(statecache.ChunkTasks(cfg.Params.Store.MaxValueKB)),
 		census:         zonehealth.NewCensus(now, policy.Silence),
 		tracker:        zonehealth.NewTracker(policy),
@@ -159,7 +159,7 @@
 // leadership is the leadership of this process, if it is confirmed. A new leader goes on from
 // the record.
 func (c *Controller) leadership() (election.Leadership, bool) {
-	maxAge := config.Seconds(maxViewAgeHeartbeats * c.config.Params.Workers.HeartbeatInterval)
+	maxAge := c.config.Params.Workers.Heartbeats(maxViewAgeHeartbeats)
 	lead, ok := election.ConfirmLeadership(c.view, c.incarnation, c.revision, c.freshAsOf, maxAge)
 	if ok && c.term != lead.Term() {
 		c.term, c.serial = lead.Term(), 0
--- a/internal/zonecontrol/controller_test.go
+++ b/internal/zonecontrol/controller_test.go
@@ -43,7 +43,7 @@
 	section := config.DefaultZoneRecovery()
 	cfg := config.Config{Operator: config.DefaultOperatorSettings()}
 	cfg.Operator.ZoneRecovery = &section
-	cfg.Params.Workers = config.WorkerTimings{HeartbeatInterval: 3, LeaseDuration: 34, CancellationDeadline: 64}
+	cfg.Params.Workers = config.WorkerTimings{HeartbeatInterval: 3 * time.Second, LeaseDuration: 34 * time.Second, CancellationDeadline: 64 * time.Second}
 	cfg.Params.Store = config.StoreLimits{MaxValueKB: 4, MaxTxnOps: 8, RequestRate: 150, WriteRate: 50}
 	return &bench{t: t, ctx: ctx, state: simulation.NewStore(), net: simulation.NewNetwork(1, time.Millisecond), cfg: cfg}
 }
--- a/internal/zonehealth/policy.go
+++ b/internal/zonehealth/policy.go
@@ -25,21 +25,19 @@
 // PolicyOf is the policy that settings ask for; their ZoneRecovery section is set.
 func PolicyOf(cfg *config.Config) Policy {
 	section, workers := cfg.Operator.ZoneRecovery, cfg.Params.Workers
-	reports := func(n float64) time.Duration { return config.Seconds(n * workers.HeartbeatInterval) }
-	leases := func(n float64) time.Duration { return config.Seconds(n * workers.LeaseDuration) }
 	return Policy{
 		DegradedShare: section.DegradedShare,
 		LostShare:     section.LostShare,
 		ReturnShare:   section.ReturnShare,
 		MinMachines:   section.MinMachines,
-		Silence:       reports(section.SilenceReports),
-		Confirm:       reports(section.ConfirmReports),
-		Proof:         reports(section.ProofReports),
+		Silence:       workers.Heartbeats(section.UnreachableHeartbeats),
+		Confirm:       workers.Heartbeats(section.ConfirmHeartbeats),
+		Proof:         workers.Heartbeats(section.ReturnHeartbeats),
 		Steps:         section.Steps,
 		StepTime:      section.StepTime(workers),
-		HoldDown:      leases(section.HoldDownLeases),
-		HoldDownMax:   leases(section.HoldDownMaxLeases),
-		FlapMemory:    leases(section.FlapMemoryLeases),
+		HoldDown:      workers.Leases(section.HoldDownLeases),
+		HoldDownMax:   workers.Leases(section.HoldDownMaxLeases),
+		FlapMemory:    workers.Leases(section.FlapMemoryLeases),
 	}
 }
 
