--- a/cmd/lynxledge/acts_test.go
+++ b/cmd/lynxledge/acts_test.go
@@ -42,7 +42,7 @@
 
 func (w *world) do(a act) {
 	node := w.nodes[a.A%len(w.nodes)]
-	machine := ""
+	machine := wire.MachineID("")
 	if up := w.cloud.Up(); len(up) > 0 {
 		machine = up[a.A%len(up)]
 	}
@@ -88,7 +88,7 @@
 		w.isolate(node)
 	case "cut worker", "hold worker":
 		if machine != "" {
-			w.net.Cut(machine, "", a.Kind == "hold worker")
+			w.net.Cut(string(machine), "", a.Kind == "hold worker")
 		}
 	case "heal":
 		w.net.HealAll()
@@ -104,7 +104,7 @@
 		}
 	case "deafen worker":
 		if machine != "" {
-			w.net.PartitionInbound(machine)
+			w.net.PartitionInbound(string(machine))
 		}
 	case "bounce":
 		w.bounce(node)
@@ -122,7 +122,7 @@
 		w.state.SetLate(0.2)
 	case "mute worker":
 		if machine != "" {
-			w.net.PartitionOutbound(machine)
+			w.net.PartitionOutbound(string(machine))
 		}
 	case "hang worker":
 		if machine != "" {
--- a/cmd/lynxledge/combined_failures_test.go
+++ b/cmd/lynxledge/combined_failures_test.go
@@ -142,7 +142,7 @@
 		up := w.cloud.Up()
 		muted := up[:len(up)/2]
 		for _, m := range muted {
-			w.net.PartitionOutbound(m)
+			w.net.PartitionOutbound(string(m))
 		}
 		w.pass(150 * time.Second) // four leases: what is given to them never ends
 		for _, m := range muted {
@@ -169,8 +169,8 @@
 	}},
 	{"leader ends while machines are out of reach or deaf", func(_ *testing.T, w *world) {
 		up := w.cloud.Up()
-		w.net.Cut(up[0], "", true)
-		w.net.PartitionInbound(up[len(up)-1])
+		w.net.Cut(string(up[0]), "", true)
+		w.net.PartitionInbound(string(up[len(up)-1]))
 		w.crash(w.leader())
 		w.pass(50 * time.Second)
 		w.restart()
@@ -185,7 +185,7 @@
 	}},
 	{"report held back until a new leader has acted", func(_ *testing.T, w *world) {
 		for _, m := range w.cloud.Up() {
-			w.net.Cut(m, w.leader(), true)
+			w.net.Cut(string(m), w.leader(), true)
 		}
 		w.pass(2 * time.Second)
 		w.crash(w.leader())
@@ -205,7 +205,7 @@
 		for _, h := range w.cloud.Running() {
 			if h.Zone == "b" {
 				for _, n := range w.others(cut) {
-					w.net.Cut(h.ID, n, true)
+					w.net.Cut(string(h.ID), n, true)
 				}
 			}
 		}
@@ -231,7 +231,7 @@
 		for i := range 6 {
 			up := w.cloud.Up()
 			for _, m := range up[:len(up)/2] {
-				w.net.Cut(m, "", true)
+				w.net.Cut(string(m), "", true)
 			}
 			w.array(wire.JobID(fmt.Sprintf("req-0005%02d", i)), "blue", 4, 10*time.Second, nil)
 			w.pass(6 * time.Second)
@@ -244,8 +244,8 @@
 		w.array("req-000600", "red", 40, 60*time.Second, nil) // red: 20 at most
 		w.pass(20 * time.Second)
 		up := w.cloud.Up()
-		w.net.Cut(up[0], "", true)
-		w.net.PartitionInbound(up[1])
+		w.net.Cut(string(up[0]), "", true)
+		w.net.PartitionInbound(string(up[1]))
 		w.crash(w.leader())
 		w.pass(3 * time.Second)
 		w.cancel("req-000002", w.nodes...)
--- a/cmd/lynxledge/fleet_test.go
+++ b/cmd/lynxledge/fleet_test.go
@@ -208,18 +208,18 @@
 
 // loseZone cuts a zone's machines off for less than a lease, and ends the leader meanwhile.
 func (f *fleet) loseZone(w *world, step func(time.Duration)) {
-	var lost []string
+	var lost []wire.MachineID
 	for _, h := range w.cloud.Running() {
 		if h.Zone == f.lostZone {
 			lost = append(lost, h.ID)
-			w.net.Cut(h.ID, "", true)
+			w.net.Cut(string(h.ID), "", true)
 		}
 	}
 	step(10 * time.Second)
 	w.bounce(w.leader())
 	step(15 * time.Second)
 	for _, machine := range lost {
-		w.net.Heal(machine, "")
+		w.net.Heal(string(machine), "")
 	}
 	step(10 * time.Second)
 }
--- a/cmd/lynxledge/run.go
+++ b/cmd/lynxledge/run.go
@@ -37,6 +37,7 @@
 	"lynxledge/internal/statecache"
 	"lynxledge/internal/worker"
 	"lynxledge/internal/zonecontrol"
+	"lynxledge/wire"
 )
 
 // goMemoryLimitShare is the part of the memory limit at which Go collects harder;
@@ -197,7 +198,7 @@
 		zones := zonecontrol.Start(ctx, cfg, boot, led, placer)
 		placer.SetAdvisor(recovery.NewAdvisor(cfg))
 		renter.SetZoneRecovery(recovery.NewScalingPolicy(cfg), zones.PoolExhausted)
-		rep.OnReachable(func(machines []string) { zones.MachinesReachable(cfg.MemberName, machines) })
+		rep.OnReachable(func(machines []wire.MachineID) { zones.MachinesReachable(cfg.MemberName, machines) })
 		msh.OnReachableBy(zones.MachinesReachable)
 		catalog.Subscribe(zones.SetMachineTypes)
 		n.zones = zones
--- a/cmd/lynxledge/zone_world_test.go
+++ b/cmd/lynxledge/zone_world_test.go
@@ -51,7 +51,7 @@
 // zoneCut is a cut of a zone: machines that come up in it are cut off too.
 type zoneCut struct {
 	hold     bool
-	machines map[string]bool
+	machines map[wire.MachineID]bool
 }
 
 // zoneLoad is the work on a zoneWorld.
@@ -132,7 +132,7 @@
 		for _, m := range w.machinesIn(zone) {
 			if !cut.machines[m] {
 				cut.machines[m] = true
-				w.net.Cut(m, "", cut.hold)
+				w.net.Cut(string(m), "", cut.hold)
 			}
 		}
 	}
@@ -154,8 +154,8 @@
 }
 
 // machinesIn names the machines that run in a zone.
-func (w *zoneWorld) machinesIn(zone string) []string {
-	var names []string
+func (w *zoneWorld) machinesIn(zone string) []wire.MachineID {
+	var names []wire.MachineID
 	for _, h := range w.cloud.Running() {
 		if h.Zone == zone {
 			names = append(names, h.ID)
@@ -167,7 +167,7 @@
 // cutZone cuts a zone's machines off, and its controllers with them.
 func (w *zoneWorld) cutZone(zone string, hold bool) {
 	w.markLost()
-	w.cutOff[zone] = &zoneCut{hold, map[string]bool{}}
+	w.cutOff[zone] = &zoneCut{hold, map[wire.MachineID]bool{}}
 	w.extendCuts()
 	for _, n := range w.nodes {
 		if w.zoneOf(n) == zone {
@@ -199,7 +199,7 @@
 	delete(w.cutOff, zone)
 	for i, m := range w.machinesIn(zone) {
 		if butOneIn == 0 || i%butOneIn != 0 {
-			w.net.Heal(m, "")
+			w.net.Heal(string(m), "")
 		}
 	}
 	for _, n := range w.nodes {
--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -20,8 +20,8 @@
 
 // Cloud is what the renter needs of the cloud.
 type Cloud interface {
-	Provision(ctx context.Context, r wire.ProvisionRequest) ([]string, error)
-	Delete(ctx context.Context, names []string) error
+	Provision(ctx context.Context, r wire.ProvisionRequest) ([]wire.MachineID, error)
+	Delete(ctx context.Context, names []wire.MachineID) error
 	List(ctx context.Context) ([]wire.Instance, error)
 	MachineTypes(ctx context.Context) ([]wire.MachineType, error)
 }
@@ -55,18 +55,18 @@
 	blockedJobs    map[wire.JobID]*statecache.Job
 	latePipelines  map[wire.JobID]wire.JobID // pipelines by their last job: the stage that makes them late
 	runtimes       *estimate.RuntimeEstimator
-	boundSince     map[string]time.Time        // bound task: since when
-	liveness       map[string]*machineLiveness // by machine
+	boundSince     map[string]time.Time                // bound task: since when
+	liveness       map[wire.MachineID]*machineLiveness // by machine
 	exhaustedPools map[resources.Pool]time.Time
-	pendingUpdates map[string]machineUpdate // machine: what is to be written of it
+	pendingUpdates map[wire.MachineID]machineUpdate // machine: what is to be written of it
 	commitInFlight bool
 
 	term                    uint64 // of the leadership that this state belongs to
 	provisionCount          int
 	provisioning            map[string]resources.Pool // by intent
 	replanAfterProvisioning bool                      // more is wanted of a pool with a rental under way
-	terminating             map[string]bool
-	terminatedAt            map[string]time.Time
+	terminating             map[wire.MachineID]bool
+	terminatedAt            map[wire.MachineID]time.Time
 	listInFlight            bool
 	lastListed              time.Time // when the cloud's list was asked for last
 	lastPlanned             time.Time // when the last pass was made
@@ -91,12 +91,12 @@
 		latePipelines:   map[wire.JobID]wire.JobID{},
 		runtimes:        estimate.NewRuntimeEstimator(),
 		boundSince:      map[string]time.Time{},
-		liveness:        map[string]*machineLiveness{},
+		liveness:        map[wire.MachineID]*machineLiveness{},
 		exhaustedPools:  map[resources.Pool]time.Time{},
 		provisioning:    map[string]resources.Pool{},
-		terminating:     map[string]bool{},
-		pendingUpdates:  map[string]machineUpdate{},
-		terminatedAt:    map[string]time.Time{},
+		terminating:     map[wire.MachineID]bool{},
+		pendingUpdates:  map[wire.MachineID]machineUpdate{},
+		terminatedAt:    map[wire.MachineID]time.Time{},
 	}
 	l.Subscribe(func(d statecache.Update) { r.Send(func() { r.apply(d) }) })
 	r.Every(config.Seconds(cfg.Operator.PlanningInterval), r.runCycle)
@@ -116,7 +116,7 @@
 }
 
 // MachinesReachable tells the renter of machines that reported to some node.
-func (r *Autoscaler) MachinesReachable(machines []string) {
+func (r *Autoscaler) MachinesReachable(machines []wire.MachineID) {
 	now := time.Now()
 	r.Post(func() {
 		for _, m := range machines {
--- a/internal/autoscaler/autoscaler_test.go
+++ b/internal/autoscaler/autoscaler_test.go
@@ -85,8 +85,8 @@
 // it may only be cut off. One that holds batch work alone is returned soon.
 func TestIrreplaceableMachineIsKept(t *testing.T) {
 	lead(t, 0, func(l *statecache.Cache, _ *simulation.Cloud, r *Autoscaler) {
-		group := func(m string, tasks ...statecache.TaskBinding) statecache.Put {
-			return statecache.Put{Key: statecache.Key(statecache.KindMachineGroup, "g."+m), Record: &statecache.MachineGroup{
+		group := func(m wire.MachineID, tasks ...statecache.TaskBinding) statecache.Put {
+			return statecache.Put{Key: statecache.Key(statecache.KindMachineGroup, "g."+string(m)), Record: &statecache.MachineGroup{
 				MachineType: "s", Zone: "a", ProvisionedAt: time.Now().UnixMilli(),
 				Machines: []*statecache.Machine{{Name: m, Address: "x:1", Incarnation: 1, Bindings: tasks}},
 			}}
@@ -98,7 +98,7 @@
 			group("i-8", statecache.TaskBinding{Job: "req-000002", Attempt: 1}),
 			group("i-9", statecache.TaskBinding{Job: "req-000001", Attempt: 1}),
 		}}
-		heard := []string{"i-1", "i-2", "i-3"}
+		heard := []wire.MachineID{"i-1", "i-2", "i-3"}
 		for _, m := range heard {
 			c.Puts = append(c.Puts, group(m, statecache.TaskBinding{Job: "req-000001", TaskIndex: len(c.Puts), Attempt: 1})) // no room here
 		}
@@ -161,7 +161,7 @@
 // stayed. It waits until the record is smaller.
 func TestEditOfFullRecordWaits(t *testing.T) {
 	lead(t, 0, func(l *statecache.Cache, _ *simulation.Cloud, r *Autoscaler) {
-		bind := func(m string, tasks int) *statecache.Machine {
+		bind := func(m wire.MachineID, tasks int) *statecache.Machine {
 			b := &statecache.Machine{Name: m, Address: "x:1", Incarnation: 1, FencingToken: 1 << 33}
 			for n := range tasks {
 				b.Bindings = append(b.Bindings, statecache.TaskBinding{Job: "req-000001", TaskIndex: n, Attempt: 1})
@@ -178,7 +178,7 @@
 		}
 		l.Commit(statecache.Commit{Puts: []statecache.Put{put("full", full), put("small", bind("i-9", 0))}}, func(statecache.Outcome) {})
 		time.Sleep(time.Second)
-		drains := func(m string) (row, waits string) {
+		drains := func(m wire.MachineID) (row, waits string) {
 			ch := make(chan string, 2)
 			r.Send(func() { ch <- r.view.Machines[m].DrainReason; ch <- r.pendingUpdates[m].drainReason })
 			return <-ch, <-ch
@@ -229,7 +229,7 @@
 			Deletes: []string{statecache.Key(statecache.KindMachineGroup, b.Group)},
 		}, func(statecache.Outcome) {})
 		for range 100 {
-			r.MachinesReachable([]string{b.Name})
+			r.MachinesReachable([]wire.MachineID{b.Name})
 			time.Sleep(time.Second)
 		}
 		if b := row(); b.Group != "other" || len(b.Bindings) != 1 {
@@ -247,7 +247,7 @@
 		limit := r.config.Params.Store.ValueSizeLimit()
 		g := &statecache.MachineGroup{Name: "g", MachineType: "s", Zone: "a"}
 		for i := 0; g.EncodedSize() < limit*17/20; i++ {
-			b := &statecache.Machine{Name: fmt.Sprintf("i-%06d", 100+i), Address: "x:1", Incarnation: 1, FencingToken: statecache.FirstToken(1) + 9}
+			b := &statecache.Machine{Name: wire.MachineID(fmt.Sprintf("i-%06d", 100+i)), Address: "x:1", Incarnation: 1, FencingToken: statecache.FirstToken(1) + 9}
 			for n := range 4 {
 				b.Bindings = append(b.Bindings, statecache.TaskBinding{Job: "req-000001", TaskIndex: 4*i + n, Attempt: statecache.FirstToken(1) + 8})
 			}
--- a/internal/autoscaler/instances.go
+++ b/internal/autoscaler/instances.go
@@ -68,7 +68,7 @@
 		// A machine that was returned is listed for a while. What this process
 		// saw returned it remembers; for the rest it waits until no list shows it.
 		_, late := r.terminatedAt[id]
-		if late || now.Sub(r.startedAt) < 3*lag || !wire.ValidMachineName(id) || renting[resources.Pool{MachineType: h.MachineType, Zone: h.Zone, Spot: h.Spot}] ||
+		if late || now.Sub(r.startedAt) < 3*lag || !wire.ValidMachineName(string(id)) || renting[resources.Pool{MachineType: h.MachineType, Zone: h.Zone, Spot: h.Spot}] ||
 			len(c.Puts) >= r.config.Params.Store.TxnOpsLimit() {
 			continue
 		}
@@ -77,7 +77,7 @@
 		key := statecache.Key(statecache.KindMachineGroup, group)
 		c.Preconditions = append(c.Preconditions, wire.Precondition{Key: key})
 		rentedAt := now.UnixMilli() - int64(float64(h.Age)*1000)
-		record := statecache.NewMachineGroup(group, h.MachineType, h.Zone, h.Spot, rentedAt, []string{id}, statecache.FirstToken(r.term))
+		record := statecache.NewMachineGroup(group, h.MachineType, h.Zone, h.Spot, rentedAt, []wire.MachineID{id}, statecache.FirstToken(r.term))
 		c.Puts = append(c.Puts, statecache.Put{Key: key, Record: record})
 	}
 	if len(c.Puts) > 0 {
--- a/internal/autoscaler/liveness.go
+++ b/internal/autoscaler/liveness.go
@@ -17,7 +17,7 @@
 }
 
 // livenessOf is that of a machine, made when it is first asked for.
-func (r *Autoscaler) livenessOf(machine string) *machineLiveness {
+func (r *Autoscaler) livenessOf(machine wire.MachineID) *machineLiveness {
 	c := r.liveness[machine]
 	if c == nil {
 		c = &machineLiveness{failedJobs: map[wire.JobID]bool{}}
--- a/internal/autoscaler/planning_input.go
+++ b/internal/autoscaler/planning_input.go
@@ -123,7 +123,7 @@
 	for _, intent := range r.view.ProvisioningIntents { // rented, though not known by name yet
 		for i := range intent.Count {
 			in.Machines = append(in.Machines, planner.Machine{
-				Name: fmt.Sprintf("rented-%d", i), Pool: poolOf(intent), Schedulable: true,
+				Name: wire.MachineID(fmt.Sprintf("rented-%d", i)), Pool: poolOf(intent), Schedulable: true,
 				ReadyIn: r.bootSeconds(intent.MachineType),
 			})
 		}
--- a/internal/autoscaler/provision.go
+++ b/internal/autoscaler/provision.go
@@ -93,7 +93,7 @@
 	}()
 }
 
-func (r *Autoscaler) handleProvisioned(name string, intent *statecache.ProvisioningIntent, machines []string, err error) {
+func (r *Autoscaler) handleProvisioned(name string, intent *statecache.ProvisioningIntent, machines []wire.MachineID, err error) {
 	pool := poolOf(intent)
 	none := errors.Is(err, cloud.ErrNoCapacity) || errors.Is(err, cloud.ErrInvalidRequest)
 	if err != nil && !none {
@@ -151,10 +151,10 @@
 // into another since, and a late copy of the commit that made it would bring its
 // machines back with nothing bound to them. short tells that the cloud had fewer
 // than were asked for.
-func (r *Autoscaler) recordMachines(name string, intent *statecache.ProvisioningIntent, left int, machines []string, short bool) {
-	rest := slices.DeleteFunc(machines, func(m string) bool {
+func (r *Autoscaler) recordMachines(name string, intent *statecache.ProvisioningIntent, left int, machines []wire.MachineID, short bool) {
+	rest := slices.DeleteFunc(machines, func(m wire.MachineID) bool {
 		_, returned := r.terminatedAt[m]
-		return returned || !wire.ValidMachineName(m) || r.view.Machines[m] != nil
+		return returned || !wire.ValidMachineName(string(m)) || r.view.Machines[m] != nil
 	})
 	stored := r.view.ProvisioningIntents[name]
 	lead, leads := r.leadership()
--- a/internal/autoscaler/scale_in.go
+++ b/internal/autoscaler/scale_in.go
@@ -31,7 +31,7 @@
 
 // scaleIn fences a machine's row, so that nothing new is bound to it; then it is
 // returned.
-func (r *Autoscaler) scaleIn(m, why string) {
+func (r *Autoscaler) scaleIn(m wire.MachineID, why string) {
 	r.enqueueUpdate(m, machineUpdate{drainReason: why, scaleIn: true})
 }
 
@@ -41,7 +41,7 @@
 	if !r.isLeader() {
 		return
 	}
-	var names []string
+	var names []wire.MachineID
 	for m, b := range r.view.Machines {
 		if b.Terminating && !r.terminating[m] && !r.pendingUpdates[m].terminated && len(names) < wire.MaxMachinesPerDelete {
 			r.terminating[m] = true
@@ -61,8 +61,17 @@
 				}
 			}
 			if err != nil {
-				slog.Info("return unanswered", "machines", strings.Join(names, " "), "err", err)
+				slog.Info("return unanswered", "machines", joinNames(names), "err", err)
 			}
 		})
 	}()
 }
+
+// joinNames lists machines for a log line, separated by spaces.
+func joinNames(machines []wire.MachineID) string {
+	names := make([]string, len(machines))
+	for i, machine := range machines {
+		names[i] = string(machine)
+	}
+	return strings.Join(names, " ")
+}
--- a/internal/autoscaler/unreachable.go
+++ b/internal/autoscaler/unreachable.go
@@ -41,10 +41,10 @@
 
 // livenessSurvey is which machines the leader hears.
 type livenessSurvey struct {
-	started                              int            // machines that have been up
-	startedByZone, missedHeartbeatByZone map[string]int // by zone; unheard: for more than a report
-	toSuspect                            []string       // to be marked as suspected
-	unreachable                          []string       // heard by nobody, and they answer no probe
+	started                              int              // machines that have been up
+	startedByZone, missedHeartbeatByZone map[string]int   // by zone; unheard: for more than a report
+	toSuspect                            []wire.MachineID // to be marked as suspected
+	unreachable                          []wire.MachineID // heard by nobody, and they answer no probe
 }
 
 // zonePartitioned tells whether a zone looks cut off: most of its machines are silent at once, and
@@ -106,7 +106,7 @@
 }
 
 // checkBootTimeout returns a machine that was started long ago and never reported.
-func (r *Autoscaler) checkBootTimeout(now time.Time, m string, b *statecache.Machine) {
+func (r *Autoscaler) checkBootTimeout(now time.Time, m wire.MachineID, b *statecache.Machine) {
 	if age := now.Sub(time.UnixMilli(b.ProvisionedAt)); age > config.Seconds(r.bootSeconds(b.MachineType)*r.config.Operator.BootTimeoutMultiple) {
 		r.scaleIn(m, "never came up")
 	}
@@ -223,7 +223,7 @@
 }
 
 // probe asks a silent machine directly.
-func (r *Autoscaler) probe(m string, b *statecache.Machine) {
+func (r *Autoscaler) probe(m wire.MachineID, b *statecache.Machine) {
 	known := r.livenessOf(m)
 	if known.probing {
 		return
@@ -239,7 +239,7 @@
 // lost, it may just have no way to whom it reports. But if its lease has run out
 // meanwhile, it loses all it is given again and again: from then on its answers
 // don't count, until a report comes from it.
-func (r *Autoscaler) handleProbeResponse(m string, session uint64, rep *wire.Heartbeat, err error) {
+func (r *Autoscaler) handleProbeResponse(m wire.MachineID, session uint64, rep *wire.Heartbeat, err error) {
 	known := r.liveness[m]
 	if known == nil {
 		return // it was returned meanwhile
--- a/internal/autoscaler/updates.go
+++ b/internal/autoscaler/updates.go
@@ -6,6 +6,7 @@
 
 	"lynxledge/internal/config"
 	"lynxledge/internal/statecache"
+	"lynxledge/wire"
 )
 
 // machineUpdate is what the leader wants written of a machine.
@@ -45,7 +46,7 @@
 }
 
 // applyTo changes a machine's row in the group's next record.
-func (e machineUpdate) applyTo(d *statecache.GroupUpdate, machine string) {
+func (e machineUpdate) applyTo(d *statecache.GroupUpdate, machine wire.MachineID) {
 	if e.terminated {
 		d.RemoveMachine(machine)
 		return
@@ -60,7 +61,7 @@
 
 // enqueueUpdate has something written of a machine with the next transaction. What goes
 // further takes the place of what was wanted before.
-func (r *Autoscaler) enqueueUpdate(m string, e machineUpdate) {
+func (r *Autoscaler) enqueueUpdate(m wire.MachineID, e machineUpdate) {
 	if old := r.pendingUpdates[m]; old.terminated || old.scaleIn && !e.terminated || old.drainReason != "" && e.suspected {
 		return
 	}
@@ -127,7 +128,7 @@
 // groupUpdates are the edits of one group, and its next record.
 type groupUpdates struct {
 	update   *statecache.GroupUpdate
-	machines map[string]machineUpdate // by machine
+	machines map[wire.MachineID]machineUpdate // by machine
 }
 
 // collectUpdates applies edits to the next records of their groups, and drops those that
@@ -154,7 +155,7 @@
 				continue
 			}
 			bytes += size
-			group = &groupUpdates{update: d, machines: map[string]machineUpdate{}}
+			group = &groupUpdates{update: d, machines: map[wire.MachineID]machineUpdate{}}
 			batch.groups[b.Group] = group
 		}
 		e.applyTo(group.update, m)
@@ -218,7 +219,7 @@
 }
 
 // updatesCommitted forgets edits that stand in the state service.
-func (r *Autoscaler) updatesCommitted(edits map[string]machineUpdate) {
+func (r *Autoscaler) updatesCommitted(edits map[wire.MachineID]machineUpdate) {
 	for m, e := range edits {
 		if r.pendingUpdates[m] == e {
 			delete(r.pendingUpdates, m)
--- a/internal/autoscaler/updates_test.go
+++ b/internal/autoscaler/updates_test.go
@@ -15,7 +15,7 @@
 func fullGroup(name string, bytes int) *statecache.MachineGroup {
 	g := &statecache.MachineGroup{Name: name, MachineType: "s", Zone: "a", ModRevision: 5}
 	for i := 0; g.EncodedSize() < bytes; i++ {
-		b := &statecache.Machine{Name: fmt.Sprintf("i-%s-%04d", name, i), Group: name, Address: "x:1", Incarnation: 1, FencingToken: statecache.FirstToken(1) + 9}
+		b := &statecache.Machine{Name: wire.MachineID(fmt.Sprintf("i-%s-%04d", name, i)), Group: name, Address: "x:1", Incarnation: 1, FencingToken: statecache.FirstToken(1) + 9}
 		for n := range 3 {
 			b.Bindings = append(b.Bindings, statecache.TaskBinding{Job: "req-000001", TaskIndex: 3*i + n, Attempt: statecache.FirstToken(1) + 8})
 		}
@@ -53,7 +53,7 @@
 		view := editView(groups, teams)
 		batch := &updateBatch{writes: rapid.IntRange(1, maxWrites).Draw(t, "writes"), maxWrites: maxWrites, groups: map[string]*groupUpdates{}}
 		for _, g := range groups {
-			edits := &groupUpdates{update: view.UpdateGroup(g.Name), machines: map[string]machineUpdate{}}
+			edits := &groupUpdates{update: view.UpdateGroup(g.Name), machines: map[wire.MachineID]machineUpdate{}}
 			for _, b := range g.Machines {
 				switch rapid.IntRange(0, 3).Draw(t, "edit") {
 				case 0:
@@ -76,7 +76,7 @@
 		if waiting != (len(batch.groups) < asked) || batch.commit.Ops() > batch.writes {
 			t.Fatalf("waiting %v with %d groups of %d, %d writes of %d", waiting, len(batch.groups), asked, batch.commit.Ops(), batch.writes)
 		}
-		written := map[string]*statecache.Machine{}
+		written := map[wire.MachineID]*statecache.Machine{}
 		split := len(batch.commit.Puts)+len(batch.commit.Deletes) > len(batch.groups)
 		for _, put := range batch.commit.Puts {
 			g := put.Record.(*statecache.MachineGroup)
@@ -133,7 +133,7 @@
 	batch := func(writes int, groups ...*statecache.MachineGroup) *updateBatch {
 		b := &updateBatch{writes: writes, maxWrites: 8, groups: map[string]*groupUpdates{}}
 		for _, g := range groups {
-			edits := &groupUpdates{update: view.UpdateGroup(g.Name), machines: map[string]machineUpdate{}}
+			edits := &groupUpdates{update: view.UpdateGroup(g.Name), machines: map[wire.MachineID]machineUpdate{}}
 			for _, machine := range g.Machines {
 				edits.machines[machine.Name] = machineUpdate{suspected: true}
 				edits.machines[machine.Name].applyTo(edits.update, machine.Name)
--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -79,25 +79,25 @@
 }
 
 // Provision rents machines.
-func (c *Client) Provision(ctx context.Context, r wire.ProvisionRequest) ([]string, error) {
+func (c *Client) Provision(ctx context.Context, r wire.ProvisionRequest) ([]wire.MachineID, error) {
 	var out wire.MachineNames
 	err := c.call(ctx, http.MethodPost, "/hosts", r, &out)
 	return out.Names, err
 }
 
 // Delete returns machines; once it succeeds, they are gone.
-func (c *Client) Delete(ctx context.Context, names []string) error {
+func (c *Client) Delete(ctx context.Context, names []wire.MachineID) error {
 	return c.call(ctx, http.MethodPost, "/hosts/delete", wire.MachineNames{Names: names}, nil)
 }
 
 // List reads every machine, page by page.
 func (c *Client) List(ctx context.Context) ([]wire.Instance, error) {
 	var all []wire.Instance
-	after := ""
+	after := wire.MachineID("")
 	for {
 		q := url.Values{"most": {strconv.Itoa(wire.MaxInstancesPerPage)}}
 		if after != "" {
-			q.Set("after", after)
+			q.Set("after", string(after))
 		}
 		var page wire.InstanceList
 		if err := c.call(ctx, http.MethodGet, "/hosts?"+q.Encode(), nil, &page); err != nil {
--- a/internal/heartbeat/receiver.go
+++ b/internal/heartbeat/receiver.go
@@ -45,10 +45,10 @@
 
 	view        *statecache.View
 	freshAsOf   time.Time
-	reachable   map[string]bool
-	onReachable []func(machines []string)
-	contacts    map[string]*contact
-	redirected  map[string]bool // machines sent away since the view was fresh last
+	reachable   map[wire.MachineID]bool
+	onReachable []func(machines []wire.MachineID)
+	contacts    map[wire.MachineID]*contact
+	redirected  map[wire.MachineID]bool // machines sent away since the view was fresh last
 }
 
 // contact is what this node knows of a machine from hearing it.
@@ -66,7 +66,7 @@
 	r := &Receiver{
 		Actor: actor.Start(ctx, "reports", 512), config: cfg, incarnation: boot, cache: l, routes: to,
 		view:      statecache.NewUnfinishedView(statecache.ChunkTasks(cfg.Params.Store.MaxValueKB)),
-		reachable: map[string]bool{}, contacts: map[string]*contact{}, redirected: map[string]bool{},
+		reachable: map[wire.MachineID]bool{}, contacts: map[wire.MachineID]*contact{}, redirected: map[wire.MachineID]bool{},
 	}
 	l.Subscribe(func(d statecache.Update) { r.Send(func() { r.apply(d) }) })
 	r.Every(config.Seconds(cfg.Params.Workers.HeartbeatInterval/3), r.announceReachable)
@@ -75,7 +75,9 @@
 
 // OnReachable registers a receiver of the machines that reported lately; to be
 // called before the first report.
-func (r *Receiver) OnReachable(f func(machines []string)) { r.onReachable = append(r.onReachable, f) }
+func (r *Receiver) OnReachable(f func(machines []wire.MachineID)) {
+	r.onReachable = append(r.onReachable, f)
+}
 
 func (r *Receiver) apply(d statecache.Update) {
 	if d.FreshAsOf.After(r.freshAsOf) {
@@ -100,7 +102,7 @@
 	if len(r.reachable) == 0 {
 		return
 	}
-	list := make([]string, 0, len(r.reachable))
+	list := make([]wire.MachineID, 0, len(r.reachable))
 	for m := range r.reachable {
 		list = append(list, m)
 	}
@@ -128,7 +130,7 @@
 // A node that hears no other can't tell its own isolation from an outage for
 // all: it sends each worker away once, to look for a better one, and goes on
 // answering those that come back.
-func (r *Receiver) shouldRefuse(machine string, age time.Duration) bool {
+func (r *Receiver) shouldRefuse(machine wire.MachineID, age time.Duration) bool {
 	switch {
 	case age > r.renewalWindow():
 		return true
--- a/internal/peer/bench_test.go
+++ b/internal/peer/bench_test.go
@@ -7,6 +7,7 @@
 	"testing"
 
 	"lynxledge/internal/config"
+	"lynxledge/wire"
 )
 
 // BenchmarkHeartbeat is one heartbeat on its way to another controller: what it takes to
@@ -17,11 +18,11 @@
 		b.Run(fmt.Sprintf("machines=%d", machines), func(b *testing.B) {
 			m := &Transport{peers: map[string]*peerState{"n1": {Peer: config.Peer{Name: "n1"}}}}
 			taken := 0
-			receive := func(heard []string) { taken += len(heard) }
+			receive := func(heard []wire.MachineID) { taken += len(heard) }
 			m.onReachable.Store(&receive)
 			beat := PeerHeartbeat{Member: "n1", ViewAgeMillis: 900}
 			for i := range machines / controllers / 3 {
-				beat.Reachable = append(beat.Reachable, fmt.Sprintf("i-%06d", i))
+				beat.Reachable = append(beat.Reachable, wire.MachineID(fmt.Sprintf("i-%06d", i)))
 			}
 			b.ReportAllocs()
 			for b.Loop() {
--- a/internal/peer/transport.go
+++ b/internal/peer/transport.go
@@ -27,8 +27,8 @@
 	Member        string `json:"member"`
 	ViewAgeMillis int64  `json:"ageMs"` // of the sender's view; below 0: it has none
 	// Boot tells the sender's process from its earlier ones; 0: it doesn't say.
-	Incarnation uint64   `json:"boot,omitempty"`
-	Reachable   []string `json:"heard,omitempty"`
+	Incarnation uint64           `json:"boot,omitempty"`
+	Reachable   []wire.MachineID `json:"heard,omitempty"`
 	// Note is for the receiver to write, if it places.
 	Evidence *reconcile.Evidence `json:"note,omitempty"`
 }
@@ -43,8 +43,8 @@
 	peers             map[string]*peerState
 	freshestPeer      atomic.Pointer[peerState]
 	isolated          atomic.Bool
-	onReachable       atomic.Pointer[func([]string)]
-	onReachableBy     atomic.Pointer[func(member string, machines []string)]
+	onReachable       atomic.Pointer[func([]wire.MachineID)]
+	onReachableBy     atomic.Pointer[func(member string, machines []wire.MachineID)]
 	onEvidence        atomic.Pointer[func(reconcile.Evidence)]
 	watcher           atomic.Pointer[Watcher]
 	incarnation       atomic.Uint64
@@ -125,10 +125,10 @@
 }
 
 // OnReachable sets the receiver of the workers that others hear.
-func (m *Transport) OnReachable(f func([]string)) { m.onReachable.Store(&f) }
+func (m *Transport) OnReachable(f func([]wire.MachineID)) { m.onReachable.Store(&f) }
 
 // OnReachableBy sets the receiver of the workers that others hear, with who hears them.
-func (m *Transport) OnReachableBy(f func(member string, machines []string)) {
+func (m *Transport) OnReachableBy(f func(member string, machines []wire.MachineID)) {
 	m.onReachableBy.Store(&f)
 }
 
@@ -163,7 +163,7 @@
 }
 
 // AnnounceReachable tells the others which workers reported here.
-func (m *Transport) AnnounceReachable(machines []string) {
+func (m *Transport) AnnounceReachable(machines []wire.MachineID) {
 	b := m.withViewAge(PeerHeartbeat{Reachable: machines})
 	for _, p := range m.peers {
 		select {
--- a/internal/peer/transport_test.go
+++ b/internal/peer/transport_test.go
@@ -23,7 +23,7 @@
 // node is one controller's end of a mesh of two.
 type node struct {
 	*Transport
-	heard []string
+	heard []wire.MachineID
 	notes []reconcile.Evidence
 }
 
@@ -48,7 +48,7 @@
 				}
 				return time.Time{}
 			})
-			n.OnReachable(func(m []string) { n.heard = append(n.heard, m...) })
+			n.OnReachable(func(m []wire.MachineID) { n.heard = append(n.heard, m...) })
 			n.OnEvidence(func(x reconcile.Evidence) { n.notes = append(n.notes, x) })
 			go n.Serve(pipes.Listen(name, name+":1"), http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				b, _ := io.ReadAll(r.Body)
@@ -73,12 +73,12 @@
 func TestMeshThroughACut(t *testing.T) {
 	pair(t, func(net *simulation.Network, a, b *node, _ map[string]bool) {
 		note := reconcile.Evidence{Heartbeat: &wire.Heartbeat{Machine: "i-1", Address: "x:1", MachineType: "t", Zone: "z", Incarnation: 1}, TaskRuntimes: map[string]float64{"req-000001/0": 2.5}}
-		a.AnnounceReachable([]string{"i-1", "i-2"})
+		a.AnnounceReachable([]wire.MachineID{"i-1", "i-2"})
 		if !a.SendEvidence("n1", note) || a.SendEvidence("n9", note) {
 			t.Error("n1 out of reach, or n9 within")
 		}
 		time.Sleep(time.Second)
-		if !slices.Equal(b.heard, []string{"i-1", "i-2"}) || len(b.notes) != 1 || b.notes[0].TaskRuntimes["req-000001/0"] != 2.5 {
+		if !slices.Equal(b.heard, []wire.MachineID{"i-1", "i-2"}) || len(b.notes) != 1 || b.notes[0].TaskRuntimes["req-000001/0"] != 2.5 {
 			t.Errorf("n1 got %v, %+v", b.heard, b.notes)
 		}
 		if a.Isolated() || a.FreshPeer() != "n1" {
--- a/internal/planner/bench_test.go
+++ b/internal/planner/bench_test.go
@@ -25,7 +25,7 @@
 		if i%3 == 0 {
 			pool = resources.Pool{MachineType: "b", Zone: "c", Spot: true}
 		}
-		in.Machines = append(in.Machines, Machine{Name: fmt.Sprintf("i-%06d", i), Pool: pool, Age: float64(i), Schedulable: true, Tasks: []RunningTask{{Job: scan, Remaining: float64(i % 15)}}})
+		in.Machines = append(in.Machines, Machine{Name: wire.MachineID(fmt.Sprintf("i-%06d", i)), Pool: pool, Age: float64(i), Schedulable: true, Tasks: []RunningTask{{Job: scan, Remaining: float64(i % 15)}}})
 	}
 	for i := range max(1, machines/30) {
 		job := *scan
--- a/internal/planner/existing_test.go
+++ b/internal/planner/existing_test.go
@@ -57,7 +57,7 @@
 		in := base()
 		pools := []resources.Pool{{MachineType: "s", Zone: "a", Spot: false}, {MachineType: "s", Zone: "a", Spot: true}, {MachineType: "s", Zone: "b", Spot: true}, {MachineType: "l", Zone: "a", Spot: false}}
 		for i := range rapid.IntRange(1, 12).Draw(t, "machines") {
-			m := Machine{Name: fmt.Sprintf("i-%03d", i), Pool: rapid.SampledFrom(pools).Draw(t, "pool"), Schedulable: true}
+			m := Machine{Name: wire.MachineID(fmt.Sprintf("i-%03d", i)), Pool: rapid.SampledFrom(pools).Draw(t, "pool"), Schedulable: true}
 			m.ReadyIn = float64(rapid.SampledFrom([]int{0, 0, 20, 70}).Draw(t, "ready"))
 			for range rapid.IntRange(0, 3).Draw(t, "held") {
 				m.Tasks = append(m.Tasks, RunningTask{Job: job(1, true), Remaining: float64(rapid.IntRange(0, 100).Draw(t, "left"))})
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -30,7 +30,7 @@
 
 // Machine is one rented machine, up or not.
 type Machine struct {
-	Name string
+	Name wire.MachineID
 	Pool resources.Pool
 	Age  float64
 	// ReadyS is the expected time until it takes tasks; 0 once it is up.
@@ -66,7 +66,7 @@
 // Plan is what a pass decides.
 type Plan struct {
 	ScaleOut []ScaleOutRequest
-	ScaleIn  []string
+	ScaleIn  []wire.MachineID
 	Unmet    int // tasks for which no pool is to be had
 }
 
@@ -208,8 +208,8 @@
 
 // returns names idle machines that no load was put on and that are near a
 // multiple of the billing period.
-func (p *planning) returns() []string {
-	var out []string
+func (p *planning) returns() []wire.MachineID {
+	var out []wire.MachineID
 	for _, s := range p.room {
 		if s.taken || len(s.machine.Tasks) > 0 {
 			continue
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -97,7 +97,7 @@
 			in.Demands = append(in.Demands, Demand{Job: j, Count: j.TaskCount, Deadline: rapid.Float64Range(-50, 300).Draw(t, "due"), Runtime: 20, Zones: placement.ZoneCounts{}})
 		}
 		for i := range rapid.IntRange(0, 6).Draw(t, "machines") {
-			m := Machine{Name: fmt.Sprint(i), Pool: resources.Pool{MachineType: rapid.SampledFrom([]string{"s", "l"}).Draw(t, "type"), Zone: "a", Spot: rapid.Bool().Draw(t, "spotm")}, Schedulable: true, Age: rapid.Float64Range(0, 300).Draw(t, "age")}
+			m := Machine{Name: wire.MachineID(fmt.Sprint(i)), Pool: resources.Pool{MachineType: rapid.SampledFrom([]string{"s", "l"}).Draw(t, "type"), Zone: "a", Spot: rapid.Bool().Draw(t, "spotm")}, Schedulable: true, Age: rapid.Float64Range(0, 300).Draw(t, "age")}
 			if rapid.Bool().Draw(t, "busy") {
 				m.Tasks = []RunningTask{{job(2, true), 10}}
 			}
@@ -111,7 +111,7 @@
 		}
 		for _, name := range p.ScaleIn {
 			var i int
-			fmt.Sscan(name, &i)
+			fmt.Sscan(string(name), &i)
 			m := in.Machines[i]
 			if len(m.Tasks) > 0 || 60-math.Mod(m.Age, 60) > 10 {
 				t.Fatalf("returns %+v", m)
--- a/internal/planner/slot.go
+++ b/internal/planner/slot.go
@@ -79,7 +79,7 @@
 		if d := len(b.taskEnds) - len(a.taskEnds); d != 0 {
 			return d
 		}
-		return strings.Compare(a.machine.Name, b.machine.Name)
+		return strings.Compare(string(a.machine.Name), string(b.machine.Name))
 	})
 }
 
--- a/internal/recovery/admission.go
+++ b/internal/recovery/admission.go
@@ -9,6 +9,7 @@
 	"lynxledge/internal/scheduler"
 	"lynxledge/internal/statecache"
 	"lynxledge/internal/zonehealth"
+	"lynxledge/wire"
 )
 
 // Admission is which machines of a recovering zone take new tasks. The machines are in a
@@ -24,14 +25,14 @@
 }
 
 // orderNumber is a machine's place in the order of admission.
-func orderNumber(machine string) uint64 {
+func orderNumber(machine wire.MachineID) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(machine)) // never fails
 	return max(1, h.Sum64())        // 0 admits none
 }
 
 // admits tells whether a machine takes tasks of services, or of arrays.
-func (a *Admission) admits(machine string, service bool) bool {
+func (a *Admission) admits(machine wire.MachineID, service bool) bool {
 	switch {
 	case a.Phase == zonehealth.Lost:
 		return !service && a.arraysAnyway
--- a/internal/recovery/plan_test.go
+++ b/internal/recovery/plan_test.go
@@ -64,7 +64,7 @@
 	}}
 	for i := range rapid.IntRange(0, 8).Draw(t, "nodes") {
 		n := &scheduler.Node{
-			Name: fmt.Sprintf("i-%02d", i), MachineType: rapid.SampledFrom(testTypes).Draw(t, "type"), Schedulable: true,
+			Name: wire.MachineID(fmt.Sprintf("i-%02d", i)), MachineType: rapid.SampledFrom(testTypes).Draw(t, "type"), Schedulable: true,
 			Zone: rapid.SampledFrom([]string{"a", "b", "b", "c", "c"}).Draw(t, "zone"), Spot: rapid.Bool().Draw(t, "spot"),
 		}
 		n.Used = resources.Vector{CPUs: float64(rapid.IntRange(0, 4).Draw(t, "used")), MemoryGB: float64(rapid.IntRange(0, 8).Draw(t, "usedMemory"))}
@@ -161,7 +161,7 @@
 // A service that may be anywhere leaves the only zone that another allows to it: the
 // order alone would not.
 func TestSolverLeavesTheOnlyZone(t *testing.T) {
-	node := func(name, zone string) *scheduler.Node {
+	node := func(name wire.MachineID, zone string) *scheduler.Node {
 		return &scheduler.Node{Name: name, MachineType: testTypes[0], Zone: zone, Schedulable: true}
 	}
 	service := func(id wire.JobID, zone string) *Service {
@@ -182,7 +182,7 @@
 func TestSolverIsBounded(t *testing.T) {
 	in := Input{TeamQuota: func(string) config.TeamQuota { return config.TeamQuota{} }}
 	for i := range 40 {
-		in.Nodes = append(in.Nodes, &scheduler.Node{Name: fmt.Sprintf("i-%02d", i), MachineType: testTypes[i%2], Zone: []string{"b", "c", "d"}[i%3], Spot: i%4 == 0, Schedulable: true})
+		in.Nodes = append(in.Nodes, &scheduler.Node{Name: wire.MachineID(fmt.Sprintf("i-%02d", i)), MachineType: testTypes[i%2], Zone: []string{"b", "c", "d"}[i%3], Spot: i%4 == 0, Schedulable: true})
 	}
 	for i := range 60 {
 		j := &wire.Job{ID: wire.JobID(fmt.Sprintf("req-%06d", i)), Team: "blue", Kind: wire.KindService, TaskCount: 9, CPUs: 1 + float64(i)/30, MemoryGB: 1, SpreadZones: true}
@@ -203,7 +203,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		var nodes []*scheduler.Node
 		for i := range rapid.IntRange(1, 50).Draw(t, "machines") {
-			nodes = append(nodes, &scheduler.Node{Name: fmt.Sprintf("i-%06d", i*7), Zone: "a", Schedulable: true})
+			nodes = append(nodes, &scheduler.Node{Name: wire.MachineID(fmt.Sprintf("i-%06d", i*7)), Zone: "a", Schedulable: true})
 		}
 		order := orderNumbers("a", nodes)
 		count := func(share float64) (n int) {
@@ -228,7 +228,7 @@
 	for _, machines := range []int{48, 400, 4000} {
 		in := Input{TeamQuota: func(string) config.TeamQuota { return config.TeamQuota{} }}
 		for i := range machines * 2 / 3 {
-			n := &scheduler.Node{Name: fmt.Sprintf("i-%06d", i), MachineType: testTypes[i%2], Zone: []string{"b", "c"}[i/2%2], Spot: i%5 == 0, Schedulable: true}
+			n := &scheduler.Node{Name: wire.MachineID(fmt.Sprintf("i-%06d", i)), MachineType: testTypes[i%2], Zone: []string{"b", "c"}[i/2%2], Spot: i%5 == 0, Schedulable: true}
 			n.Used = resources.Vector{CPUs: float64(i % 4), MemoryGB: float64(i % 9)}
 			in.Nodes = append(in.Nodes, n)
 		}
--- a/internal/recovery/room.go
+++ b/internal/recovery/room.go
@@ -57,7 +57,7 @@
 	for _, b := range r.buckets {
 		limit := resources.OfMachineType(b.machineType)
 		slices.SortFunc(b.slots, func(x, y *slot) int {
-			return cmp.Or(cmp.Compare(y.used.Share(limit), x.used.Share(limit)), strings.Compare(x.node.Name, y.node.Name))
+			return cmp.Or(cmp.Compare(y.used.Share(limit), x.used.Share(limit)), strings.Compare(string(x.node.Name), string(y.node.Name)))
 		})
 	}
 	slices.SortFunc(r.buckets, func(x, y *bucket) int {
--- a/internal/recovery/scaling_policy.go
+++ b/internal/recovery/scaling_policy.go
@@ -7,6 +7,7 @@
 	"lynxledge/internal/config"
 	"lynxledge/internal/statecache"
 	"lynxledge/internal/zonehealth"
+	"lynxledge/wire"
 )
 
 // ScalingPolicy tells the planner what recovering zones mean for renting: nothing is rented in
@@ -52,7 +53,7 @@
 
 // WithheldFor tells in how many seconds machines that are up will take tasks, for those
 // that don't yet.
-func (r *ScalingPolicy) WithheldFor(now time.Time, view *statecache.View) map[string]float64 {
+func (r *ScalingPolicy) WithheldFor(now time.Time, view *statecache.View) map[wire.MachineID]float64 {
 	if r == nil || !Recovering(view.ZoneRecoveries) {
 		return nil
 	}
@@ -65,7 +66,7 @@
 	for zone := range order {
 		slices.Sort(order[zone])
 	}
-	withheld := map[string]float64{}
+	withheld := map[wire.MachineID]float64{}
 	for name, m := range view.Machines {
 		z := view.ZoneRecoveries.Find(m.Zone)
 		if z == nil || !m.Schedulable() {
--- a/internal/scheduler/advisor.go
+++ b/internal/scheduler/advisor.go
@@ -107,7 +107,7 @@
 }
 
 // hasBinding tells whether the group's next record still binds a task to a machine.
-func (d *groupUpdate) hasBinding(machine string, job wire.JobID, n int) bool {
+func (d *groupUpdate) hasBinding(machine wire.MachineID, job wire.JobID, n int) bool {
 	return slices.ContainsFunc(d.Machines, func(m *statecache.Machine) bool {
 		return m.Name == machine && m.FindBinding(job, n) != nil
 	})
--- a/internal/scheduler/backoff.go
+++ b/internal/scheduler/backoff.go
@@ -18,7 +18,7 @@
 type jobFailures struct {
 	count    int
 	until    time.Time
-	machines map[string]bool
+	machines map[wire.MachineID]bool
 }
 
 // learnFromTerminations learns from what a group's new record says of the tasks that left.
@@ -38,10 +38,10 @@
 // backOffJob backs a job off: a refusal for want of room for one report, a real
 // failure twice as long each time, up to a lease: no job is left waiting beside
 // room for much longer than that.
-func (p *Scheduler) backOffJob(job wire.JobID, machine string, why wire.ExitReason, now time.Time) {
+func (p *Scheduler) backOffJob(job wire.JobID, machine wire.MachineID, why wire.ExitReason, now time.Time) {
 	f := p.failures[job]
 	if f == nil {
-		f = &jobFailures{machines: map[string]bool{}}
+		f = &jobFailures{machines: map[wire.MachineID]bool{}}
 		p.failures[job] = f
 	}
 	f.machines[machine] = true
--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -52,7 +52,7 @@
 		for i := first; i < min(first+benchGroupSize, machines); i++ {
 			task := statecache.TaskBinding{Job: wire.JobID(fmt.Sprintf("req-%06d", i%jobs)), TaskIndex: i / jobs, Attempt: 1}
 			g.Machines = append(g.Machines, &statecache.Machine{
-				Name: fmt.Sprintf("i-%06d", i), Group: g.Name, MachineType: "s", Zone: "a", Spot: true, Address: "10.0.0.1:9", Incarnation: 1, FencingToken: 9,
+				Name: wire.MachineID(fmt.Sprintf("i-%06d", i)), Group: g.Name, MachineType: "s", Zone: "a", Spot: true, Address: "10.0.0.1:9", Incarnation: 1, FencingToken: 9,
 				Bindings: []statecache.TaskBinding{task},
 			})
 		}
--- a/internal/scheduler/commit.go
+++ b/internal/scheduler/commit.go
@@ -26,11 +26,11 @@
 	placed                  map[wire.JobID]int
 	usage                   resources.Usage
 	guaranteed              map[wire.JobID]bool // jobs within their teams' guarantees
-	launches                map[string][]wire.Command
-	stops                   map[string][]wire.Command
-	terminated              int                            // tasks that left
-	terminationBytes        int                            // bytes of what the records say of them
-	launchedMachines        map[string]*statecache.Machine // of the machines with starts
+	launches                map[wire.MachineID][]wire.Command
+	stops                   map[wire.MachineID][]wire.Command
+	terminated              int                                    // tasks that left
+	terminationBytes        int                                    // bytes of what the records say of them
+	launchedMachines        map[wire.MachineID]*statecache.Machine // of the machines with starts
 	onCommitted             []func()
 	victimFactsUpdated      map[*Node]bool            // brought up to date for choices of victims
 	updatedGroupNodes       []*Node                   // with room, in groups that are written anyhow
@@ -53,9 +53,9 @@
 		assignmentPreconditions: map[string]uint64{},
 		placed:                  map[wire.JobID]int{},
 		usage:                   maps.Clone(tally),
-		launches:                map[string][]wire.Command{},
-		stops:                   map[string][]wire.Command{},
-		launchedMachines:        map[string]*statecache.Machine{},
+		launches:                map[wire.MachineID][]wire.Command{},
+		stops:                   map[wire.MachineID][]wire.Command{},
+		launchedMachines:        map[wire.MachineID]*statecache.Machine{},
 		victimFactsUpdated:      map[*Node]bool{},
 	}
 }
@@ -144,7 +144,7 @@
 // commit makes the round's changes, if there are any.
 func (p *Scheduler) commit(r *cycle) {
 	c := statecache.Commit{RetryUntilCertain: true, RetryFor: p.heartbeats(0.5)}
-	var touched []string
+	var touched []wire.MachineID
 	for _, d := range r.groupUpdates {
 		for _, b := range d.Machines {
 			touched = append(touched, b.Name)
@@ -234,7 +234,7 @@
 }
 
 // resetNodes makes nodes that a round has changed say again what their rows do.
-func (p *Scheduler) resetNodes(machines []string) {
+func (p *Scheduler) resetNodes(machines []wire.MachineID) {
 	for _, m := range machines {
 		if b := p.view.Machines[m]; b != nil {
 			p.refreshNode(m, b)
--- a/internal/scheduler/cycle_test.go
+++ b/internal/scheduler/cycle_test.go
@@ -53,7 +53,7 @@
 	g := &statecache.MachineGroup{Name: name, MachineType: "s", Zone: "a"}
 	for i := range machines {
 		g.Machines = append(g.Machines, &statecache.Machine{
-			Name: fmt.Sprintf("i-%s%03d", name, i), Address: "x:1", Incarnation: 1, FencingToken: 9,
+			Name: wire.MachineID(fmt.Sprintf("i-%s%03d", name, i)), Address: "x:1", Incarnation: 1, FencingToken: 9,
 			Bindings: []statecache.TaskBinding{{Job: "req-000001", TaskIndex: 100*int(name[0]-'a') + i, Attempt: 1}},
 		})
 	}
@@ -119,7 +119,7 @@
 					first = append(first, g)
 				}
 				for m := range p.nodes {
-					p.resetNodes([]string{m})
+					p.resetNodes([]wire.MachineID{m})
 				}
 			})
 			return first
@@ -309,8 +309,8 @@
 				p.workers = c
 				rec := &statecache.Machine{Name: "i-a000", Address: "x:1", Incarnation: 1, FencingToken: 10}
 				p.launch(&cycle{
-					now: time.Now().Add(-ago), launchedMachines: map[string]*statecache.Machine{"i-a000": rec},
-					launches: map[string][]wire.Command{"i-a000": {{Op: wire.OpLaunch, Task: "req-000001/7", Attempt: 10}}},
+					now: time.Now().Add(-ago), launchedMachines: map[wire.MachineID]*statecache.Machine{"i-a000": rec},
+					launches: map[wire.MachineID][]wire.Command{"i-a000": {{Op: wire.OpLaunch, Task: "req-000001/7", Attempt: 10}}},
 				})
 			})
 			synctest.Wait()
@@ -470,7 +470,7 @@
 					out = out || w.id == "req-000001"
 				}
 				clear(p.preemptedUntil)
-				p.resetNodes([]string{"i-a000"})
+				p.resetNodes([]wire.MachineID{"i-a000"})
 			})
 			return out
 		}
@@ -525,7 +525,7 @@
 		limit := p.config.Params.Store.ValueSizeLimit()
 		group := &statecache.MachineGroup{Name: "a", MachineType: "s", Zone: "a"}
 		for i := 0; group.RetainedSize() < limit*87/100; i++ {
-			b := &statecache.Machine{Name: fmt.Sprintf("i-a%03d", i), Address: "x:1", Incarnation: 1, FencingToken: statecache.FirstToken(1) + 9}
+			b := &statecache.Machine{Name: wire.MachineID(fmt.Sprintf("i-a%03d", i)), Address: "x:1", Incarnation: 1, FencingToken: statecache.FirstToken(1) + 9}
 			for n := range 6 {
 				b.Bindings = append(b.Bindings, statecache.TaskBinding{Job: "req-000001", TaskIndex: 100 + 6*i + n, Attempt: statecache.FirstToken(1) + 8})
 			}
--- a/internal/scheduler/node_index.go
+++ b/internal/scheduler/node_index.go
@@ -6,6 +6,7 @@
 
 	"lynxledge/internal/resources"
 	"lynxledge/internal/statecache"
+	"lynxledge/wire"
 )
 
 type nodePool struct {
@@ -52,7 +53,7 @@
 
 // recordImageFetch moves an image to the front of a machine's cache, as far as it can
 // be known from here.
-func (p *Scheduler) recordImageFetch(machine, typ, name string, gb float64) {
+func (p *Scheduler) recordImageFetch(machine wire.MachineID, typ, name string, gb float64) {
 	old := p.imageCaches[machine]
 	if len(old) > 0 && old[0].name == name {
 		return
@@ -77,7 +78,7 @@
 
 // refreshNode makes a machine's node anew from its row, and keeps the sums and the
 // indexes over the nodes; without a row the node goes.
-func (p *Scheduler) refreshNode(machine string, b *statecache.Machine) {
+func (p *Scheduler) refreshNode(machine wire.MachineID, b *statecache.Machine) {
 	n := p.nodes[machine]
 	if n != nil {
 		p.updateIndexes(n, -1)
--- a/internal/scheduler/pending_evidence.go
+++ b/internal/scheduler/pending_evidence.go
@@ -49,9 +49,9 @@
 }
 
 // storeEvidence puts a note with those of its group.
-func (p *Scheduler) storeEvidence(group, machine string, n *pendingEvidence) {
+func (p *Scheduler) storeEvidence(group string, machine wire.MachineID, n *pendingEvidence) {
 	if p.pendingEvidence[group] == nil {
-		p.pendingEvidence[group] = map[string]*pendingEvidence{}
+		p.pendingEvidence[group] = map[wire.MachineID]*pendingEvidence{}
 	}
 	p.pendingEvidence[group][machine] = n
 }
--- a/internal/scheduler/pick_node.go
+++ b/internal/scheduler/pick_node.go
@@ -24,7 +24,7 @@
 
 // Node is a machine that may take tasks.
 type Node struct {
-	Name        string
+	Name        wire.MachineID
 	Group       string
 	MachineType *wire.MachineType
 	Zone        string
--- a/internal/scheduler/pick_node_test.go
+++ b/internal/scheduler/pick_node_test.go
@@ -31,7 +31,7 @@
 	var nodes []*Node
 	for i := range rapid.IntRange(0, 8).Draw(t, "nodes") {
 		n := &Node{
-			Name: fmt.Sprint(i), MachineType: &testTypes[rapid.IntRange(0, 1).Draw(t, "type")],
+			Name: wire.MachineID(fmt.Sprint(i)), MachineType: &testTypes[rapid.IntRange(0, 1).Draw(t, "type")],
 			Zone: rapid.SampledFrom([]string{"p", "q"}).Draw(t, "zone"), Spot: rapid.Bool().Draw(t, "spotm"),
 			HasImage: func(string) bool { return i%2 == 0 },
 		}
@@ -154,7 +154,7 @@
 func TestSampleIsBounded(t *testing.T) {
 	nodes := make([]*Node, 500)
 	for i := range nodes {
-		nodes[i] = &Node{Name: fmt.Sprint(i)}
+		nodes[i] = &Node{Name: wire.MachineID(fmt.Sprint(i))}
 	}
 	got := Sample(nodes, rand.New(rand.NewPCG(1, 1)))
 	seen := map[*Node]bool{}
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -48,29 +48,29 @@
 	activeJobs          map[wire.JobID]*statecache.Job
 	quotaClaims         quotaClaimList // of the active jobs
 	runtimes            *estimate.RuntimeEstimator
-	firstIncompleteTask map[wire.JobID]int          // lowest task of a job that may not be done
-	imageCaches         map[string][]cachedImage    // machine: images fetched there, newest first
-	failures            map[wire.JobID]*jobFailures // job: what went wrong lately
-	avoidUntil          map[string]time.Time        // machine: not to be used until
-	preemptedUntil      map[wire.JobID]time.Time    // array: not to be placed until, since a task of it gave way as soon as it was
+	firstIncompleteTask map[wire.JobID]int               // lowest task of a job that may not be done
+	imageCaches         map[wire.MachineID][]cachedImage // machine: images fetched there, newest first
+	failures            map[wire.JobID]*jobFailures      // job: what went wrong lately
+	avoidUntil          map[wire.MachineID]time.Time     // machine: not to be used until
+	preemptedUntil      map[wire.JobID]time.Time         // array: not to be placed until, since a task of it gave way as soon as it was
 
-	nodes             map[string]*Node
+	nodes             map[wire.MachineID]*Node
 	allNodes          []*Node
 	nodesWithCapacity []*Node // those with room
 	pools             map[nodePool]poolCapacity
-	startingNodes     map[string]*Node // machines that are coming up
+	startingNodes     map[wire.MachineID]*Node // machines that are coming up
 	usage             resources.Usage
 
 	advisor              Advisor // nil: zones that recover are treated like any other
 	advice               Advice  // of the last round; nil: no zone recovers
 	nodesWithReservation []*Node // those with reserved room
 
-	pendingEvidence     map[string]map[string]*pendingEvidence // group, machine
-	lastTermination     time.Time                              // when somebody last wrote what reports proved
-	fullyCompletedSince map[wire.JobID]time.Time               // complete jobs that are not called done yet, since
-	oversizedGroups     map[string]bool                        // groups whose records can hardly be written, or not at all
-	crowdedGroups       map[string]bool                        // groups whose records are full before their machines are
-	cancelledDependents map[wire.JobID]*statecache.Job         // cancelled with a predecessor, which their own records don't say yet
+	pendingEvidence     map[string]map[wire.MachineID]*pendingEvidence // group, machine
+	lastTermination     time.Time                                      // when somebody last wrote what reports proved
+	fullyCompletedSince map[wire.JobID]time.Time                       // complete jobs that are not called done yet, since
+	oversizedGroups     map[string]bool                                // groups whose records can hardly be written, or not at all
+	crowdedGroups       map[string]bool                                // groups whose records are full before their machines are
+	cancelledDependents map[wire.JobID]*statecache.Job                 // cancelled with a predecessor, which their own records don't say yet
 
 	commitInFlight bool
 	cycleScheduled bool
@@ -102,15 +102,15 @@
 		activeJobs:          map[wire.JobID]*statecache.Job{},
 		runtimes:            estimate.NewRuntimeEstimator(),
 		firstIncompleteTask: map[wire.JobID]int{},
-		imageCaches:         map[string][]cachedImage{},
+		imageCaches:         map[wire.MachineID][]cachedImage{},
 		failures:            map[wire.JobID]*jobFailures{},
-		avoidUntil:          map[string]time.Time{},
+		avoidUntil:          map[wire.MachineID]time.Time{},
 		preemptedUntil:      map[wire.JobID]time.Time{},
-		nodes:               map[string]*Node{},
+		nodes:               map[wire.MachineID]*Node{},
 		pools:               map[nodePool]poolCapacity{},
-		startingNodes:       map[string]*Node{},
+		startingNodes:       map[wire.MachineID]*Node{},
 		usage:               resources.Usage{},
-		pendingEvidence:     map[string]map[string]*pendingEvidence{},
+		pendingEvidence:     map[string]map[wire.MachineID]*pendingEvidence{},
 		fullyCompletedSince: map[wire.JobID]time.Time{},
 		oversizedGroups:     map[string]bool{},
 		crowdedGroups:       map[string]bool{},
--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -21,15 +21,15 @@
 	limit   int            // machines of one pool
 	limits  map[string]int // of the pools of a type, if another
 	lag     time.Duration
-	hires   map[string][]string
-	hosts   map[string]*host
+	hires   map[string][]wire.MachineID
+	hosts   map[wire.MachineID]*host
 	next    int
 	closed  map[string]bool // zones in which nothing is to be had
 	stuck   int             // machines that are still to be rented and will never come up
 	history []snapshot
 	boot    func(h wire.Instance) *Worker
-	bootMax time.Duration               // the longest time that a machine takes to come up
-	address func(machine string) string // where a machine is reached
+	bootMax time.Duration                       // the longest time that a machine takes to come up
+	address func(machine wire.MachineID) string // where a machine is reached
 }
 
 type host struct {
@@ -50,12 +50,12 @@
 func NewCloud(seed uint64, types []wire.MachineType, limit int, lag time.Duration, boot func(h wire.Instance) *Worker) *Cloud {
 	return &Cloud{
 		rng: rand.New(rand.NewPCG(seed, 8)), types: types, limit: limit, lag: lag,
-		hires: map[string][]string{}, hosts: map[string]*host{}, closed: map[string]bool{}, boot: boot,
-		bootMax: 20 * time.Second, address: func(machine string) string { return machine + port },
+		hires: map[string][]wire.MachineID{}, hosts: map[wire.MachineID]*host{}, closed: map[string]bool{}, boot: boot,
+		bootMax: 20 * time.Second, address: func(machine wire.MachineID) string { return string(machine) + port },
 	}
 }
 
-func (c *Cloud) hire(ctx context.Context, r wire.ProvisionRequest) ([]string, error) {
+func (c *Cloud) hire(ctx context.Context, r wire.ProvisionRequest) ([]wire.MachineID, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if names, ok := c.hires[r.RequestID]; ok {
@@ -74,9 +74,9 @@
 	if c.closed[r.Zone] {
 		limit = 0
 	}
-	var names []string
+	var names []wire.MachineID
 	for range min(r.Count, limit-in) {
-		id := fmt.Sprintf("i-%06d", c.next)
+		id := wire.MachineID(fmt.Sprintf("i-%06d", c.next))
 		c.next++
 		h := &host{Instance: wire.Instance{ID: id, Address: c.address(id), MachineType: r.MachineType, Zone: r.Zone, Spot: r.Spot, State: wire.InstanceStarting}, rented: time.Now()}
 		c.hosts[id] = h
@@ -105,7 +105,7 @@
 	return names, nil
 }
 
-func (c *Cloud) delete(names []string) error {
+func (c *Cloud) delete(names []wire.MachineID) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, n := range names {
@@ -151,7 +151,7 @@
 
 // SetMachines sets the longest time that machines take to come up, and where each is
 // reached. To be called before any is rented.
-func (c *Cloud) SetMachines(bootMax time.Duration, address func(machine string) string) {
+func (c *Cloud) SetMachines(bootMax time.Duration, address func(machine wire.MachineID) string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.bootMax, c.address = bootMax, address
@@ -173,7 +173,7 @@
 
 // FailMachine stops the i-th machine that is up, with everything on it; taken: the
 // cloud takes it back, and it is not listed any more.
-func (c *Cloud) FailMachine(i int, taken bool) string {
+func (c *Cloud) FailMachine(i int, taken bool) wire.MachineID {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	up := c.up()
@@ -214,7 +214,7 @@
 }
 
 // Hang makes a machine stand still for a while.
-func (c *Cloud) Hang(id string, d time.Duration) {
+func (c *Cloud) Hang(id wire.MachineID, d time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if h := c.hosts[id]; h != nil && h.worker != nil {
@@ -223,7 +223,7 @@
 }
 
 // FastRestart restarts a machine at once.
-func (c *Cloud) FastRestart(id string) {
+func (c *Cloud) FastRestart(id wire.MachineID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if h := c.hosts[id]; h != nil && h.worker != nil {
@@ -232,7 +232,7 @@
 }
 
 // NotifyPreemption gives a machine notice that it will be taken, which happens then.
-func (c *Cloud) NotifyPreemption(id string, notice wire.Seconds) {
+func (c *Cloud) NotifyPreemption(id wire.MachineID, notice wire.Seconds) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	h := c.hosts[id]
@@ -262,14 +262,14 @@
 }
 
 // Up names the machines that run.
-func (c *Cloud) Up() []string {
+func (c *Cloud) Up() []wire.MachineID {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.up()
 }
 
-func (c *Cloud) up() []string {
-	var up []string
+func (c *Cloud) up() []wire.MachineID {
+	var up []wire.MachineID
 	for id, h := range c.hosts {
 		if h.State == wire.InstanceRunning {
 			up = append(up, id)
@@ -282,7 +282,7 @@
 func (c *Cloud) worker(addr string) *Worker {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if h := c.hosts[strings.TrimSuffix(addr, port)]; h != nil {
+	if h := c.hosts[wire.MachineID(strings.TrimSuffix(addr, port))]; h != nil {
 		return h.worker
 	}
 	return nil
@@ -303,12 +303,12 @@
 }
 
 // Provision rents.
-func (c *CloudConn) Provision(ctx context.Context, r wire.ProvisionRequest) ([]string, error) {
-	return send(ctx, c.Net, c.Node, CloudHost, c.Timeout, func() ([]string, error) { return c.Cloud.hire(c.World, r) })
+func (c *CloudConn) Provision(ctx context.Context, r wire.ProvisionRequest) ([]wire.MachineID, error) {
+	return send(ctx, c.Net, c.Node, CloudHost, c.Timeout, func() ([]wire.MachineID, error) { return c.Cloud.hire(c.World, r) })
 }
 
 // Delete returns machines.
-func (c *CloudConn) Delete(ctx context.Context, names []string) error {
+func (c *CloudConn) Delete(ctx context.Context, names []wire.MachineID) error {
 	_, err := send(ctx, c.Net, c.Node, CloudHost, c.Timeout, func() (struct{}, error) { return struct{}{}, c.Cloud.delete(names) })
 	return err
 }
--- a/internal/simulation/history/order.go
+++ b/internal/simulation/history/order.go
@@ -98,7 +98,7 @@
 }
 
 func (c *OrderChecker) revision(changes []statecache.Change) {
-	placed := map[string][]*wire.Job{} // machine: arrays with a new task there
+	placed := map[wire.MachineID][]*wire.Job{} // machine: arrays with a new task there
 	for _, change := range changes {
 		for _, m := range c.view.Apply(change) {
 			if m.New == nil {
--- a/internal/simulation/idle.go
+++ b/internal/simulation/idle.go
@@ -49,7 +49,7 @@
 // followRoom notes how much of each machine that is up is free, and counts each job's
 // tasks that are on machines.
 func (r *InvariantChecker) followRoom(up []wire.Instance, types []wire.MachineType, now time.Time) (on map[wire.JobID]int) {
-	used := map[string]amount{}
+	used := map[wire.MachineID]amount{}
 	on = map[wire.JobID]int{}
 	for task, h := range r.on {
 		id, _, _ := wire.ParseTaskName(task)
@@ -58,7 +58,7 @@
 		used[h.ID] = amount{u.cpus + j.CPUs, u.mem + j.MemoryGB}
 	}
 	gone := r.free
-	r.free = make(map[string]*freeRoom, len(up))
+	r.free = make(map[wire.MachineID]*freeRoom, len(up))
 	for _, h := range up {
 		i := slices.IndexFunc(types, func(x wire.MachineType) bool { return x.Name == h.MachineType })
 		if i < 0 {
@@ -77,7 +77,7 @@
 
 // roomFor names a machine that is up, on which one more task of a job may start, and
 // that has had room for it at all times since then, if there is one.
-func (r *InvariantChecker) roomFor(t *jobRecord, up []wire.Instance, since time.Time) string {
+func (r *InvariantChecker) roomFor(t *jobRecord, up []wire.Instance, since time.Time) wire.MachineID {
 	i := slices.IndexFunc(up, func(h wire.Instance) bool {
 		room := r.free[h.ID]
 		if room == nil || room.since.After(since) {
--- a/internal/simulation/invariants.go
+++ b/internal/simulation/invariants.go
@@ -24,7 +24,7 @@
 	late       int // tasks ordered to start after their job's confirmed cancellation
 	over       bool
 	atEnd      func(job wire.JobID)
-	free       map[string]*freeRoom // of machines that are up, by name
+	free       map[wire.MachineID]*freeRoom // of machines that are up, by name
 }
 
 type jobRecord struct {
@@ -50,7 +50,7 @@
 		jobs:    map[wire.JobID]*jobRecord{},
 		on:      map[string]wire.Instance{},
 		used:    map[string]float64{},
-		free:    map[string]*freeRoom{},
+		free:    map[wire.MachineID]*freeRoom{},
 	}
 	for _, t := range p.Teams {
 		r.teams[t.Name] = t
@@ -151,7 +151,7 @@
 }
 
 // Ended takes a task off its machine.
-func (r *InvariantChecker) Ended(machine, task string) {
+func (r *InvariantChecker) Ended(machine wire.MachineID, task string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.on[task].ID == machine {
--- a/internal/simulation/loopback/machines.go
+++ b/internal/simulation/loopback/machines.go
@@ -42,7 +42,7 @@
 	})
 	r.Get("/hosts", func(w http.ResponseWriter, r *http.Request) {
 		hosts, err := conn.List(r.Context())
-		after := r.URL.Query().Get("after")
+		after := wire.MachineID(r.URL.Query().Get("after"))
 		for len(hosts) > 0 && hosts[0].ID <= after {
 			hosts = hosts[1:]
 		}
@@ -82,18 +82,18 @@
 
 // Address is where a machine is reached. Machines are named i- and a number, and numbers
 // that are in use at the same time don't lie far apart.
-func (s Subnet) Address(machine string) string {
-	n, _ := strconv.Atoi(strings.TrimPrefix(machine, "i-"))
+func (s Subnet) Address(machine wire.MachineID) string {
+	n, _ := strconv.Atoi(strings.TrimPrefix(string(machine), "i-"))
 	return fmt.Sprintf("127.%d.%d.%d:%s", s.second, s.third, 1+n%maxOctet, workerPort)
 }
 
 // ServeWorker answers commands for a machine at an address until the context ends.
-func ServeWorker(ctx context.Context, machine, address string, conn *simulation.WorkerConn) error {
+func ServeWorker(ctx context.Context, machine wire.MachineID, address string, conn *simulation.WorkerConn) error {
 	listener, err := net.Listen("tcp4", address)
 	if err != nil {
 		return err
 	}
-	name := machine + ":9000" // as the fakes know it
+	name := string(machine) + ":9000" // as the fakes know it
 	r := chi.NewRouter()
 	r.Post("/do", func(w http.ResponseWriter, r *http.Request) {
 		var commands wire.CommandBatch
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -181,7 +181,7 @@
 		node := w.opt.Nodes[w.node]
 		w.mu.Unlock()
 		sent := time.Now()
-		v, err := send(w.ctx, w.opt.Net, w.host.ID, node, 4*time.Second, func() (verdict, error) {
+		v, err := send(w.ctx, w.opt.Net, string(w.host.ID), node, 4*time.Second, func() (verdict, error) {
 			post := w.opt.Post(node)
 			if post == nil {
 				return verdict{}, errNoAnswer
@@ -321,7 +321,7 @@
 	if w == nil {
 		return nil, errors.New("no such machine")
 	}
-	return send(ctx, c.Net, c.Node, w.host.ID, c.Timeout, func() (*wire.Heartbeat, error) {
+	return send(ctx, c.Net, c.Node, string(w.host.ID), c.Timeout, func() (*wire.Heartbeat, error) {
 		w.awake()
 		w.mu.Lock()
 		defer w.mu.Unlock()
--- a/internal/statecache/bench_test.go
+++ b/internal/statecache/bench_test.go
@@ -25,7 +25,7 @@
 func benchGroup(name string, first int) *MachineGroup {
 	g := &MachineGroup{Name: name, MachineType: "entoto-small", Zone: "bole", Spot: true, ProvisionedAt: 1790000010788}
 	for i := range benchMachines {
-		b := &Machine{Name: fmt.Sprintf("i-%06d", first+i), Address: fmt.Sprintf("10.100.1.%d:9000", i), Incarnation: 1, FencingToken: FirstToken(2) + 11}
+		b := &Machine{Name: wire.MachineID(fmt.Sprintf("i-%06d", first+i)), Address: fmt.Sprintf("10.100.1.%d:9000", i), Incarnation: 1, FencingToken: FirstToken(2) + 11}
 		for n := range benchTasks {
 			b.Bindings = append(b.Bindings, TaskBinding{Job: wire.JobID(fmt.Sprintf("req-%06d", (first+i)%40)), TaskIndex: n, Attempt: FirstToken(2) + 10})
 		}
--- a/internal/statecache/cache_test.go
+++ b/internal/statecache/cache_test.go
@@ -26,7 +26,7 @@
 	g := NewMachineGroup("g", "t", "z", rapid.Bool().Draw(t, "spot"), 5, nil, 0)
 	for i := range rapid.IntRange(0, 6).Draw(t, "machines") {
 		b := &Machine{
-			Name: fmt.Sprintf("i-%06d", i), Group: "g", MachineType: "t", Zone: "z", Spot: g.Spot, ProvisionedAt: 5,
+			Name: wire.MachineID(fmt.Sprintf("i-%06d", i)), Group: "g", MachineType: "t", Zone: "z", Spot: g.Spot, ProvisionedAt: 5,
 			Incarnation: uint64(rapid.IntRange(0, 3).Draw(t, "session")), FencingToken: FirstToken(uint64(rapid.IntRange(3, 4).Draw(t, "term"))) + uint64(rapid.IntRange(0, 99).Draw(t, "token")),
 			Suspected: rapid.Bool().Draw(t, "quiet"), Terminating: rapid.Bool().Draw(t, "closed"),
 			DrainReason: rapid.SampledFrom([]string{"", "idle", "spot-notice"}).Draw(t, "drain"),
@@ -233,7 +233,7 @@
 		groups := map[string]*MachineGroup{"a": {Name: "a", MachineType: "t", Zone: "z", ProvisionedAt: 5}, "b": {Name: "b", MachineType: "t", Zone: "z", ProvisionedAt: 7}}
 		for i := range n {
 			g := groups[rapid.SampledFrom([]string{"a", "b"}).Draw(t, "group")]
-			b := &Machine{Name: fmt.Sprintf("i-%06d", i), Address: fmt.Sprintf("10.0.%d.1:9", i), Incarnation: 1, FencingToken: FirstToken(1) + uint64(i)}
+			b := &Machine{Name: wire.MachineID(fmt.Sprintf("i-%06d", i)), Address: fmt.Sprintf("10.0.%d.1:9", i), Incarnation: 1, FencingToken: FirstToken(1) + uint64(i)}
 			if rapid.Bool().Draw(t, "busy") {
 				b.Bindings = []TaskBinding{{Job: "req-000001", TaskIndex: i, Attempt: b.FencingToken}}
 			}
@@ -337,7 +337,7 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		conn := &simulation.StoreConn{Store: simulation.NewStore(), Net: simulation.NewNetwork(1, time.Millisecond), Node: "n0", Timeout: time.Second}
-		write := func(key string, machines ...string) wire.Write {
+		write := func(key string, machines ...wire.MachineID) wire.Write {
 			raw, err := json.Marshal(NewMachineGroup("", "t", "z", false, 5, machines, 9))
 			if err != nil {
 				t.Fatal(err)
--- a/internal/statecache/completion_codec.go
+++ b/internal/statecache/completion_codec.go
@@ -53,7 +53,7 @@
 
 func encodeTermination(g *Termination) string {
 	why := strings.ReplaceAll(string(g.Reason), " ", "-") // a worker's word, perhaps an unknown one
-	s := g.Machine + " " + string(g.Job)[len(jobPrefix):] + "/" + strconv.Itoa(g.TaskIndex) + " " + why
+	s := string(g.Machine) + " " + string(g.Job)[len(jobPrefix):] + "/" + strconv.Itoa(g.TaskIndex) + " " + why
 	if g.Runtime > 0 {
 		s += " " + strconv.FormatFloat(g.Runtime, 'f', 1, 64)
 	}
@@ -69,7 +69,7 @@
 	if !ok {
 		return Termination{}, fmt.Errorf("gone %.80q", s)
 	}
-	g := Termination{Machine: f[0], Job: job, TaskIndex: n, Reason: wire.ExitReason(f[2])}
+	g := Termination{Machine: wire.MachineID(f[0]), Job: job, TaskIndex: n, Reason: wire.ExitReason(f[2])}
 	if len(f) > 3 {
 		var err error
 		if g.Runtime, err = strconv.ParseFloat(f[3], 64); err != nil {
--- a/internal/statecache/group_codec.go
+++ b/internal/statecache/group_codec.go
@@ -23,9 +23,9 @@
 	first := true
 	for i, b := range binds {
 		if i == 0 {
-			a.Name, a.TokenBase = b.Name, b.FencingToken
+			a.Name, a.TokenBase = string(b.Name), b.FencingToken
 		}
-		a.Name = b.Name[:prefixLen(a.Name, b.Name)]
+		a.Name = string(b.Name)[:prefixLen(a.Name, string(b.Name))]
 		a.TokenBase = min(a.TokenBase, b.FencingToken)
 		if b.Address == "" {
 			continue
@@ -164,7 +164,7 @@
 	for i, row := range r.Machines {
 		machine, _, _ := strings.Cut(row, " ")
 		machine = r.Affixes.Name + machine
-		for old != nil && k < len(old.Machines) && old.Machines[k].Name < machine {
+		for old != nil && k < len(old.Machines) && string(old.Machines[k].Name) < machine {
 			k++
 		}
 		if old != nil && k < len(old.Machines) && old.Machines[k].encoded == row {
--- a/internal/statecache/group_split.go
+++ b/internal/statecache/group_split.go
@@ -102,7 +102,7 @@
 	}
 	from := d.Name
 	if len(d.Machines) > 0 {
-		from = d.Machines[0].Name
+		from = string(d.Machines[0].Name)
 	}
 	empty := groupOverheadBytes + len(d.MachineType) + len(d.Zone) + shared
 	return &groupSplit{group: d, firstMachine: from, maxBytes: fill, emptyBytes: empty, parts: []*GroupUpdate{d}, sizes: []int{empty}}
@@ -133,7 +133,7 @@
 		ProvisionedAt: p.group.ProvisionedAt,
 		Completions:   map[wire.JobID][]int{},
 	}
-	return &GroupUpdate{MachineGroup: group, term: p.group.term, updated: map[string]*Machine{}}
+	return &GroupUpdate{MachineGroup: group, term: p.group.term, updated: map[wire.MachineID]*Machine{}}
 }
 
 // AssignmentRevisions are the stamps of all assignments, by team.
--- a/internal/statecache/group_update.go
+++ b/internal/statecache/group_update.go
@@ -20,12 +20,12 @@
 type GroupUpdate struct {
 	MachineGroup
 	term    uint64
-	updated map[string]*Machine // rows rewritten
+	updated map[wire.MachineID]*Machine // rows rewritten
 }
 
 // UpdateGroup begins the next record of a group.
 func (v *View) UpdateGroup(name string) *GroupUpdate {
-	d := &GroupUpdate{MachineGroup: *v.Groups[name], term: v.CurrentTerm(), updated: map[string]*Machine{}}
+	d := &GroupUpdate{MachineGroup: *v.Groups[name], term: v.CurrentTerm(), updated: map[wire.MachineID]*Machine{}}
 	d.Machines = slices.Clone(d.Machines)
 	d.Terminations = nil
 	d.Completions = make(map[wire.JobID][]int, len(d.Completions))
@@ -38,7 +38,7 @@
 }
 
 // UpdateMachine is a machine's row, to be changed: its token is higher than before.
-func (d *GroupUpdate) UpdateMachine(machine string) *Machine {
+func (d *GroupUpdate) UpdateMachine(machine wire.MachineID) *Machine {
 	if b := d.updated[machine]; b != nil {
 		return b
 	}
@@ -52,7 +52,7 @@
 }
 
 // RemoveMachine takes a machine out that is gone.
-func (d *GroupUpdate) RemoveMachine(machine string) {
+func (d *GroupUpdate) RemoveMachine(machine wire.MachineID) {
 	if i, ok := d.machineIndex(machine); ok {
 		d.Machines = slices.Delete(d.Machines, i, i+1)
 	}
@@ -61,7 +61,7 @@
 // AdoptedGroupName names the group of a machine that was found, not rented. A late
 // copy of the commit that made it must find it still there: only what is rented
 // is guarded on an intent besides, so an adopted machine's group is not absorbed.
-func AdoptedGroupName(machine string) string { return adoptedGroupPrefix + machine }
+func AdoptedGroupName(machine wire.MachineID) string { return adoptedGroupPrefix + string(machine) }
 
 const adoptedGroupPrefix = "a."
 
@@ -101,8 +101,8 @@
 	}
 }
 
-func (d *GroupUpdate) machineIndex(machine string) (int, bool) {
-	return slices.BinarySearchFunc(d.Machines, machine, func(b *Machine, m string) int { return strings.Compare(b.Name, m) })
+func (d *GroupUpdate) machineIndex(machine wire.MachineID) (int, bool) {
+	return slices.BinarySearchFunc(d.Machines, machine, func(b *Machine, m wire.MachineID) int { return strings.Compare(string(b.Name), string(m)) })
 }
 
 // TrimToFit drops what is only worth knowing until the record is within limit
--- a/internal/statecache/machine_codec.go
+++ b/internal/statecache/machine_codec.go
@@ -19,7 +19,7 @@
 // base 36; attempts and stops as what they lie below the row's token.
 func (b *Machine) encode(a affixes) string {
 	s := make([]byte, 0, 64+24*len(b.Bindings))
-	s = append(s, b.Name[len(a.Name):]...)
+	s = append(s, string(b.Name)[len(a.Name):]...)
 	s = append(s, ' ')
 	if b.Address == "" {
 		s = append(s, noAddress...)
@@ -68,7 +68,7 @@
 	if len(f) < 5 {
 		return nil, fmt.Errorf("row %.80q", row)
 	}
-	b := &Machine{Name: a.Name + f[0], encoded: row}
+	b := &Machine{Name: wire.MachineID(a.Name + f[0]), encoded: row}
 	if f[1] != noAddress {
 		b.Address = a.Address + f[1] + a.Port
 	}
--- a/internal/statecache/machine_group.go
+++ b/internal/statecache/machine_group.go
@@ -25,7 +25,7 @@
 
 // Termination tells why a task left its machine.
 type Termination struct {
-	Machine   string
+	Machine   wire.MachineID
 	Job       wire.JobID
 	TaskIndex int
 	Reason    wire.ExitReason
@@ -50,7 +50,7 @@
 // Machine is one machine of a group and all that is bound to it. It is never
 // written to once it is part of a record.
 type Machine struct {
-	Name          string
+	Name          wire.MachineID
 	Group         string
 	MachineType   string
 	Zone          string
@@ -101,7 +101,7 @@
 }
 
 // NewMachineGroup makes the first record of machines; names must be sorted.
-func NewMachineGroup(name, typ, zone string, spot bool, at int64, machines []string, token uint64) *MachineGroup {
+func NewMachineGroup(name, typ, zone string, spot bool, at int64, machines []wire.MachineID, token uint64) *MachineGroup {
 	g := &MachineGroup{Name: name, MachineType: typ, Zone: zone, Spot: spot, ProvisionedAt: at}
 	for _, m := range machines {
 		g.Machines = append(g.Machines, &Machine{Name: m, FencingToken: token})
--- a/internal/statecache/upgrade_test.go
+++ b/internal/statecache/upgrade_test.go
@@ -78,9 +78,9 @@
 		}
 		g.ModRevision, g.Terminations = 9, nil
 		fill := rapid.IntRange(300, 1500).Draw(t, "fill")
-		d := &GroupUpdate{MachineGroup: *g, updated: map[string]*Machine{}}
+		d := &GroupUpdate{MachineGroup: *g, updated: map[wire.MachineID]*Machine{}}
 		all := append([]*GroupUpdate{d}, d.splitToFill(fill)...)
-		names, rows, marks := map[string]bool{}, map[string]*Machine{}, map[wire.JobID][]int{}
+		names, rows, marks := map[string]bool{}, map[wire.MachineID]*Machine{}, map[wire.JobID][]int{}
 		for _, part := range all {
 			if names[part.Name] {
 				t.Fatalf("%s twice", part.Name)
@@ -169,7 +169,7 @@
 		}
 		whole := NewMachineGroup("g", "t", "z", false, 5, nil, 0)
 		for i := range 9 {
-			whole.Machines = append(whole.Machines, &Machine{Name: fmt.Sprintf("i-%06d", i), Address: "x:1", Incarnation: 1, FencingToken: 8, Bindings: []TaskBinding{{Job: "req-000001", TaskIndex: i, Attempt: 7}}})
+			whole.Machines = append(whole.Machines, &Machine{Name: wire.MachineID(fmt.Sprintf("i-%06d", i)), Address: "x:1", Incarnation: 1, FencingToken: 8, Bindings: []TaskBinding{{Job: "req-000001", TaskIndex: i, Attempt: 7}}})
 		}
 		l.publish([]Change{change(whole, 4)})
 		d := l.view.UpdateGroup("g")
--- a/internal/statecache/view.go
+++ b/internal/statecache/view.go
@@ -18,8 +18,8 @@
 	Jobs                map[wire.JobID]*Job
 	CompletionChunks    map[wire.JobID]map[CompletionChunkID]*CompletionChunk // stored done sets
 	Groups              map[string]*MachineGroup
-	Machines            map[string]*Machine           // by machine
-	Bindings            map[wire.JobID]map[int]string // job, task: the machine it is bound to
+	Machines            map[wire.MachineID]*Machine           // by machine
+	Bindings            map[wire.JobID]map[int]wire.MachineID // job, task: the machine it is bound to
 	Assignments         map[string]*Assignment
 	Members             map[string]*Member
 	ProvisioningIntents map[string]*ProvisioningIntent
@@ -50,8 +50,8 @@
 // of a done set.
 func NewView(chunkTasks int) *View {
 	return &View{
-		Jobs: map[wire.JobID]*Job{}, CompletionChunks: map[wire.JobID]map[CompletionChunkID]*CompletionChunk{}, Groups: map[string]*MachineGroup{}, Machines: map[string]*Machine{},
-		Bindings: map[wire.JobID]map[int]string{}, Assignments: map[string]*Assignment{}, Members: map[string]*Member{},
+		Jobs: map[wire.JobID]*Job{}, CompletionChunks: map[wire.JobID]map[CompletionChunkID]*CompletionChunk{}, Groups: map[string]*MachineGroup{}, Machines: map[wire.MachineID]*Machine{},
+		Bindings: map[wire.JobID]map[int]wire.MachineID{}, Assignments: map[string]*Assignment{}, Members: map[string]*Member{},
 		ProvisioningIntents: map[string]*ProvisioningIntent{}, completions: map[wire.JobID]*completionSet{}, chunkTasks: chunkTasks,
 	}
 }
@@ -78,7 +78,7 @@
 
 // MachineChange is what a change of a group means for one machine.
 type MachineChange struct {
-	Machine  string
+	Machine  wire.MachineID
 	Old, New *Machine // nil: not there
 }
 
@@ -227,7 +227,7 @@
 	for i := range c.New.Bindings {
 		t := &c.New.Bindings[i]
 		if v.Bindings[t.Job] == nil {
-			v.Bindings[t.Job] = map[int]string{}
+			v.Bindings[t.Job] = map[int]wire.MachineID{}
 		}
 		v.Bindings[t.Job][t.TaskIndex] = c.Machine
 	}
--- a/internal/zonecontrol/controller.go
+++ b/internal/zonecontrol/controller.go
@@ -80,7 +80,7 @@
 }
 
 // MachinesReachable notes that a controller has heard machines.
-func (c *Controller) MachinesReachable(controller string, machines []string) {
+func (c *Controller) MachinesReachable(controller string, machines []wire.MachineID) {
 	c.Post(func() { c.census.MachinesReachable(controller, machines) })
 }
 
--- a/internal/zonecontrol/controller_test.go
+++ b/internal/zonecontrol/controller_test.go
@@ -12,6 +12,7 @@
 	"lynxledge/internal/scheduler"
 	"lynxledge/internal/simulation"
 	"lynxledge/internal/statecache"
+	"lynxledge/wire"
 )
 
 // noCluster has nothing placed.
@@ -74,11 +75,11 @@
 	return statecache.Put{Key: statecache.Key(statecache.KindMember, name), Record: statecache.Member{Incarnation: boot, Capabilities: capabilities}}
 }
 
-func machines(zone string, n int) (statecache.Put, []string) {
+func machines(zone string, n int) (statecache.Put, []wire.MachineID) {
 	g := &statecache.MachineGroup{Name: "g-" + zone, MachineType: "s", Zone: zone}
-	var names []string
+	var names []wire.MachineID
 	for i := range n {
-		name := fmt.Sprintf("i-%s%02d", zone, i)
+		name := wire.MachineID(fmt.Sprintf("i-%s%02d", zone, i))
 		names = append(names, name)
 		g.Machines = append(g.Machines, &statecache.Machine{Name: name, Address: "x:1", Incarnation: 1, FencingToken: 9})
 	}
@@ -86,7 +87,7 @@
 }
 
 // hear lets seconds pass in which machines are heard by a member.
-func hear(seconds int, m *member, heard []string) {
+func hear(seconds int, m *member, heard []wire.MachineID) {
 	for range seconds {
 		m.zones.MachinesReachable(m.name, heard)
 		time.Sleep(time.Second)
@@ -177,7 +178,7 @@
 		groupB, heard := machines("b", 8)
 		first.put(groupA, groupB, announce("n0", 1, statecache.CapabilityZoneRecovery), announce("n1", 2, statecache.CapabilityZoneRecovery))
 		first.lead(1)
-		both := func(seconds int, heard []string) {
+		both := func(seconds int, heard []wire.MachineID) {
 			for range seconds {
 				first.zones.MachinesReachable("n0", heard)
 				hear(1, second, heard)
--- a/internal/zonehealth/census.go
+++ b/internal/zonehealth/census.go
@@ -3,6 +3,8 @@
 import (
 	"time"
 
+	"lynxledge/wire"
+
 	"github.com/RoaringBitmap/roaring/v2"
 )
 
@@ -12,7 +14,7 @@
 // what a report costs does not depend on the size of the fleet.
 type Census struct {
 	silence  time.Duration
-	machines map[string]machine
+	machines map[wire.MachineID]machine
 	next     uint32 // numbers are not used again: a late report may still name an old one
 	zones    map[string]*zoneSets
 	hearings map[string]*window // by controller
@@ -35,7 +37,7 @@
 func NewCensus(now time.Time, silence time.Duration) *Census {
 	return &Census{
 		silence:  silence,
-		machines: map[string]machine{},
+		machines: map[wire.MachineID]machine{},
 		zones:    map[string]*zoneSets{},
 		hearings: map[string]*window{},
 		rotated:  now,
@@ -48,7 +50,7 @@
 
 // Expect notes that a machine should report from now on. It has the whole time of
 // silence to be heard.
-func (c *Census) Expect(name, zone string) {
+func (c *Census) Expect(name wire.MachineID, zone string) {
 	m, known := c.machines[name]
 	if !known {
 		m = machine{c.next, zone}
@@ -61,7 +63,7 @@
 
 // Dismiss notes that a machine is not expected any more. One that failed, or was given
 // up, counts as down for a while: a zone whose machines are all gone at once is lost.
-func (c *Census) Dismiss(name string, failed bool) {
+func (c *Census) Dismiss(name wire.MachineID, failed bool) {
 	m, known := c.machines[name]
 	if !known {
 		return
@@ -75,7 +77,7 @@
 }
 
 // MachinesReachable notes that a controller has heard machines.
-func (c *Census) MachinesReachable(controller string, names []string) {
+func (c *Census) MachinesReachable(controller string, names []wire.MachineID) {
 	h := c.hearing(controller)
 	for _, name := range names {
 		if m, known := c.machines[name]; known {
--- a/internal/zonehealth/census_test.go
+++ b/internal/zonehealth/census_test.go
@@ -4,18 +4,20 @@
 	"fmt"
 	"testing"
 	"time"
+
+	"lynxledge/wire"
 )
 
 // names makes machine names of a zone.
-func names(zone string, n int) []string {
-	var out []string
+func names(zone string, n int) []wire.MachineID {
+	var out []wire.MachineID
 	for i := range n {
-		out = append(out, fmt.Sprintf("%s-%d", zone, i))
+		out = append(out, wire.MachineID(fmt.Sprintf("%s-%d", zone, i)))
 	}
 	return out
 }
 
-func expect(c *Census, zone string, machines []string) {
+func expect(c *Census, zone string, machines []wire.MachineID) {
 	for _, m := range machines {
 		c.Expect(m, zone)
 	}
@@ -41,7 +43,7 @@
 	pass(c, &now, 20, func() {
 		c.MachinesReachable("n0", a[:4])
 		c.MachinesReachable("n1", a[2:7])
-		c.MachinesReachable("n1", []string{"stranger"})
+		c.MachinesReachable("n1", []wire.MachineID{"stranger"})
 	})
 	if e := c.Evidence()["a"]; e.Silent != 3 || e.HeardBy != 2 || e.Expected != 10 {
 		t.Errorf("a: %v", e)
--- a/wire/cloud.go
+++ b/wire/cloud.go
@@ -38,7 +38,7 @@
 
 // MachineNames is a list of machines: those that a request provisioned, or is to delete.
 type MachineNames struct {
-	Names []string `json:"nests"`
+	Names []MachineID `json:"nests"`
 }
 
 // InstanceState is the state of a machine in the cloud's list.
@@ -53,7 +53,7 @@
 
 // Instance is one machine in the cloud's list.
 type Instance struct {
-	ID          string        `json:"id"`
+	ID          MachineID     `json:"id"`
 	Address     string        `json:"address"`
 	MachineType string        `json:"build"`
 	Zone        string        `json:"yard"`
--- a/wire/heartbeat.go
+++ b/wire/heartbeat.go
@@ -38,7 +38,7 @@
 // Heartbeat is what a worker tells the controllers about its machine. Of two heartbeats of
 // a machine, the one with the larger incarnation and sequence is the newer.
 type Heartbeat struct {
-	Machine          string       `json:"nest"`
+	Machine          MachineID    `json:"nest"`
 	Address          string       `json:"address"` // host and port for direct commands
 	MachineType      string       `json:"build"`
 	Zone             string       `json:"yard"`
@@ -53,7 +53,7 @@
 // Validate returns an error for a heartbeat that no correct worker sends.
 func (h *Heartbeat) Validate() error {
 	switch {
-	case !ValidMachineName(h.Machine):
+	case !ValidMachineName(string(h.Machine)):
 		return invalid("nest", "nest %.40q", h.Machine)
 	case !ValidMachineName(h.Address) || h.MachineType == "" || h.Zone == "":
 		return invalid("", "address, build and yard must be set")
