--- a/cmd/lynxledge/acts_test.go
+++ b/cmd/lynxledge/acts_test.go
@@ -210,7 +210,7 @@
 func (w *world) submit(a act) {
 	w.jobs++
 	j := &wire.Job{
-		ID: wire.JobID(fmt.Sprintf("req-%06d", w.jobs)), Class: "c", Team: []string{"red", "blue"}[a.A%2], Kind: wire.KindArray,
+		ID: wire.JobID(fmt.Sprintf("req-%06d", w.jobs)), Class: "c", Team: []wire.TeamName{"red", "blue"}[a.A%2], Kind: wire.KindArray,
 		Priority: wire.Priority(a.B % 3), TaskCount: 1 + a.A, CPUs: float64(1 + a.B%4), MemoryGB: 1, Image: "img", ImageGB: 1,
 		AllowSpot: a.A%3 != 0, SingleZone: a.B%4 == 1, EstimatedRuntime: 10,
 	}
@@ -229,7 +229,7 @@
 	for i := range 3 + a.A%3 {
 		w.jobs++
 		j := &wire.Job{
-			ID: wire.JobID(fmt.Sprintf("req-%06d", w.jobs)), Class: "stage", Team: []string{"red", "blue"}[(a.A+i)%2], Kind: wire.KindArray,
+			ID: wire.JobID(fmt.Sprintf("req-%06d", w.jobs)), Class: "stage", Team: []wire.TeamName{"red", "blue"}[(a.A+i)%2], Kind: wire.KindArray,
 			Priority: wire.PriorityIdle, TaskCount: 1 + (a.B+i)%4, CPUs: 1, MemoryGB: 1, Image: "img", ImageGB: 1, AllowSpot: true, EstimatedRuntime: 10,
 		}
 		switch {
--- a/cmd/lynxledge/cluster_test.go
+++ b/cmd/lynxledge/cluster_test.go
@@ -149,7 +149,7 @@
 			w.state.SetLimits(simulation.StoreLimits{WriteRate: s.WriteRate, MaxValueKB: s.MaxValueKB, MaxTxnOps: s.MaxTxnOps})
 			w.pass(5 * time.Second)
 			for i := range 12 {
-				w.array(wire.JobID(fmt.Sprintf("req-0000%02d", i)), []string{"red", "blue"}[i%2], 30, time.Duration(20+40*(i%3))*time.Second, nil)
+				w.array(wire.JobID(fmt.Sprintf("req-0000%02d", i)), []wire.TeamName{"red", "blue"}[i%2], 30, time.Duration(20+40*(i%3))*time.Second, nil)
 			}
 			w.pass(60 * time.Second)
 			largest := w.state.Largest()
--- a/cmd/lynxledge/combined_failures_test.go
+++ b/cmd/lynxledge/combined_failures_test.go
@@ -21,7 +21,7 @@
 }
 
 // array submits an array whose tasks run for a time.
-func (w *world) array(id wire.JobID, team string, tasks int, run time.Duration, change func(*wire.Job)) *wire.Job {
+func (w *world) array(id wire.JobID, team wire.TeamName, tasks int, run time.Duration, change func(*wire.Job)) *wire.Job {
 	j := &wire.Job{
 		ID: id, Class: "c", Team: team, Kind: wire.KindArray, Priority: wire.PriorityNormal, TaskCount: tasks, CPUs: 1, MemoryGB: 1, Image: "img", ImageGB: 1,
 		AllowSpot: true, EstimatedRuntime: wire.Seconds(run.Seconds()),
@@ -155,7 +155,7 @@
 		w.net.Slow(simulation.StoreHost, 1200*time.Millisecond)
 		w.net.SetLossAndDuplication(0.05, 0)
 		for i := range 12 {
-			w.array(wire.JobID(fmt.Sprintf("req-0002%02d", i)), []string{"red", "blue"}[i%2], 10, 20*time.Second, func(j *wire.Job) {
+			w.array(wire.JobID(fmt.Sprintf("req-0002%02d", i)), []wire.TeamName{"red", "blue"}[i%2], 10, 20*time.Second, func(j *wire.Job) {
 				if i%3 == 0 {
 					j.Priority = wire.PriorityHigh
 				}
--- a/cmd/lynxledge/fleet_test.go
+++ b/cmd/lynxledge/fleet_test.go
@@ -21,8 +21,8 @@
 	arrays, urgent, services int
 	tasks, replicas          int
 	cpus, mem                float64
-	lostZone                 string // its machines are cut off for a while; none if empty
-	fewSockets               bool   // one controller's can't hold all machines
+	lostZone                 wire.Zone // its machines are cut off for a while; none if empty
+	fewSockets               bool      // one controller's can't hold all machines
 }
 
 // machines is how many there are to rent.
@@ -36,15 +36,15 @@
 
 // threeSizes are the machine types of the fleets of three controllers.
 var threeSizes = []wire.MachineType{
-	{Name: "s", CPUs: 4, MemoryGB: 8, CacheGB: 35, ImageFetchGBps: 1, HourlyPrice: 0.15, HourlySpotPrice: 0.06, BootTime: 20, Zones: []string{"a"}},
-	{Name: "m", CPUs: 16, MemoryGB: 64, CacheGB: 25, ImageFetchGBps: 1, HourlyPrice: 0.67, HourlySpotPrice: 0.28, BootTime: 20, Zones: []string{"a"}},
-	{Name: "l", CPUs: 64, MemoryGB: 256, CacheGB: 40, ImageFetchGBps: 1, HourlyPrice: 2.59, HourlySpotPrice: 1.01, BootTime: 20, Zones: []string{"a", "b"}},
+	{Name: "s", CPUs: 4, MemoryGB: 8, CacheGB: 35, ImageFetchGBps: 1, HourlyPrice: 0.15, HourlySpotPrice: 0.06, BootTime: 20, Zones: []wire.Zone{"a"}},
+	{Name: "m", CPUs: 16, MemoryGB: 64, CacheGB: 25, ImageFetchGBps: 1, HourlyPrice: 0.67, HourlySpotPrice: 0.28, BootTime: 20, Zones: []wire.Zone{"a"}},
+	{Name: "l", CPUs: 64, MemoryGB: 256, CacheGB: 40, ImageFetchGBps: 1, HourlyPrice: 2.59, HourlySpotPrice: 1.01, BootTime: 20, Zones: []wire.Zone{"a", "b"}},
 }
 
 // twoSizes are those of the fleets of seven.
 var twoSizes = []wire.MachineType{
-	{Name: "s", CPUs: 4, MemoryGB: 32, CacheGB: 35, ImageFetchGBps: 1, HourlyPrice: 0.19, HourlySpotPrice: 0.05, BootTime: 20, Zones: []string{"a", "b"}},
-	{Name: "b", CPUs: 16, MemoryGB: 128, CacheGB: 40, ImageFetchGBps: 1, HourlyPrice: 0.78, HourlySpotPrice: 0.2, BootTime: 20, Zones: []string{"b", "c"}},
+	{Name: "s", CPUs: 4, MemoryGB: 32, CacheGB: 35, ImageFetchGBps: 1, HourlyPrice: 0.19, HourlySpotPrice: 0.05, BootTime: 20, Zones: []wire.Zone{"a", "b"}},
+	{Name: "b", CPUs: 16, MemoryGB: 128, CacheGB: 40, ImageFetchGBps: 1, HourlyPrice: 0.78, HourlySpotPrice: 0.2, BootTime: 20, Zones: []wire.Zone{"b", "c"}},
 }
 
 // Two shapes of a fleet: few controllers over a fast state service, and many over one
@@ -121,7 +121,7 @@
 		n++
 		due := wire.Seconds(120)
 		j := &wire.Job{
-			ID: wire.JobID(fmt.Sprintf("req-%06d", n)), Class: class, Team: []string{"red", "blue"}[n%2], Kind: wire.KindArray, Priority: wire.PriorityNormal,
+			ID: wire.JobID(fmt.Sprintf("req-%06d", n)), Class: class, Team: []wire.TeamName{"red", "blue"}[n%2], Kind: wire.KindArray, Priority: wire.PriorityNormal,
 			TaskCount: tasks, CPUs: f.cpus, MemoryGB: f.mem, Image: fmt.Sprintf("img-%d", n%10), ImageGB: 1, AllowSpot: n/2%2 == 0, EstimatedRuntime: 40, Deadline: &due,
 		}
 		switch class {
--- a/cmd/lynxledge/loopback_test.go
+++ b/cmd/lynxledge/loopback_test.go
@@ -80,7 +80,8 @@
 
 // process is a controller that runs as a process of its own.
 type process struct {
-	name, zone    string
+	name          string
+	zone          wire.Zone
 	users, mesh   string // addresses
 	settings      string // file
 	running       *exec.Cmd
@@ -115,7 +116,7 @@
 	return l.Addr().String()
 }
 
-func newCluster(ctx context.Context, t *testing.T, zones []string, operators string) *cluster {
+func newCluster(ctx context.Context, t *testing.T, zones []wire.Zone, operators string) *cluster {
 	cfg, err := config.Parse(fmt.Sprintf(loopbackSettings, "observer", "a", "127.0.0.1:1", "127.0.0.1:1", "", "127.0.0.1:1", "127.0.0.1:1"))
 	if err != nil {
 		t.Fatal(err)
@@ -264,7 +265,7 @@
 }
 
 // whole tells whether all services but those of a zone have all their replicas.
-func (c *cluster) whole(but string) bool {
+func (c *cluster) whole(but wire.Zone) bool {
 	for _, j := range c.services {
 		if (but == "" || j.Zone != but) && c.rules.RunningTasks(j.ID) != j.TaskCount {
 			return false
@@ -302,9 +303,9 @@
 func TestZoneLossOnLoopback(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	c := newCluster(ctx, t, []string{"a", "b", "c"}, `{"pass_s": 1, "boot_lag_s": 2, "zone_recovery": {"min_machines": 3}}`)
+	c := newCluster(ctx, t, []wire.Zone{"a", "b", "c"}, `{"pass_s": 1, "boot_lag_s": 2, "zone_recovery": {"min_machines": 3}}`)
 	defer c.end()
-	for _, zone := range []string{"a", "b", "c"} {
+	for _, zone := range []wire.Zone{"a", "b", "c"} {
 		c.service(6, func(j *wire.Job) { j.Zone, j.SpreadZones, j.CPUs, j.Priority = zone, false, 2, wire.PriorityProduction })
 	}
 	for range 4 {
@@ -368,7 +369,7 @@
 
 // newServingCluster begins with long leases, and services that run.
 func newServingCluster(ctx context.Context, t *testing.T) *cluster {
-	c := newCluster(ctx, t, []string{"a", "b", "c"}, longLease)
+	c := newCluster(ctx, t, []wire.Zone{"a", "b", "c"}, longLease)
 	for range 4 {
 		c.service(2, func(*wire.Job) {})
 	}
--- a/cmd/lynxledge/run.go
+++ b/cmd/lynxledge/run.go
@@ -258,8 +258,8 @@
 	return config.Seconds(float64(len(cfg.Peers)+1) / (cfg.Params.Store.RequestRateLimit() * share))
 }
 
-func teams(ts []config.TeamQuota) []string {
-	var out []string
+func teams(ts []config.TeamQuota) []wire.TeamName {
+	var out []wire.TeamName
 	for _, t := range ts {
 		out = append(out, t.Name)
 	}
--- a/cmd/lynxledge/standby_test.go
+++ b/cmd/lynxledge/standby_test.go
@@ -19,7 +19,7 @@
 
 // standbyScale is a cluster with early takeovers, or without.
 func standbyScale(early bool) scale {
-	s := scale{nodes: 3, types: machineTypes, pool: 20, zones: []string{"a", "b", "b"}}
+	s := scale{nodes: 3, types: machineTypes, pool: 20, zones: []wire.Zone{"a", "b", "b"}}
 	if early {
 		s.ops = func(o *config.OperatorSettings) {
 			section := config.DefaultStandby()
--- a/cmd/lynxledge/world_test.go
+++ b/cmd/lynxledge/world_test.go
@@ -58,8 +58,8 @@
 `
 
 var machineTypes = []wire.MachineType{
-	{Name: "s", CPUs: 4, MemoryGB: 16, CacheGB: 20, ImageFetchGBps: 1, HourlyPrice: 1, HourlySpotPrice: 0.4, BootTime: 20, Zones: []string{"a", "b"}},
-	{Name: "l", CPUs: 16, MemoryGB: 64, CacheGB: 20, ImageFetchGBps: 1, HourlyPrice: 4.5, HourlySpotPrice: 1.5, BootTime: 20, Zones: []string{"a"}},
+	{Name: "s", CPUs: 4, MemoryGB: 16, CacheGB: 20, ImageFetchGBps: 1, HourlyPrice: 1, HourlySpotPrice: 0.4, BootTime: 20, Zones: []wire.Zone{"a", "b"}},
+	{Name: "l", CPUs: 16, MemoryGB: 64, CacheGB: 20, ImageFetchGBps: 1, HourlyPrice: 4.5, HourlySpotPrice: 1.5, BootTime: 20, Zones: []wire.Zone{"a"}},
 }
 
 // world is a cluster of this program over the fakes.
@@ -80,7 +80,7 @@
 	jobs       int
 	known      []*wire.Job
 	types      []wire.MachineType
-	zones      []string                    // of the controllers, in turn
+	zones      []wire.Zone                 // of the controllers, in turn
 	next       *config.UpcomingStoreLimits // limits that controllers started from now on know of
 }
 
@@ -90,7 +90,7 @@
 	types []wire.MachineType
 	pool  int            // machines of one type, zone and kind
 	pools map[string]int // by type, where it is another
-	zones []string       // of the controllers, in turn; empty: as in the settings
+	zones []wire.Zone    // of the controllers, in turn; empty: as in the settings
 	ops   func(*config.OperatorSettings)
 }
 
@@ -185,7 +185,7 @@
 }
 
 // zoneOf is the zone of a controller, or none if it has no zone of its own.
-func (w *world) zoneOf(node string) string {
+func (w *world) zoneOf(node string) wire.Zone {
 	if len(w.zones) == 0 {
 		return ""
 	}
--- a/cmd/lynxledge/zone_recovery_test.go
+++ b/cmd/lynxledge/zone_recovery_test.go
@@ -153,7 +153,7 @@
 		w.healZone("a", 0)
 	},
 	"the other zones are full": func(t *testing.T, w *zoneWorld) {
-		for _, zone := range []string{"b", "c"} {
+		for _, zone := range []wire.Zone{"b", "c"} {
 			w.service(6, func(j *wire.Job) { j.Zone, j.SpreadZones = zone, false })
 		}
 		w.step(45)
@@ -178,14 +178,14 @@
 }
 
 // mustReach lets time pass until a zone's recorded phase is reached.
-func (w *zoneWorld) mustReach(t *testing.T, zone, phase string) {
+func (w *zoneWorld) mustReach(t *testing.T, zone wire.Zone, phase string) {
 	if !w.until(60, func() bool { return w.recorded(zone) == phase }) {
 		t.Errorf("zone %s is not %s but %s", zone, phase, w.recorded(zone))
 	}
 }
 
 // mustLeave lets time pass until a zone's recorded phase is another.
-func (w *zoneWorld) mustLeave(t *testing.T, zone, phase string) {
+func (w *zoneWorld) mustLeave(t *testing.T, zone wire.Zone, phase string) {
 	if !w.until(120, func() bool { return w.recorded(zone) != phase }) {
 		t.Errorf("zone %s is still %s", zone, phase)
 	}
@@ -237,7 +237,7 @@
 // zoneAct is one thing that happens to zones.
 type zoneAct struct {
 	kind    string
-	zone    string
+	zone    wire.Zone
 	seconds int
 }
 
@@ -247,7 +247,7 @@
 	return rapid.SliceOfN(rapid.Custom(func(t *rapid.T) zoneAct {
 		return zoneAct{
 			rapid.SampledFrom(zoneActKinds).Draw(t, "kind"),
-			rapid.SampledFrom([]string{"a", "a", "b", "c"}).Draw(t, "zone"),
+			rapid.SampledFrom([]wire.Zone{"a", "a", "b", "c"}).Draw(t, "zone"),
 			rapid.IntRange(1, 15).Draw(t, "seconds"),
 		}
 	}), 4, 16)
--- a/cmd/lynxledge/zone_world_test.go
+++ b/cmd/lynxledge/zone_world_test.go
@@ -20,12 +20,12 @@
 
 // zoneTypes are machines in three zones.
 var zoneTypes = []wire.MachineType{
-	{Name: "s", CPUs: 4, MemoryGB: 16, CacheGB: 20, ImageFetchGBps: 1, HourlyPrice: 1, HourlySpotPrice: 0.4, BootTime: 20, Zones: []string{"a", "b", "c"}},
+	{Name: "s", CPUs: 4, MemoryGB: 16, CacheGB: 20, ImageFetchGBps: 1, HourlyPrice: 1, HourlySpotPrice: 0.4, BootTime: 20, Zones: []wire.Zone{"a", "b", "c"}},
 }
 
 // zoneScale is a cluster over three zones with a controller in each.
 func zoneScale(recovery bool) scale {
-	s := scale{nodes: 3, types: zoneTypes, pool: 8, zones: []string{"a", "b", "c"}}
+	s := scale{nodes: 3, types: zoneTypes, pool: 8, zones: []wire.Zone{"a", "b", "c"}}
 	if recovery {
 		s.ops = func(o *config.OperatorSettings) {
 			section := config.DefaultZoneRecovery()
@@ -45,7 +45,7 @@
 	lost     time.Time
 	flow     int
 	load     zoneLoad
-	cutOff   map[string]*zoneCut // zones that are cut off
+	cutOff   map[wire.Zone]*zoneCut // zones that are cut off
 }
 
 // zoneCut is a cut of a zone: machines that come up in it are cut off too.
@@ -71,13 +71,13 @@
 func newLoadedZoneWorld(ctx context.Context, seed uint64, recovery bool, size scale, load zoneLoad, tweak func(*config.Params)) *zoneWorld {
 	w := &zoneWorld{load: load, world: newWorld(ctx, seed, size, func(p *config.Params) {
 		p.Teams = []config.TeamQuota{{Name: "red"}, {Name: "blue"}}
-		p.Zones = []string{"a", "b", "c"}
+		p.Zones = []wire.Zone{"a", "b", "c"}
 		if tweak != nil {
 			tweak(p)
 		}
 	})}
 	w.restored = map[wire.JobID]time.Duration{}
-	w.cutOff = map[string]*zoneCut{}
+	w.cutOff = map[wire.Zone]*zoneCut{}
 	w.checker = history.NewOrderChecker(w.cfg.Params, zoneTypes, w.state.Decided, !recovery)
 	observer := statecache.Start(ctx, &simulation.StoreConn{Store: w.state, Net: w.net, Node: "observer", Timeout: time.Second}, statecache.Options{
 		ChunkTasks: statecache.ChunkTasks(w.cfg.Params.Store.MaxValueKB), WatchHold: 5 * time.Second, MaxViewAge: time.Second, Backoff: 100 * time.Millisecond,
@@ -85,7 +85,7 @@
 	observer.Subscribe(w.checker.Apply)
 	observer.Run()
 	w.step(5)
-	for _, zone := range []string{"a", "b", "c"} { // fills machines enough for a verdict
+	for _, zone := range []wire.Zone{"a", "b", "c"} { // fills machines enough for a verdict
 		w.service(load.pinned, func(j *wire.Job) { j.Zone, j.SpreadZones, j.CPUs = zone, false, 2 })
 	}
 	for i := range load.services {
@@ -154,7 +154,7 @@
 }
 
 // machinesIn names the machines that run in a zone.
-func (w *zoneWorld) machinesIn(zone string) []wire.MachineID {
+func (w *zoneWorld) machinesIn(zone wire.Zone) []wire.MachineID {
 	var names []wire.MachineID
 	for _, h := range w.cloud.Running() {
 		if h.Zone == zone {
@@ -165,7 +165,7 @@
 }
 
 // cutZone cuts a zone's machines off, and its controllers with them.
-func (w *zoneWorld) cutZone(zone string, hold bool) {
+func (w *zoneWorld) cutZone(zone wire.Zone, hold bool) {
 	w.markLost()
 	w.cutOff[zone] = &zoneCut{hold, map[wire.MachineID]bool{}}
 	w.extendCuts()
@@ -177,7 +177,7 @@
 }
 
 // killZone stops a zone's machines for good, and its controllers.
-func (w *zoneWorld) killZone(zone string) {
+func (w *zoneWorld) killZone(zone wire.Zone) {
 	w.markLost()
 	w.cloud.FailZone(zone)
 	for _, n := range w.nodes {
@@ -194,7 +194,7 @@
 }
 
 // healZone ends the cut of all but some of a zone's machines.
-func (w *zoneWorld) healZone(zone string, butOneIn int) {
+func (w *zoneWorld) healZone(zone wire.Zone, butOneIn int) {
 	w.cloud.OpenZone(zone)
 	delete(w.cutOff, zone)
 	for i, m := range w.machinesIn(zone) {
@@ -211,7 +211,7 @@
 }
 
 // recorded is the phase that stands in the record.
-func (w *zoneWorld) recorded(zone string) string { return w.checker.Phase(zone) }
+func (w *zoneWorld) recorded(zone wire.Zone) string { return w.checker.Phase(zone) }
 
 // until lets time pass until something holds, but for no more than some seconds.
 func (w *zoneWorld) until(most int, holds func() bool) bool {
@@ -240,7 +240,7 @@
 // finish ends all troubles, and lists everything that is not as it should be.
 func (w *zoneWorld) finish() []string {
 	clear(w.cutOff)
-	for _, zone := range []string{"a", "b", "c"} {
+	for _, zone := range []wire.Zone{"a", "b", "c"} {
 		w.cloud.OpenZone(zone)
 	}
 	w.recover()
@@ -250,7 +250,7 @@
 			faults = append(faults, fmt.Sprintf("%s has %d of %d replicas\n%s", j.ID, w.rules.RunningTasks(j.ID), j.TaskCount, w.zonesPage()))
 		}
 	}
-	for _, zone := range []string{"a", "b", "c"} {
+	for _, zone := range []wire.Zone{"a", "b", "c"} {
 		recovering := func() bool { p := w.recorded(zone); return p == "lost" || p == "returning" }
 		if !w.calmUntil(func() bool { return !recovering() }) {
 			faults = append(faults, fmt.Sprintf("zone %s is still %s\n%s", zone, w.recorded(zone), w.zonesPage()))
--- a/internal/apiserver/bench_test.go
+++ b/internal/apiserver/bench_test.go
@@ -43,7 +43,7 @@
 		SendEvidence:  func(string, reconcile.Evidence) bool { return false },
 	})
 	front := Start(ctx, cfg, l, reporter, nil)
-	front.SetMachineTypes([]wire.MachineType{{Name: "s", CPUs: 16, MemoryGB: 128, Zones: []string{"a"}}})
+	front.SetMachineTypes([]wire.MachineType{{Name: "s", CPUs: 16, MemoryGB: 128, Zones: []wire.Zone{"a"}}})
 	l.Run()
 	machine := &statecache.Machine{Name: "i-000231", Address: "10.1.0.232:9000", Incarnation: 1, FencingToken: 41}
 	report := wire.Heartbeat{Machine: machine.Name, Address: machine.Address, MachineType: "s", Zone: "a", Incarnation: 1, FencingToken: 41}
--- a/internal/apiserver/server_test.go
+++ b/internal/apiserver/server_test.go
@@ -49,7 +49,7 @@
 }
 
 func (d *door) types() {
-	d.front.SetMachineTypes([]wire.MachineType{{Name: "s", CPUs: 4, MemoryGB: 16, Zones: []string{"a"}}})
+	d.front.SetMachineTypes([]wire.MachineType{{Name: "s", CPUs: 4, MemoryGB: 16, Zones: []wire.Zone{"a"}}})
 }
 
 // ask sends a request and checks its status; refusals must come at once and
--- a/internal/apiserver/submit.go
+++ b/internal/apiserver/submit.go
@@ -106,7 +106,7 @@
 func (f *Server) admissionError(j *wire.Job) (int, string) {
 	team, ok := f.config.Params.TeamQuota(j.Team)
 	if !ok {
-		return http.StatusUnprocessableEntity, "unknown team " + strconv.Quote(j.Team)
+		return http.StatusUnprocessableEntity, "unknown team " + strconv.Quote(string(j.Team))
 	}
 	types, ok := actor.Ask(f.Actor, func(reply func([]wire.MachineType)) { reply(f.machineTypes) })
 	if !ok || len(types) == 0 {
--- a/internal/autoscaler/autoscaler_test.go
+++ b/internal/autoscaler/autoscaler_test.go
@@ -29,7 +29,7 @@
 		cfg.Params.Store = config.StoreLimits{MaxValueKB: 8, MaxTxnOps: 8, RequestRate: 150, WriteRate: 50}
 		cfg.Params.Cloud = config.CloudLimits{RequestRate: 3, ListLag: 10}
 		cfg.Params.Teams = []config.TeamQuota{{Name: "red"}}
-		types := []wire.MachineType{{Name: "s", CPUs: 4, MemoryGB: 16, HourlyPrice: 1, BootTime: 25, Zones: []string{"a"}}}
+		types := []wire.MachineType{{Name: "s", CPUs: 4, MemoryGB: 16, HourlyPrice: 1, BootTime: 25, Zones: []wire.Zone{"a"}}}
 		types = append(types, more...)
 		conn := &simulation.StoreConn{Store: simulation.NewStore(), Net: net, Node: "n0", Timeout: time.Second}
 		chunk := statecache.ChunkTasks(8)
@@ -133,7 +133,7 @@
 // anew: while the intent of the short pool stood, its machines counted as
 // rented, and waiting work got none until the next pass or the one after.
 func TestShortPoolIsPlannedWithoutAtOnce(t *testing.T) {
-	dear := wire.MachineType{Name: "l", CPUs: 16, MemoryGB: 64, HourlyPrice: 5, BootTime: 25, Zones: []string{"a"}}
+	dear := wire.MachineType{Name: "l", CPUs: 16, MemoryGB: 64, HourlyPrice: 5, BootTime: 25, Zones: []wire.Zone{"a"}}
 	lead(t, 2, func(l *statecache.Cache, c *simulation.Cloud, r *Autoscaler) {
 		job := func(id wire.JobID, tasks int, types ...string) statecache.Put {
 			return statecache.Put{Key: statecache.Key(statecache.KindJob, string(id)), Record: &statecache.Job{TaskCount: tasks, SubmittedAt: time.Now().UnixMilli(), Spec: &wire.Job{
--- a/internal/autoscaler/planning_input.go
+++ b/internal/autoscaler/planning_input.go
@@ -51,7 +51,7 @@
 		Refused: func(p resources.Pool) bool { return now.Before(r.exhaustedPools[p]) },
 	}
 	if recovery.Recovering(r.view.ZoneRecoveries) {
-		in.Avoided = func(zone string) bool { return r.zoneRecovery.IsLost(r.view.ZoneRecoveries, zone) }
+		in.Avoided = func(zone wire.Zone) bool { return r.zoneRecovery.IsLost(r.view.ZoneRecoveries, zone) }
 	}
 	withheld := r.zoneRecovery.WithheldFor(now, r.view)
 	pools := map[resources.Pool]bool{}
--- a/internal/autoscaler/unreachable.go
+++ b/internal/autoscaler/unreachable.go
@@ -41,15 +41,15 @@
 
 // livenessSurvey is which machines the leader hears.
 type livenessSurvey struct {
-	started                              int              // machines that have been up
-	startedByZone, missedHeartbeatByZone map[string]int   // by zone; unheard: for more than a report
-	toSuspect                            []wire.MachineID // to be marked as suspected
-	unreachable                          []wire.MachineID // heard by nobody, and they answer no probe
+	started                              int               // machines that have been up
+	startedByZone, missedHeartbeatByZone map[wire.Zone]int // by zone; unheard: for more than a report
+	toSuspect                            []wire.MachineID  // to be marked as suspected
+	unreachable                          []wire.MachineID  // heard by nobody, and they answer no probe
 }
 
 // zonePartitioned tells whether a zone looks cut off: most of its machines are silent at once, and
 // they are not just a few.
-func (h *livenessSurvey) zonePartitioned(zone string) bool {
+func (h *livenessSurvey) zonePartitioned(zone wire.Zone) bool {
 	return h.missedHeartbeatByZone[zone] >= minPartitionedMachines && 2*h.missedHeartbeatByZone[zone] > h.startedByZone[zone]
 }
 
@@ -78,7 +78,7 @@
 func (r *Autoscaler) surveyLiveness(now time.Time) *livenessSurvey {
 	report := r.heartbeats(1)
 	silence := r.heartbeats(r.config.Operator.UnreachableHeartbeats)
-	h := &livenessSurvey{startedByZone: map[string]int{}, missedHeartbeatByZone: map[string]int{}}
+	h := &livenessSurvey{startedByZone: map[wire.Zone]int{}, missedHeartbeatByZone: map[wire.Zone]int{}}
 	for m, b := range r.view.Machines {
 		if b.Terminating { // it is being deleted
 			continue
--- a/internal/autoscaler/updates.go
+++ b/internal/autoscaler/updates.go
@@ -173,7 +173,7 @@
 // the assignments that a split is guarded on. The edits of a record that can't be
 // written leave the batch, and wait: taken for written, a closed machine was never
 // returned. assemble tells whether there are any.
-func (b *updateBatch) assemble(valueBytes int, hands map[string]uint64) (waiting bool) {
+func (b *updateBatch) assemble(valueBytes int, hands map[wire.TeamName]uint64) (waiting bool) {
 	var large []string
 	for name, group := range b.groups {
 		if group.update.TrimToFit(valueBytes) {
--- a/internal/autoscaler/updates_test.go
+++ b/internal/autoscaler/updates_test.go
@@ -98,7 +98,7 @@
 			}
 		}
 		for team, stamp := range view.AssignmentRevisions() {
-			guard := wire.Precondition{Key: statecache.Key(statecache.KindAssignment, team), ModRevision: stamp}
+			guard := wire.Precondition{Key: statecache.Key(statecache.KindAssignment, string(team)), ModRevision: stamp}
 			if split && !slices.Contains(batch.commit.Preconditions, guard) {
 				t.Fatalf("split without a guard on %s", team)
 			}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -15,22 +15,23 @@
 	"github.com/BurntSushi/toml"
 
 	"lynxledge/internal/overload"
+	"lynxledge/wire"
 )
 
 // Peer is another controller.
 type Peer struct {
-	Name    string `toml:"member"`
-	Zone    string `toml:"area"`
-	Address string `toml:"endpoint"`
+	Name    string    `toml:"member"`
+	Zone    wire.Zone `toml:"area"`
+	Address string    `toml:"endpoint"`
 }
 
 // TeamQuota is a team's guarantee and limit; 0 means none.
 type TeamQuota struct {
-	Name           string  `toml:"name"`
-	GuaranteedCPUs float64 `toml:"cpus"`
-	MaxCPUs        float64 `toml:"cpus_max"`
-	GuaranteedGPUs float64 `toml:"gpus"`
-	MaxGPUs        float64 `toml:"gpus_max"`
+	Name           wire.TeamName `toml:"name"`
+	GuaranteedCPUs float64       `toml:"cpus"`
+	MaxCPUs        float64       `toml:"cpus_max"`
+	GuaranteedGPUs float64       `toml:"gpus"`
+	MaxGPUs        float64       `toml:"gpus_max"`
 }
 
 // Objective repeats one aim.
@@ -162,7 +163,7 @@
 // Params describes the deployment.
 type Params struct {
 	ClusterSize     int                 `toml:"size"`
-	Zones           []string            `toml:"zones"`
+	Zones           []wire.Zone         `toml:"zones"`
 	ClockSkewMillis float64             `toml:"skew_ms"`
 	Teams           []TeamQuota         `toml:"teams"`
 	Objectives      []Objective         `toml:"objectives"`
@@ -174,11 +175,11 @@
 
 // Config is everything a controller is told at its start.
 type Config struct {
-	MemberName          string `toml:"member"`
-	Zone                string `toml:"area"`
-	ClientListenAddress string `toml:"client_listen"`
-	PeerListenAddress   string `toml:"mesh_addr"`
-	Peers               []Peer `toml:"others"`
+	MemberName          string    `toml:"member"`
+	Zone                wire.Zone `toml:"area"`
+	ClientListenAddress string    `toml:"client_listen"`
+	PeerListenAddress   string    `toml:"mesh_addr"`
+	Peers               []Peer    `toml:"others"`
 	External            struct {
 		Cloud string `toml:"cloud"`
 		State string `toml:"state"`
@@ -305,7 +306,7 @@
 	if p.Workers.CancellationDeadline <= p.Workers.LeaseDuration+2*p.Workers.HeartbeatInterval {
 		return errors.New("params.workers.cancel_s must be longer than lease_s by more than two report_s: cancellations could not be kept")
 	}
-	names := map[string]bool{}
+	names := map[wire.TeamName]bool{}
 	for i, t := range p.Teams {
 		if t.Name == "" || names[t.Name] {
 			return fmt.Errorf("params.teams[%d].name: %q is empty or named twice", i, t.Name)
@@ -339,7 +340,7 @@
 const minValueKB = 1.0
 
 // TeamQuota finds a team by name.
-func (p *Params) TeamQuota(name string) (TeamQuota, bool) {
+func (p *Params) TeamQuota(name wire.TeamName) (TeamQuota, bool) {
 	for _, t := range p.Teams {
 		if t.Name == name {
 			return t, true
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -28,7 +28,7 @@
 	MemberName  string
 	Incarnation uint64 // tells this process from its earlier ones
 	LeaseTTL    time.Duration
-	Teams       []string
+	Teams       []wire.TeamName
 	MaxTxnOps   int
 	ChunkTasks  int
 	// Capabilities are announced in the membership record.
@@ -203,7 +203,7 @@
 		if h := e.view.Assignments[team]; h != nil {
 			stamp = h.ModRevision
 		}
-		key := statecache.Key(statecache.KindAssignment, team)
+		key := statecache.Key(statecache.KindAssignment, string(team))
 		c.Preconditions = append(c.Preconditions, wire.Precondition{Key: key, ModRevision: stamp})
 		c.Puts = append(c.Puts, statecache.Put{Key: key, Record: statecache.Assignment{Member: member, Incarnation: e.view.Members[member].Incarnation}})
 		slog.Info("team handed out", "team", team, "to", member)
@@ -216,8 +216,8 @@
 // Assign names the teams that need another controller. All are handed to one,
 // since a group of machines is best written by one controller alone; it keeps
 // them while it lives. Rather another than the leader, which has work enough.
-func Assign(teams []string, hands map[string]*statecache.Assignment, members map[string]*statecache.Member, leader string) map[string]string {
-	out := map[string]string{}
+func Assign(teams []wire.TeamName, hands map[wire.TeamName]*statecache.Assignment, members map[string]*statecache.Member, leader string) map[wire.TeamName]string {
+	out := map[wire.TeamName]string{}
 	if len(members) == 0 {
 		return out
 	}
--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -21,10 +21,10 @@
 		for i := range rapid.IntRange(1, 5).Draw(t, "members") {
 			members[fmt.Sprint("m", i)] = &statecache.Member{Incarnation: uint64(i + rapid.IntRange(0, 1).Draw(t, "boot")*10)}
 		}
-		hands := map[string]*statecache.Assignment{}
-		var teams []string
+		hands := map[wire.TeamName]*statecache.Assignment{}
+		var teams []wire.TeamName
 		for i := range rapid.IntRange(1, 8).Draw(t, "teams") {
-			team := fmt.Sprint("t", i)
+			team := wire.TeamName(fmt.Sprint("t", i))
 			teams = append(teams, team)
 			if m := rapid.IntRange(0, 6).Draw(t, "holder"); m < 6 {
 				hands[team] = &statecache.Assignment{Member: fmt.Sprint("m", m), Incarnation: uint64(m)}
@@ -62,24 +62,24 @@
 
 // A team that left the settings keeps its running jobs placed, until the last is over.
 func TestTeamsOfRunningJobs(t *testing.T) {
-	job := func(team string, state wire.JobState) *statecache.Job {
+	job := func(team wire.TeamName, state wire.JobState) *statecache.Job {
 		return &statecache.Job{Spec: &wire.Job{Team: team}, State: state}
 	}
-	teams := newTeamList([]string{"a"})
+	teams := newTeamList([]wire.TeamName{"a"})
 	teams.apply("1", job("a", ""))
 	teams.apply("2", job("gone", ""))
 	teams.apply("3", job("over", wire.JobCancelled))
 	teams.apply("4", job("gone", ""))
-	if got := teams.list(); !slices.Equal(got, []string{"a", "gone"}) {
+	if got := teams.list(); !slices.Equal(got, []wire.TeamName{"a", "gone"}) {
 		t.Fatalf("teams %v", got)
 	}
 	teams.apply("2", job("gone", "")) // told again
 	teams.apply("2", &statecache.Job{State: wire.JobDone})
-	if got := teams.list(); !slices.Equal(got, []string{"a", "gone"}) {
+	if got := teams.list(); !slices.Equal(got, []wire.TeamName{"a", "gone"}) {
 		t.Fatalf("teams %v with one job left", got)
 	}
 	teams.apply("4", nil)
-	if got := teams.list(); !slices.Equal(got, []string{"a"}) {
+	if got := teams.list(); !slices.Equal(got, []wire.TeamName{"a"}) {
 		t.Fatalf("teams %v after the last", got)
 	}
 }
--- a/internal/election/teams.go
+++ b/internal/election/teams.go
@@ -5,20 +5,21 @@
 	"slices"
 
 	"lynxledge/internal/statecache"
+	"lynxledge/wire"
 )
 
 // teamList is the teams that need a controller: those of the settings, and those that
 // left them while jobs of theirs run on. It follows the jobs, so nobody has to look
 // through all of them.
 type teamList struct {
-	configured []string
-	teamOfJob  map[string]string // job that is not over: its team
-	activeJobs map[string]int    // number of such jobs, by team
-	names      []string          // the list as it is, nil once it may have changed
+	configured []wire.TeamName
+	teamOfJob  map[string]wire.TeamName // job that is not over: its team
+	activeJobs map[wire.TeamName]int    // number of such jobs, by team
+	names      []wire.TeamName          // the list as it is, nil once it may have changed
 }
 
-func newTeamList(settings []string) *teamList {
-	return &teamList{configured: settings, teamOfJob: map[string]string{}, activeJobs: map[string]int{}}
+func newTeamList(settings []wire.TeamName) *teamList {
+	return &teamList{configured: settings, teamOfJob: map[string]wire.TeamName{}, activeJobs: map[wire.TeamName]int{}}
 }
 
 // apply takes a job's new record over; nil if there is none any more.
@@ -34,7 +35,7 @@
 }
 
 // count adds to a team's jobs. Only the first job and the last may change the list.
-func (t *teamList) count(team string, more int) {
+func (t *teamList) count(team wire.TeamName, more int) {
 	before := t.activeJobs[team]
 	t.activeJobs[team] += more
 	if t.activeJobs[team] == 0 {
@@ -46,7 +47,7 @@
 }
 
 // list names the teams. The caller leaves the list as it is.
-func (t *teamList) list() []string {
+func (t *teamList) list() []wire.TeamName {
 	if t.names != nil {
 		return t.names
 	}
--- a/internal/failuredetector/failuredetector.go
+++ b/internal/failuredetector/failuredetector.go
@@ -5,6 +5,8 @@
 	"slices"
 	"strings"
 	"time"
+
+	"lynxledge/wire"
 )
 
 // Level is what a controller is taken for.
@@ -188,7 +190,7 @@
 
 // SuccessorOrder sorts the controllers that may take a role over: those in other zones than the
 // dead one first, and among these those that do not hold the other role.
-func SuccessorOrder(members []string, zoneOf func(string) string, deadZone, busy string) []string {
+func SuccessorOrder(members []string, zoneOf func(string) wire.Zone, deadZone wire.Zone, busy string) []string {
 	order := slices.Clone(members)
 	worse := func(m string) int {
 		n := 0
--- a/internal/failuredetector/failuredetector_test.go
+++ b/internal/failuredetector/failuredetector_test.go
@@ -9,6 +9,7 @@
 	"pgregory.net/rapid"
 
 	_ "lynxledge/internal/rapidseed"
+	"lynxledge/wire"
 )
 
 const beat = time.Second
@@ -172,8 +173,8 @@
 // Those in other zones than the dead one's come first, and of these such as have no other
 // role.
 func TestOrder(t *testing.T) {
-	zones := map[string]string{"n0": "a", "n1": "a", "n2": "b", "n3": "b", "n4": "c"}
-	got := SuccessorOrder([]string{"n1", "n2", "n3", "n4"}, func(m string) string { return zones[m] }, "a", "n2")
+	zones := map[string]wire.Zone{"n0": "a", "n1": "a", "n2": "b", "n3": "b", "n4": "c"}
+	got := SuccessorOrder([]string{"n1", "n2", "n3", "n4"}, func(m string) wire.Zone { return zones[m] }, "a", "n2")
 	if want := []string{"n3", "n4", "n2", "n1"}; !slices.Equal(got, want) {
 		t.Errorf("%v, not %v", got, want)
 	}
--- a/internal/planner/avoided_test.go
+++ b/internal/planner/avoided_test.go
@@ -1,6 +1,10 @@
 package planner
 
-import "testing"
+import (
+	"testing"
+
+	"lynxledge/wire"
+)
 
 // Nothing is rented in an avoided zone, but for work that may go nowhere else.
 func TestAvoidedZone(t *testing.T) {
@@ -10,15 +14,15 @@
 		Demand{Job: anywhere, Count: 3, Deadline: 10, Runtime: 25},
 		Demand{Job: pinned, Count: 1, Deadline: 10, Runtime: 25},
 	)
-	in.Avoided = func(zone string) bool { return zone == "a" }
-	counts := map[string]int{}
+	in.Avoided = func(zone wire.Zone) bool { return zone == "a" }
+	counts := map[wire.Zone]int{}
 	for _, r := range Compute(in).ScaleOut {
 		counts[r.Zone] += r.Count
 	}
 	if counts["b"] != 3 || counts["a"] != 1 {
 		t.Errorf("rented %v", counts)
 	}
-	in.Avoided = func(string) bool { return true }
+	in.Avoided = func(wire.Zone) bool { return true }
 	if p := Compute(in); p.Unmet != 0 {
 		t.Errorf("%d tasks unmet with every zone avoided", p.Unmet)
 	}
--- a/internal/planner/bench_test.go
+++ b/internal/planner/bench_test.go
@@ -14,8 +14,8 @@
 func fleetOf(machines int) Input {
 	in := Input{
 		Types: []wire.MachineType{
-			{Name: "s", CPUs: 4, MemoryGB: 32, HourlyPrice: 0.19, HourlySpotPrice: 0.05, BootTime: 50, Zones: []string{"a", "b"}},
-			{Name: "b", CPUs: 16, MemoryGB: 128, HourlyPrice: 0.78, HourlySpotPrice: 0.2, BootTime: 30, Zones: []string{"b", "c"}},
+			{Name: "s", CPUs: 4, MemoryGB: 32, HourlyPrice: 0.19, HourlySpotPrice: 0.05, BootTime: 50, Zones: []wire.Zone{"a", "b"}},
+			{Name: "b", CPUs: 16, MemoryGB: 128, HourlyPrice: 0.78, HourlySpotPrice: 0.2, BootTime: 30, Zones: []wire.Zone{"b", "c"}},
 		},
 		BootLag: 45, PlanningInterval: 5, BillingPeriod: 30, HeadroomShare: 0.1, MaxPriceMultiple: 2, Refused: func(resources.Pool) bool { return false },
 	}
--- a/internal/planner/cover.go
+++ b/internal/planner/cover.go
@@ -121,7 +121,7 @@
 
 // avoided tells whether a job should be rented no machine in a zone: it has another zone
 // that isn't avoided.
-func (p *planning) avoided(j *wire.Job, zone string) bool {
+func (p *planning) avoided(j *wire.Job, zone wire.Zone) bool {
 	if p.Avoided == nil || !p.Avoided(zone) {
 		return false
 	}
--- a/internal/planner/existing.go
+++ b/internal/planner/existing.go
@@ -7,6 +7,7 @@
 
 	"lynxledge/internal/placement"
 	"lynxledge/internal/resources"
+	"lynxledge/wire"
 )
 
 // demandShape is all of a demand that decides when a slot could take one of its tasks.
@@ -14,7 +15,7 @@
 type demandShape struct {
 	need  resources.Vector
 	types string
-	zone  string
+	zone  wire.Zone
 	spot  bool
 	roomy bool
 }
--- a/internal/planner/existing_test.go
+++ b/internal/planner/existing_test.go
@@ -41,7 +41,7 @@
 }
 
 func newPass(in Input) *planning {
-	p := &planning{Input: in, machineTypes: map[string]*wire.MachineType{}, offer: map[string]int{}, heldIndex: map[resources.Pool]int{}, queues: map[demandShape]*slotQueue{}}
+	p := &planning{Input: in, machineTypes: map[string]*wire.MachineType{}, offer: map[wire.Zone]int{}, heldIndex: map[resources.Pool]int{}, queues: map[demandShape]*slotQueue{}}
 	for i := range in.Types {
 		p.machineTypes[in.Types[i].Name] = &in.Types[i]
 	}
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -47,7 +47,7 @@
 	Refused  func(resources.Pool) bool // the cloud had no such machine lately
 	// Avoided tells which zones nothing is rented in for work that may go elsewhere; nil:
 	// none.
-	Avoided          func(zone string) bool
+	Avoided          func(zone wire.Zone) bool
 	BootLag          float64
 	PlanningInterval float64
 	BillingPeriod    float64
@@ -85,7 +85,7 @@
 	p := &planning{
 		Input:        in,
 		machineTypes: map[string]*wire.MachineType{},
-		offer:        map[string]int{},
+		offer:        map[wire.Zone]int{},
 		load:         map[resources.Pool]float64{},
 		tasks:        map[resources.Pool]int{},
 		share:        map[resources.Pool]float64{},
@@ -124,7 +124,7 @@
 		}
 	}
 	slices.SortFunc(out.ScaleOut, func(a, b ScaleOutRequest) int {
-		return strings.Compare(a.Zone+a.MachineType+kind(a.Spot), b.Zone+b.MachineType+kind(b.Spot))
+		return strings.Compare(string(a.Zone)+a.MachineType+kind(a.Spot), string(b.Zone)+b.MachineType+kind(b.Spot))
 	})
 	out.ScaleIn = p.returns()
 	return out
@@ -140,7 +140,7 @@
 type planning struct {
 	Input
 	machineTypes map[string]*wire.MachineType
-	offer        map[string]int // types to rent in a zone
+	offer        map[wire.Zone]int // types to rent in a zone
 	most         int
 	room         []*capacitySlot
 	order        []resources.Pool // every pool
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -15,8 +15,8 @@
 )
 
 var planTypes = []wire.MachineType{
-	{Name: "s", CPUs: 4, MemoryGB: 16, HourlyPrice: 1, HourlySpotPrice: 0.4, Zones: []string{"a", "b"}},
-	{Name: "l", CPUs: 16, MemoryGB: 64, HourlyPrice: 3.8, HourlySpotPrice: 1.7, Zones: []string{"a"}},
+	{Name: "s", CPUs: 4, MemoryGB: 16, HourlyPrice: 1, HourlySpotPrice: 0.4, Zones: []wire.Zone{"a", "b"}},
+	{Name: "l", CPUs: 16, MemoryGB: 64, HourlyPrice: 3.8, HourlySpotPrice: 1.7, Zones: []wire.Zone{"a"}},
 }
 
 func base(d ...Demand) Input {
@@ -127,7 +127,7 @@
 // pass until it was nearly up.
 func TestSlowBootIsRentedOnce(t *testing.T) {
 	in := base(Demand{Job: &wire.Job{ID: "req-000001", Kind: wire.KindService, CPUs: 4, MemoryGB: 1, TaskCount: 1}, Count: 1})
-	in.Types = []wire.MachineType{{Name: "s", CPUs: 4, MemoryGB: 16, HourlyPrice: 1, BootTime: 80, Zones: []string{"a"}}}
+	in.Types = []wire.MachineType{{Name: "s", CPUs: 4, MemoryGB: 16, HourlyPrice: 1, BootTime: 80, Zones: []wire.Zone{"a"}}}
 	if got := Compute(in).ScaleOut; len(got) != 1 || got[0].Count != 1 {
 		t.Fatalf("first pass rents %+v", got)
 	}
--- a/internal/recovery/advisor.go
+++ b/internal/recovery/advisor.go
@@ -102,7 +102,7 @@
 
 // advice is what an Advisor tells; it stays as it is.
 type advice struct {
-	zones     map[string]*Admission
+	zones     map[wire.Zone]*Admission
 	preferred map[wire.JobID][]*scheduler.Node
 	reserved  map[*scheduler.Node]resources.Vector
 	positions map[wire.JobID]int
--- a/internal/recovery/plan.go
+++ b/internal/recovery/plan.go
@@ -4,6 +4,7 @@
 	"lynxledge/internal/config"
 	"lynxledge/internal/resources"
 	"lynxledge/internal/scheduler"
+	"lynxledge/wire"
 )
 
 // Input is what a plan looks at.
@@ -15,7 +16,7 @@
 	// has no room on Nodes.
 	LastResort []*scheduler.Node
 	Usage      resources.Usage
-	TeamQuota  func(name string) config.TeamQuota
+	TeamQuota  func(name wire.TeamName) config.TeamQuota
 }
 
 // Placement is one replica and a machine with room for it.
--- a/internal/recovery/plan_test.go
+++ b/internal/recovery/plan_test.go
@@ -23,22 +23,22 @@
 
 func genService(t *rapid.T, id int) *Service {
 	j := &wire.Job{
-		ID: wire.JobID(fmt.Sprintf("req-%06d", id)), Team: rapid.SampledFrom([]string{"red", "blue"}).Draw(t, "team"), Kind: wire.KindService,
+		ID: wire.JobID(fmt.Sprintf("req-%06d", id)), Team: rapid.SampledFrom([]wire.TeamName{"red", "blue"}).Draw(t, "team"), Kind: wire.KindService,
 		Priority: wire.Priority(rapid.IntRange(0, 3).Draw(t, "rank")), TaskCount: rapid.IntRange(1, 6).Draw(t, "replicas"),
 		CPUs: float64(rapid.IntRange(1, 5).Draw(t, "cpus")), MemoryGB: float64(rapid.IntRange(1, 12).Draw(t, "memory")),
 		AllowSpot: rapid.Bool().Draw(t, "spot"), SpreadZones: rapid.Bool().Draw(t, "spread"),
 	}
 	switch rapid.IntRange(0, 5).Draw(t, "only") {
 	case 0:
-		j.Zone = rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "zone")
+		j.Zone = rapid.SampledFrom([]wire.Zone{"a", "b", "c"}).Draw(t, "zone")
 	case 1:
 		j.MachineTypes = []string{"l"}
 	case 2:
 		j.SingleZone, j.SpreadZones = true, false
 	}
-	s := &Service{Job: j, AtRisk: map[string]int{}, Zones: placement.ZoneCounts{}, Since: int64(id)}
+	s := &Service{Job: j, AtRisk: map[wire.Zone]int{}, Zones: placement.ZoneCounts{}, Since: int64(id)}
 	left := j.TaskCount
-	for _, zone := range []string{"a", "b", "c"} {
+	for _, zone := range []wire.Zone{"a", "b", "c"} {
 		if !s.Zones.Allows(j, zone) || j.Zone != "" && j.Zone != zone {
 			continue
 		}
@@ -56,7 +56,7 @@
 }
 
 func genInput(t *rapid.T) Input {
-	in := Input{Usage: resources.Usage{}, TeamQuota: func(name string) config.TeamQuota {
+	in := Input{Usage: resources.Usage{}, TeamQuota: func(name wire.TeamName) config.TeamQuota {
 		if name == "red" {
 			return config.TeamQuota{Name: name, MaxCPUs: 24}
 		}
@@ -65,7 +65,7 @@
 	for i := range rapid.IntRange(0, 8).Draw(t, "nodes") {
 		n := &scheduler.Node{
 			Name: wire.MachineID(fmt.Sprintf("i-%02d", i)), MachineType: rapid.SampledFrom(testTypes).Draw(t, "type"), Schedulable: true,
-			Zone: rapid.SampledFrom([]string{"a", "b", "b", "c", "c"}).Draw(t, "zone"), Spot: rapid.Bool().Draw(t, "spot"),
+			Zone: rapid.SampledFrom([]wire.Zone{"a", "b", "b", "c", "c"}).Draw(t, "zone"), Spot: rapid.Bool().Draw(t, "spot"),
 		}
 		n.Used = resources.Vector{CPUs: float64(rapid.IntRange(0, 4).Draw(t, "used")), MemoryGB: float64(rapid.IntRange(0, 8).Draw(t, "usedMemory"))}
 		if n.Zone == "a" {
@@ -161,17 +161,17 @@
 // A service that may be anywhere leaves the only zone that another allows to it: the
 // order alone would not.
 func TestSolverLeavesTheOnlyZone(t *testing.T) {
-	node := func(name wire.MachineID, zone string) *scheduler.Node {
+	node := func(name wire.MachineID, zone wire.Zone) *scheduler.Node {
 		return &scheduler.Node{Name: name, MachineType: testTypes[0], Zone: zone, Schedulable: true}
 	}
-	service := func(id wire.JobID, zone string) *Service {
+	service := func(id wire.JobID, zone wire.Zone) *Service {
 		j := &wire.Job{ID: id, Team: "blue", Kind: wire.KindService, Priority: wire.PriorityProduction, TaskCount: 1, CPUs: 4, MemoryGB: 1, Zone: zone}
-		return &Service{Job: j, Waiting: 1, AtRisk: map[string]int{}, Zones: placement.ZoneCounts{}}
+		return &Service{Job: j, Waiting: 1, AtRisk: map[wire.Zone]int{}, Zones: placement.ZoneCounts{}}
 	}
 	in := Input{
 		Services:  []*Service{service("req-000001", ""), service("req-000002", "b")},
 		Nodes:     []*scheduler.Node{node("i-1", "b"), node("i-2", "c")},
-		TeamQuota: func(string) config.TeamQuota { return config.TeamQuota{} },
+		TeamQuota: func(wire.TeamName) config.TeamQuota { return config.TeamQuota{} },
 	}
 	if plan := Compute(in); !plan.Solved || len(plan.Placements) != 2 {
 		t.Errorf("%+v", plan)
@@ -180,13 +180,13 @@
 
 // More services than the solver's bounds allow are placed all the same.
 func TestSolverIsBounded(t *testing.T) {
-	in := Input{TeamQuota: func(string) config.TeamQuota { return config.TeamQuota{} }}
+	in := Input{TeamQuota: func(wire.TeamName) config.TeamQuota { return config.TeamQuota{} }}
 	for i := range 40 {
-		in.Nodes = append(in.Nodes, &scheduler.Node{Name: wire.MachineID(fmt.Sprintf("i-%02d", i)), MachineType: testTypes[i%2], Zone: []string{"b", "c", "d"}[i%3], Spot: i%4 == 0, Schedulable: true})
+		in.Nodes = append(in.Nodes, &scheduler.Node{Name: wire.MachineID(fmt.Sprintf("i-%02d", i)), MachineType: testTypes[i%2], Zone: []wire.Zone{"b", "c", "d"}[i%3], Spot: i%4 == 0, Schedulable: true})
 	}
 	for i := range 60 {
 		j := &wire.Job{ID: wire.JobID(fmt.Sprintf("req-%06d", i)), Team: "blue", Kind: wire.KindService, TaskCount: 9, CPUs: 1 + float64(i)/30, MemoryGB: 1, SpreadZones: true}
-		in.Services = append(in.Services, &Service{Job: j, Waiting: 9, AtRisk: map[string]int{}, Zones: placement.ZoneCounts{}})
+		in.Services = append(in.Services, &Service{Job: j, Waiting: 9, AtRisk: map[wire.Zone]int{}, Zones: placement.ZoneCounts{}})
 	}
 	p := build(&in, newRoom(in.Nodes))
 	if len(p.rows) == 0 || len(p.rows) > maxRows || len(p.columns) > maxColumns {
@@ -226,9 +226,9 @@
 // BenchmarkPlan is the work of one plan after a zone with a third of the machines is lost.
 func BenchmarkPlan(b *testing.B) {
 	for _, machines := range []int{48, 400, 4000} {
-		in := Input{TeamQuota: func(string) config.TeamQuota { return config.TeamQuota{} }}
+		in := Input{TeamQuota: func(wire.TeamName) config.TeamQuota { return config.TeamQuota{} }}
 		for i := range machines * 2 / 3 {
-			n := &scheduler.Node{Name: wire.MachineID(fmt.Sprintf("i-%06d", i)), MachineType: testTypes[i%2], Zone: []string{"b", "c"}[i/2%2], Spot: i%5 == 0, Schedulable: true}
+			n := &scheduler.Node{Name: wire.MachineID(fmt.Sprintf("i-%06d", i)), MachineType: testTypes[i%2], Zone: []wire.Zone{"b", "c"}[i/2%2], Spot: i%5 == 0, Schedulable: true}
 			n.Used = resources.Vector{CPUs: float64(i % 4), MemoryGB: float64(i % 9)}
 			in.Nodes = append(in.Nodes, n)
 		}
@@ -237,7 +237,7 @@
 				ID: wire.JobID(fmt.Sprintf("req-%06d", i)), Team: "blue", Kind: wire.KindService, Priority: wire.PriorityProduction,
 				TaskCount: 4, CPUs: 1 + float64(i%3), MemoryGB: 2, SpreadZones: true,
 			}
-			in.Services = append(in.Services, &Service{Job: j, Waiting: 1, AtRisk: map[string]int{"a": 1}, Zones: placement.ZoneCounts{"a": 1, "b": 1, "c": 1}})
+			in.Services = append(in.Services, &Service{Job: j, Waiting: 1, AtRisk: map[wire.Zone]int{"a": 1}, Zones: placement.ZoneCounts{"a": 1, "b": 1, "c": 1}})
 		}
 		b.Run(fmt.Sprint(machines), func(b *testing.B) {
 			b.ReportAllocs()
--- a/internal/recovery/room.go
+++ b/internal/recovery/room.go
@@ -22,7 +22,7 @@
 // bucket is the machines of one type, zone and kind, the fullest first.
 type bucket struct {
 	machineType *wire.MachineType
-	zone        string
+	zone        wire.Zone
 	spot        bool
 	slots       []*slot
 	// first is, for a request, the first slot that may still have room for it. A plan
@@ -37,8 +37,9 @@
 
 func newRoom(nodes []*scheduler.Node) *room {
 	type kind struct {
-		name, zone string
-		spot       bool
+		name string
+		zone wire.Zone
+		spot bool
 	}
 	byKind := map[kind]*bucket{}
 	r := &room{}
@@ -61,7 +62,7 @@
 		})
 	}
 	slices.SortFunc(r.buckets, func(x, y *bucket) int {
-		return cmp.Or(strings.Compare(x.zone, y.zone), strings.Compare(x.machineType.Name, y.machineType.Name), compareBool(x.spot, y.spot))
+		return cmp.Or(strings.Compare(string(x.zone), string(y.zone)), strings.Compare(x.machineType.Name, y.machineType.Name), compareBool(x.spot, y.spot))
 	})
 	return r
 }
--- a/internal/recovery/scaling_policy.go
+++ b/internal/recovery/scaling_policy.go
@@ -27,7 +27,7 @@
 }
 
 // IsRecovering tells whether a zone is lost or returning.
-func (r *ScalingPolicy) IsRecovering(record *statecache.ZoneRecoveries, zone string) bool {
+func (r *ScalingPolicy) IsRecovering(record *statecache.ZoneRecoveries, zone wire.Zone) bool {
 	return r != nil && phaseOf(record, zone).Recovering()
 }
 
@@ -47,7 +47,7 @@
 
 // IsLost tells whether nothing should be rented in a zone. The nil Rentals knows of no
 // zone that is.
-func (r *ScalingPolicy) IsLost(record *statecache.ZoneRecoveries, zone string) bool {
+func (r *ScalingPolicy) IsLost(record *statecache.ZoneRecoveries, zone wire.Zone) bool {
 	return r != nil && phaseOf(record, zone) == zonehealth.Lost
 }
 
@@ -57,7 +57,7 @@
 	if r == nil || !Recovering(view.ZoneRecoveries) {
 		return nil
 	}
-	order := map[string][]uint64{} // by zone
+	order := map[wire.Zone][]uint64{} // by zone
 	for name, m := range view.Machines {
 		if m.Schedulable() {
 			order[m.Zone] = append(order[m.Zone], orderNumber(name))
--- a/internal/recovery/service.go
+++ b/internal/recovery/service.go
@@ -21,7 +21,7 @@
 	Waiting int
 	// AtRisk counts replicas, by zone, that are bound to machines of lost zones which
 	// nobody hears. They count until they are proved gone, and may still run.
-	AtRisk map[string]int
+	AtRisk map[wire.Zone]int
 	// Zones counts all bound replicas by zone, those at risk included.
 	Zones placement.ZoneCounts
 	// Since is the time of day from which the service could run, in milliseconds.
@@ -71,7 +71,7 @@
 		s := found[id]
 		if s == nil {
 			j := active[id]
-			s = &Service{Job: j.Spec, AtRisk: map[string]int{}, Zones: placement.ZoneCountsOf(view, id), Since: j.RunnableSince()}
+			s = &Service{Job: j.Spec, AtRisk: map[wire.Zone]int{}, Zones: placement.ZoneCountsOf(view, id), Since: j.RunnableSince()}
 			found[id] = s
 		}
 		return s
@@ -108,7 +108,7 @@
 }
 
 // phaseOf is the recorded phase of a zone.
-func phaseOf(record *statecache.ZoneRecoveries, zone string) zonehealth.Phase {
+func phaseOf(record *statecache.ZoneRecoveries, zone wire.Zone) zonehealth.Phase {
 	z := record.Find(zone)
 	if z == nil {
 		return zonehealth.Healthy
--- a/internal/recovery/solver.go
+++ b/internal/recovery/solver.go
@@ -29,12 +29,14 @@
 // groupKey is all that decides where a replica may go. Replicas that share it are one
 // group of the program.
 type groupKey struct {
-	team, types, zone string
-	need              resources.Vector
-	rank              wire.Priority
-	spot, spread      bool
-	pinned            string // the zone that its other replicas leave it
-	atRisk            bool
+	team         wire.TeamName
+	types        string
+	zone         wire.Zone
+	need         resources.Vector
+	rank         wire.Priority
+	spot, spread bool
+	pinned       wire.Zone // the zone that its other replicas leave it
+	atRisk       bool
 }
 
 func keyOf(s *Service, atRisk bool) groupKey {
@@ -60,7 +62,7 @@
 	key      groupKey
 	job      *wire.Job // any of its services
 	count    int
-	zoneRoom map[string]int // of services that spread: replicas that a zone may still have
+	zoneRoom map[wire.Zone]int // of services that spread: replicas that a zone may still have
 }
 
 // groups gathers the replicas of services, in the services' order.
@@ -74,7 +76,7 @@
 		key := keyOf(s, atRisk)
 		g := byKey[key]
 		if g == nil {
-			g = &group{key: key, job: s.Job, zoneRoom: map[string]int{}}
+			g = &group{key: key, job: s.Job, zoneRoom: map[wire.Zone]int{}}
 			byKey[key] = g
 			list = append(list, g)
 		}
@@ -90,7 +92,7 @@
 }
 
 // addZoneRoom counts how many replicas of the groups' services each zone may still have.
-func addZoneRoom(list []*group, services []*Service, zones []string) {
+func addZoneRoom(list []*group, services []*Service, zones []wire.Zone) {
 	byKey := map[groupKey]*group{}
 	for _, g := range list {
 		byKey[g.key] = g
@@ -187,8 +189,8 @@
 	return p
 }
 
-func zonesOf(r *room) []string {
-	var zones []string
+func zonesOf(r *room) []wire.Zone {
+	var zones []wire.Zone
 	for _, b := range r.buckets {
 		if len(zones) == 0 || zones[len(zones)-1] != b.zone { // buckets are sorted by zone
 			zones = append(zones, b.zone)
@@ -211,7 +213,7 @@
 // concern the group alone.
 func (p *program) addGroup(g *group, room *room) {
 	all := row{coefficients: map[int]float64{}, bound: float64(g.count)}
-	byZone := map[string]row{}
+	byZone := map[wire.Zone]row{}
 	for i, b := range room.buckets {
 		if !b.allows(g.job) || g.key.pinned != "" && g.key.pinned != b.zone || b.whole(g.key.need) == 0 {
 			continue
@@ -278,7 +280,7 @@
 // limitTeams bounds what waiting replicas of a team take by its limit. Those at risk
 // count towards it already.
 func (p *program) limitTeams(in *Input) {
-	done := map[string]bool{}
+	done := map[wire.TeamName]bool{}
 	for _, column := range p.columns {
 		name := column.group.key.team
 		team := in.TeamQuota(name)
--- a/internal/resources/pool.go
+++ b/internal/resources/pool.go
@@ -1,7 +1,10 @@
 package resources
 
+import "lynxledge/wire"
+
 // Pool is a type in a zone, spot or ordinary: what one rental names.
 type Pool struct {
-	MachineType, Zone string
-	Spot              bool
+	MachineType string
+	Zone        wire.Zone
+	Spot        bool
 }
--- a/internal/resources/resources.go
+++ b/internal/resources/resources.go
@@ -43,7 +43,7 @@
 }
 
 // Usage is what a team's tasks use until they are proved gone.
-type Usage map[string]Vector
+type Usage map[wire.TeamName]Vector
 
 // WithinLimit tells whether a team may take more.
 func (t Usage) WithinLimit(team config.TeamQuota, more Vector) bool {
--- a/internal/scheduler/advisor.go
+++ b/internal/scheduler/advisor.go
@@ -23,7 +23,7 @@
 	ActiveJobs map[wire.JobID]*statecache.Job
 	Nodes      []*Node
 	Usage      resources.Usage
-	TeamQuota  func(name string) config.TeamQuota
+	TeamQuota  func(name wire.TeamName) config.TeamQuota
 }
 
 // Advice is what a recovery asks of placing. It only narrows or orders the choice: what
--- a/internal/scheduler/advisor_test.go
+++ b/internal/scheduler/advisor_test.go
@@ -19,7 +19,7 @@
 
 // zoneAdvice withholds a zone from arrays, and reserves room on a machine.
 type zoneAdvice struct {
-	zone     string
+	zone     wire.Zone
 	reserved map[*Node]resources.Vector
 }
 
@@ -40,7 +40,7 @@
 	cfg.Params.Teams = []config.TeamQuota{{Name: "red"}}
 	p := newScheduler(cfg, 2)
 	p.advisor = advisor
-	p.machineTypes["s"] = &wire.MachineType{Name: "s", CPUs: 4, MemoryGB: 16, Zones: []string{"a", "b"}}
+	p.machineTypes["s"] = &wire.MachineType{Name: "s", CPUs: 4, MemoryGB: 16, Zones: []wire.Zone{"a", "b"}}
 	p.zoneOffers = ZoneOffers{"a": 1, "b": 1}
 	now := time.Now()
 	job := func(id wire.JobID, shape wire.JobKind, rank wire.Priority, tasks int) *statecache.Job {
@@ -57,8 +57,8 @@
 	}
 	p.view.Apply(statecache.Change{Kind: statecache.KindAssignment, Name: "red", Record: &statecache.Assignment{Member: "n0", Incarnation: 2, ModRevision: 1}, ModRevision: 1})
 	p.revision, p.freshAsOf = 9, now
-	for _, zone := range []string{"a", "b"} {
-		g := groupOf(zone, 3)
+	for _, zone := range []wire.Zone{"a", "b"} {
+		g := groupOf(string(zone), 3)
 		g.Zone, g.ModRevision = zone, 1
 		for _, m := range g.Machines {
 			m.Bindings, m.Group, m.Zone, m.MachineType = nil, g.Name, zone, "s"
--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -32,7 +32,7 @@
 	cfg.Params.Store = config.StoreLimits{MaxValueKB: 4, MaxTxnOps: 8, RequestRate: 200, WriteRate: 20}
 	cfg.Params.Teams = []config.TeamQuota{{Name: "red"}}
 	p := newScheduler(cfg, 1)
-	p.machineTypes["s"] = &wire.MachineType{Name: "s", CPUs: 4, MemoryGB: 32, Zones: []string{"a"}}
+	p.machineTypes["s"] = &wire.MachineType{Name: "s", CPUs: 4, MemoryGB: 32, Zones: []wire.Zone{"a"}}
 	p.zoneOffers = ZoneOffers{"a": 1}
 	p.cycleScheduled = true // rounds are begun by hand
 	at := time.Now().UnixMilli()
--- a/internal/scheduler/commit.go
+++ b/internal/scheduler/commit.go
@@ -22,7 +22,7 @@
 	cancellations           map[wire.JobID]*statecache.Job         // jobs whose cancellation is stored
 	completed               map[wire.JobID]int                     // jobs: tasks marked here
 	jobPreconditions        map[wire.JobID]uint64                  // guarded jobs
-	assignmentPreconditions map[string]uint64
+	assignmentPreconditions map[wire.TeamName]uint64
 	placed                  map[wire.JobID]int
 	usage                   resources.Usage
 	guaranteed              map[wire.JobID]bool // jobs within their teams' guarantees
@@ -50,7 +50,7 @@
 		cancellations:           map[wire.JobID]*statecache.Job{},
 		completed:               map[wire.JobID]int{},
 		jobPreconditions:        map[wire.JobID]uint64{},
-		assignmentPreconditions: map[string]uint64{},
+		assignmentPreconditions: map[wire.TeamName]uint64{},
 		placed:                  map[wire.JobID]int{},
 		usage:                   maps.Clone(tally),
 		launches:                map[wire.MachineID][]wire.Command{},
--- a/internal/scheduler/cycle_test.go
+++ b/internal/scheduler/cycle_test.go
@@ -28,7 +28,7 @@
 		conn := &simulation.StoreConn{Store: simulation.NewStore(), Net: simulation.NewNetwork(1, time.Millisecond), Node: "n0", Timeout: time.Second}
 		l := statecache.Start(ctx, conn, statecache.Options{ChunkTasks: statecache.ChunkTasks(4), WatchHold: time.Second, MaxViewAge: time.Second, Backoff: 100 * time.Millisecond})
 		p := Start(ctx, cfg, 2, l, nil, func(*wire.Heartbeat) {})
-		p.SetMachineTypes([]wire.MachineType{{Name: "s", CPUs: 4, MemoryGB: 16, HourlyPrice: 1, Zones: []string{"a"}}})
+		p.SetMachineTypes([]wire.MachineType{{Name: "s", CPUs: 4, MemoryGB: 16, HourlyPrice: 1, Zones: []wire.Zone{"a"}}})
 		l.Run()
 		time.Sleep(time.Second)
 		c := statecache.Commit{Puts: []statecache.Put{
--- a/internal/scheduler/node_index.go
+++ b/internal/scheduler/node_index.go
@@ -10,8 +10,9 @@
 )
 
 type nodePool struct {
-	typ, zone string
-	spot      bool
+	typ  string
+	zone wire.Zone
+	spot bool
 }
 
 // poolCapacity is what a pool has.
--- a/internal/scheduler/pick_node.go
+++ b/internal/scheduler/pick_node.go
@@ -27,7 +27,7 @@
 	Name        wire.MachineID
 	Group       string
 	MachineType *wire.MachineType
-	Zone        string
+	Zone        wire.Zone
 	Spot        bool
 	Schedulable bool             // tasks may be bound to it
 	Used        resources.Vector // of tasks that are to stay
@@ -94,7 +94,7 @@
 
 // ZoneOffers tells how many machine types can be rented in a zone, as a share of
 // the zone that offers most.
-type ZoneOffers map[string]float64
+type ZoneOffers map[wire.Zone]float64
 
 // PickNode returns the node with room that suits a task of the job best, or nil.
 // Urgent work goes where its image is; the rest packs machines that are in
--- a/internal/scheduler/pick_node_test.go
+++ b/internal/scheduler/pick_node_test.go
@@ -19,7 +19,7 @@
 
 func genSpec(t *rapid.T, id int) *wire.Job {
 	return &wire.Job{
-		ID: wire.JobID(fmt.Sprintf("req-%06d", id)), Team: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "team"), Kind: wire.KindArray,
+		ID: wire.JobID(fmt.Sprintf("req-%06d", id)), Team: rapid.SampledFrom([]wire.TeamName{"a", "b"}).Draw(t, "team"), Kind: wire.KindArray,
 		Priority: wire.Priority(rapid.IntRange(0, 3).Draw(t, "rank")), TaskCount: rapid.IntRange(1, 9).Draw(t, "tasks"),
 		CPUs: rapid.Float64Range(0.1, 6).Draw(t, "cpus"), GPUs: float64(rapid.IntRange(0, 1).Draw(t, "gpus")),
 		MemoryGB: rapid.Float64Range(0, 20).Draw(t, "mem"), Image: rapid.SampledFrom([]string{"x", "y"}).Draw(t, "image"),
@@ -32,7 +32,7 @@
 	for i := range rapid.IntRange(0, 8).Draw(t, "nodes") {
 		n := &Node{
 			Name: wire.MachineID(fmt.Sprint(i)), MachineType: &testTypes[rapid.IntRange(0, 1).Draw(t, "type")],
-			Zone: rapid.SampledFrom([]string{"p", "q"}).Draw(t, "zone"), Spot: rapid.Bool().Draw(t, "spotm"),
+			Zone: rapid.SampledFrom([]wire.Zone{"p", "q"}).Draw(t, "zone"), Spot: rapid.Bool().Draw(t, "spotm"),
 			HasImage: func(string) bool { return i%2 == 0 },
 		}
 		for k := range rapid.IntRange(0, 4).Draw(t, "held") {
@@ -71,8 +71,8 @@
 
 // Preemption stops only what the protocol lets it, and makes room.
 func TestPreempt(t *testing.T) {
-	teams := map[string]config.TeamQuota{"a": {Name: "a", GuaranteedCPUs: 6}, "b": {Name: "b", GuaranteedCPUs: 3}}
-	team := func(n string) config.TeamQuota { return teams[n] }
+	teams := map[wire.TeamName]config.TeamQuota{"a": {Name: "a", GuaranteedCPUs: 6}, "b": {Name: "b", GuaranteedCPUs: 3}}
+	team := func(n wire.TeamName) config.TeamQuota { return teams[n] }
 	rapid.Check(t, func(t *rapid.T) {
 		j, nodes := genSpec(t, 1), genNodes(t)
 		tally := resources.Usage{}
@@ -119,7 +119,7 @@
 // A team's early replicas are guaranteed to it however much batch work it borrows
 // room for later: they were stopped for other teams' replicas.
 func TestEarlierJobsAreGuaranteed(t *testing.T) {
-	team := func(string) config.TeamQuota { return config.TeamQuota{Name: "a", GuaranteedCPUs: 10} }
+	team := func(wire.TeamName) config.TeamQuota { return config.TeamQuota{Name: "a", GuaranteedCPUs: 10} }
 	job := func(id wire.JobID, cpus float64) *wire.Job { return &wire.Job{ID: id, Team: "a", CPUs: cpus} }
 	guaranteed := JobsWithinGuarantee([]QuotaClaim{
 		{job("req-000003", 4), 30, 20}, {job("req-000001", 2), 10, 2}, {job("req-000004", 2), 40, 1}, {job("req-000002", 2), 20, 3},
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -14,8 +14,8 @@
 
 // ownAssignments lists the teams that this process may place: their assignments name
 // it, and the view has every bind made under earlier ones.
-func (p *Scheduler) ownAssignments() map[string]*statecache.Assignment {
-	out := map[string]*statecache.Assignment{}
+func (p *Scheduler) ownAssignments() map[wire.TeamName]*statecache.Assignment {
+	out := map[wire.TeamName]*statecache.Assignment{}
 	for team, h := range p.view.Assignments {
 		if h.Incarnation == p.incarnation && p.revision >= h.ModRevision {
 			out[team] = h
@@ -43,7 +43,7 @@
 // that would make the whole queue late again.
 //
 // While zones recover, services go before all arrays, whatever their priority.
-func (p *Scheduler) queue(mine map[string]*statecache.Assignment, now time.Time) []queuedJob {
+func (p *Scheduler) queue(mine map[wire.TeamName]*statecache.Assignment, now time.Time) []queuedJob {
 	if len(mine) == 0 {
 		return nil
 	}
--- a/internal/scheduler/quota.go
+++ b/internal/scheduler/quota.go
@@ -26,7 +26,7 @@
 // JobsWithinGuarantee tells which jobs are within their teams' guarantees: those that fit
 // together with the team's earlier unfinished jobs. What a team runs beyond its
 // guarantee is the rest. It sorts the claims.
-func JobsWithinGuarantee(claims []QuotaClaim, team func(string) config.TeamQuota) map[wire.JobID]bool {
+func JobsWithinGuarantee(claims []QuotaClaim, team func(wire.TeamName) config.TeamQuota) map[wire.JobID]bool {
 	slices.SortFunc(claims, compareClaims)
 	used := resources.Usage{}
 	guaranteed := map[wire.JobID]bool{}
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -236,7 +236,7 @@
 	return slices.DeleteFunc(slices.Clone(nodes), func(n *Node) bool { return !n.HasImage(image) })
 }
 
-func (p *Scheduler) teamQuota(name string) config.TeamQuota {
+func (p *Scheduler) teamQuota(name wire.TeamName) config.TeamQuota {
 	t, _ := p.config.Params.TeamQuota(name)
 	t.Name = name
 	return t
--- a/internal/scheduler/victims.go
+++ b/internal/scheduler/victims.go
@@ -20,7 +20,7 @@
 // FindVictims finds the cheapest set of tasks to stop for a task of job j. Work
 // of lower priority may go; with the team inside its guarantee so may work of any
 // priority that another team runs beyond its own. Nothing else may.
-func FindVictims(j *wire.Job, zones placement.ZoneCounts, offers ZoneOffers, nodes []*Node, tally resources.Usage, team func(string) config.TeamQuota) *PreemptionVictims {
+func FindVictims(j *wire.Job, zones placement.ZoneCounts, offers ZoneOffers, nodes []*Node, tally resources.Usage, team func(wire.TeamName) config.TeamQuota) *PreemptionVictims {
 	var best *PreemptionVictims
 	bestScore := 0.0
 	need := resources.OfTask(j)
@@ -40,7 +40,7 @@
 	return best
 }
 
-func victimsOnNode(j *wire.Job, n *Node, need resources.Vector, guaranteed bool, tally resources.Usage, team func(string) config.TeamQuota) *PreemptionVictims {
+func victimsOnNode(j *wire.Job, n *Node, need resources.Vector, guaranteed bool, tally resources.Usage, team func(wire.TeamName) config.TeamQuota) *PreemptionVictims {
 	limit := resources.OfMachineType(n.MachineType)
 	type candidate struct {
 		i    int
--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -24,8 +24,8 @@
 	hires   map[string][]wire.MachineID
 	hosts   map[wire.MachineID]*host
 	next    int
-	closed  map[string]bool // zones in which nothing is to be had
-	stuck   int             // machines that are still to be rented and will never come up
+	closed  map[wire.Zone]bool // zones in which nothing is to be had
+	stuck   int                // machines that are still to be rented and will never come up
 	history []snapshot
 	boot    func(h wire.Instance) *Worker
 	bootMax time.Duration                       // the longest time that a machine takes to come up
@@ -50,7 +50,7 @@
 func NewCloud(seed uint64, types []wire.MachineType, limit int, lag time.Duration, boot func(h wire.Instance) *Worker) *Cloud {
 	return &Cloud{
 		rng: rand.New(rand.NewPCG(seed, 8)), types: types, limit: limit, lag: lag,
-		hires: map[string][]wire.MachineID{}, hosts: map[wire.MachineID]*host{}, closed: map[string]bool{}, boot: boot,
+		hires: map[string][]wire.MachineID{}, hosts: map[wire.MachineID]*host{}, closed: map[wire.Zone]bool{}, boot: boot,
 		bootMax: 20 * time.Second, address: func(machine wire.MachineID) string { return string(machine) + port },
 	}
 }
@@ -191,7 +191,7 @@
 
 // FailZone stops every machine of a zone, and rents none there until the zone is opened
 // again.
-func (c *Cloud) FailZone(zone string) {
+func (c *Cloud) FailZone(zone wire.Zone) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.closed[zone] = true
@@ -207,7 +207,7 @@
 }
 
 // OpenZone rents machines of a zone again.
-func (c *Cloud) OpenZone(zone string) {
+func (c *Cloud) OpenZone(zone wire.Zone) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.closed, zone)
--- a/internal/simulation/history/order.go
+++ b/internal/simulation/history/order.go
@@ -84,13 +84,13 @@
 }
 
 // Phase is the recorded phase of a zone.
-func (c *OrderChecker) Phase(zone string) string {
+func (c *OrderChecker) Phase(zone wire.Zone) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.phase(zone)
 }
 
-func (c *OrderChecker) phase(zone string) string {
+func (c *OrderChecker) phase(zone wire.Zone) string {
 	if z := c.view.ZoneRecoveries.Find(zone); z != nil {
 		return z.Phase
 	}
--- a/internal/simulation/invariants.go
+++ b/internal/simulation/invariants.go
@@ -14,11 +14,11 @@
 // InvariantChecker watches what workers do and users are told, and keeps every breach.
 type InvariantChecker struct {
 	mu         sync.Mutex
-	teams      map[string]config.TeamQuota
+	teams      map[wire.TeamName]config.TeamQuota
 	cancelS    time.Duration
 	jobs       map[wire.JobID]*jobRecord
-	on         map[string]wire.Instance // task: machine
-	used       map[string]float64       // processors, by team
+	on         map[string]wire.Instance  // task: machine
+	used       map[wire.TeamName]float64 // processors, by team
 	violations []string
 	started    int
 	late       int // tasks ordered to start after their job's confirmed cancellation
@@ -31,7 +31,7 @@
 	job       *wire.Job
 	run       time.Duration
 	completed map[int]bool
-	zones     map[string]int // its tasks that are on machines
+	zones     map[wire.Zone]int // its tasks that are on machines
 	accepted  bool
 	final     wire.JobState
 	asked     bool // to cancel
@@ -45,11 +45,11 @@
 // NewInvariantChecker makes a checker.
 func NewInvariantChecker(p config.Params) *InvariantChecker {
 	r := &InvariantChecker{
-		teams:   map[string]config.TeamQuota{},
+		teams:   map[wire.TeamName]config.TeamQuota{},
 		cancelS: config.Seconds(p.Workers.CancellationDeadline),
 		jobs:    map[wire.JobID]*jobRecord{},
 		on:      map[string]wire.Instance{},
-		used:    map[string]float64{},
+		used:    map[wire.TeamName]float64{},
 		free:    map[wire.MachineID]*freeRoom{},
 	}
 	for _, t := range p.Teams {
@@ -81,7 +81,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.jobs[j.ID] == nil {
-		r.jobs[j.ID] = &jobRecord{job: j, run: run, completed: map[int]bool{}, zones: map[string]int{}, submitted: time.Now()}
+		r.jobs[j.ID] = &jobRecord{job: j, run: run, completed: map[int]bool{}, zones: map[wire.Zone]int{}, submitted: time.Now()}
 	}
 }
 
@@ -397,7 +397,7 @@
 		if !t.accepted || t.asked || time.Since(t.submitted) < within {
 			continue
 		}
-		names := []string{"class " + t.job.Class, "team " + t.job.Team}
+		names := []string{"class " + t.job.Class, "team " + string(t.job.Team)}
 		if 2*t.job.TaskCount > largest[t.job.Class] {
 			names = append(names, "largest of "+t.job.Class)
 		}
--- a/internal/standby/standby.go
+++ b/internal/standby/standby.go
@@ -15,6 +15,7 @@
 	"lynxledge/internal/config"
 	"lynxledge/internal/failuredetector"
 	"lynxledge/internal/statecache"
+	"lynxledge/wire"
 )
 
 // Roles is what a standby may do; package election does it.
@@ -257,7 +258,7 @@
 	return failuredetector.SuccessorOrder(candidates, s.zoneOf, s.zoneOf(dead), s.activeScheduler())
 }
 
-func (s *Standby) zoneOf(member string) string {
+func (s *Standby) zoneOf(member string) wire.Zone {
 	if member == s.config.MemberName {
 		return s.config.Zone
 	}
--- a/internal/statecache/group_codec.go
+++ b/internal/statecache/group_codec.go
@@ -64,7 +64,7 @@
 	Layout        int               `json:"v"`
 	Affixes       affixes           `json:"same"`
 	MachineType   string            `json:"type"`
-	Zone          string            `json:"zone"`
+	Zone          wire.Zone         `json:"zone"`
 	Spot          bool              `json:"spot,omitempty"`
 	ProvisionedAt int64             `json:"at"`
 	Machines      []string          `json:"m"`
--- a/internal/statecache/group_split.go
+++ b/internal/statecache/group_split.go
@@ -137,8 +137,8 @@
 }
 
 // AssignmentRevisions are the stamps of all assignments, by team.
-func (v *View) AssignmentRevisions() map[string]uint64 {
-	stamps := make(map[string]uint64, len(v.Assignments))
+func (v *View) AssignmentRevisions() map[wire.TeamName]uint64 {
+	stamps := make(map[wire.TeamName]uint64, len(v.Assignments))
 	for team, assignment := range v.Assignments {
 		stamps[team] = assignment.ModRevision
 	}
@@ -146,8 +146,8 @@
 }
 
 // RequireAssignments guards a commit on assignments, given by team.
-func (c *Commit) RequireAssignments(stamps map[string]uint64) {
+func (c *Commit) RequireAssignments(stamps map[wire.TeamName]uint64) {
 	for team, stamp := range stamps {
-		c.Preconditions = append(c.Preconditions, wire.Precondition{Key: Key(KindAssignment, team), ModRevision: stamp})
+		c.Preconditions = append(c.Preconditions, wire.Precondition{Key: Key(KindAssignment, string(team)), ModRevision: stamp})
 	}
 }
--- a/internal/statecache/machine_group.go
+++ b/internal/statecache/machine_group.go
@@ -10,7 +10,7 @@
 type MachineGroup struct {
 	Name          string
 	MachineType   string
-	Zone          string
+	Zone          wire.Zone
 	Spot          bool
 	ProvisionedAt int64      // time of day of the rental, ms
 	Machines      []*Machine // by name
@@ -53,7 +53,7 @@
 	Name          wire.MachineID
 	Group         string
 	MachineType   string
-	Zone          string
+	Zone          wire.Zone
 	Spot          bool
 	ProvisionedAt int64 // time of day of the rental, ms
 	Address       string
@@ -101,7 +101,7 @@
 }
 
 // NewMachineGroup makes the first record of machines; names must be sorted.
-func NewMachineGroup(name, typ, zone string, spot bool, at int64, machines []wire.MachineID, token uint64) *MachineGroup {
+func NewMachineGroup(name, typ string, zone wire.Zone, spot bool, at int64, machines []wire.MachineID, token uint64) *MachineGroup {
 	g := &MachineGroup{Name: name, MachineType: typ, Zone: zone, Spot: spot, ProvisionedAt: at}
 	for _, m := range machines {
 		g.Machines = append(g.Machines, &Machine{Name: m, FencingToken: token})
--- a/internal/statecache/records.go
+++ b/internal/statecache/records.go
@@ -156,11 +156,11 @@
 
 // ProvisioningIntent is the intent to rent machines, stored before the call.
 type ProvisioningIntent struct {
-	MachineType string `json:"type"`
-	Zone        string `json:"zone"`
-	Spot        bool   `json:"spot,omitempty"`
-	Count       int    `json:"count"` // still to be rented
-	Batch       int    `json:"batch,omitempty"`
+	MachineType string    `json:"type"`
+	Zone        wire.Zone `json:"zone"`
+	Spot        bool      `json:"spot,omitempty"`
+	Count       int       `json:"count"` // still to be rented
+	Batch       int       `json:"batch,omitempty"`
 	// Tasks is how many tasks a machine is expected to hold; it sizes groups.
 	TasksPerMachine float64 `json:"tasks,omitempty"`
 	RequestedAt     int64   `json:"at"`
--- a/internal/statecache/view.go
+++ b/internal/statecache/view.go
@@ -20,7 +20,7 @@
 	Groups              map[string]*MachineGroup
 	Machines            map[wire.MachineID]*Machine           // by machine
 	Bindings            map[wire.JobID]map[int]wire.MachineID // job, task: the machine it is bound to
-	Assignments         map[string]*Assignment
+	Assignments         map[wire.TeamName]*Assignment
 	Members             map[string]*Member
 	ProvisioningIntents map[string]*ProvisioningIntent
 	Leader              *Leader
@@ -51,7 +51,7 @@
 func NewView(chunkTasks int) *View {
 	return &View{
 		Jobs: map[wire.JobID]*Job{}, CompletionChunks: map[wire.JobID]map[CompletionChunkID]*CompletionChunk{}, Groups: map[string]*MachineGroup{}, Machines: map[wire.MachineID]*Machine{},
-		Bindings: map[wire.JobID]map[int]wire.MachineID{}, Assignments: map[string]*Assignment{}, Members: map[string]*Member{},
+		Bindings: map[wire.JobID]map[int]wire.MachineID{}, Assignments: map[wire.TeamName]*Assignment{}, Members: map[string]*Member{},
 		ProvisioningIntents: map[string]*ProvisioningIntent{}, completions: map[wire.JobID]*completionSet{}, chunkTasks: chunkTasks,
 	}
 }
--- a/internal/statecache/view_records.go
+++ b/internal/statecache/view_records.go
@@ -20,7 +20,7 @@
 			return r.ModRevision
 		}
 	case KindAssignment:
-		if r := v.Assignments[name]; r != nil {
+		if r := v.Assignments[wire.TeamName(name)]; r != nil {
 			return r.ModRevision
 		}
 	case KindMember:
@@ -72,7 +72,7 @@
 		add(KindMachineGroup, n, r, r.ModRevision)
 	}
 	for n, r := range v.Assignments {
-		add(KindAssignment, n, r, r.ModRevision)
+		add(KindAssignment, string(n), r, r.ModRevision)
 	}
 	for n, r := range v.Members {
 		add(KindMember, n, r, r.ModRevision)
--- a/internal/statecache/zone_recovery.go
+++ b/internal/statecache/zone_recovery.go
@@ -1,6 +1,10 @@
 package statecache
 
-import "encoding/json"
+import (
+	"encoding/json"
+
+	"lynxledge/wire"
+)
 
 // ZoneRecoveryLayoutVersion is the layout of the recovery record that this version writes.
 const ZoneRecoveryLayoutVersion = 1
@@ -26,19 +30,19 @@
 
 // ZoneRecovery is the state of one zone. Times are times of day, in milliseconds.
 type ZoneRecovery struct {
-	Zone      string `json:"zone"`
-	Phase     string `json:"phase"`
-	Since     int64  `json:"since"`
-	Losses    int    `json:"losses,omitempty"`
-	HoldUntil int64  `json:"hold,omitempty"`
-	Step      int    `json:"step,omitempty"`
+	Zone      wire.Zone `json:"zone"`
+	Phase     string    `json:"phase"`
+	Since     int64     `json:"since"`
+	Losses    int       `json:"losses,omitempty"`
+	HoldUntil int64     `json:"hold,omitempty"`
+	Step      int       `json:"step,omitempty"`
 	// Evidence is the figures behind the last change, in the order of the fields of
 	// zonehealth.Evidence.
 	Evidence []int `json:"ev,omitempty"`
 }
 
 // Find is the state of a zone, or nil.
-func (r *ZoneRecoveries) Find(zone string) *ZoneRecovery {
+func (r *ZoneRecoveries) Find(zone wire.Zone) *ZoneRecovery {
 	if r == nil || r.Unreadable {
 		return nil
 	}
--- a/internal/zonecontrol/controller.go
+++ b/internal/zonecontrol/controller.go
@@ -173,7 +173,7 @@
 
 // evidence is what is known of every zone: of its machines, its controllers, and what
 // the cloud refuses there.
-func (c *Controller) evidence(now time.Time) map[string]zonehealth.Evidence {
+func (c *Controller) evidence(now time.Time) map[wire.Zone]zonehealth.Evidence {
 	all := c.census.Evidence()
 	// A process that began after a zone had lost its last machine knows the zone from the
 	// record alone: it has to be judged all the same, or it would stay lost for ever.
@@ -190,8 +190,8 @@
 	return all
 }
 
-func (c *Controller) countControllers(zone string, e *zonehealth.Evidence) {
-	count := func(member, at string) {
+func (c *Controller) countControllers(zone wire.Zone, e *zonehealth.Evidence) {
+	count := func(member string, at wire.Zone) {
 		if at != zone {
 			return
 		}
@@ -206,7 +206,7 @@
 	}
 }
 
-func (c *Controller) countPools(zone string, now time.Time, e *zonehealth.Evidence) {
+func (c *Controller) countPools(zone wire.Zone, now time.Time, e *zonehealth.Evidence) {
 	for i := range c.machineTypes {
 		for _, z := range c.machineTypes[i].Zones {
 			if z != zone {
--- a/internal/zonecontrol/controller_test.go
+++ b/internal/zonecontrol/controller_test.go
@@ -75,8 +75,8 @@
 	return statecache.Put{Key: statecache.Key(statecache.KindMember, name), Record: statecache.Member{Incarnation: boot, Capabilities: capabilities}}
 }
 
-func machines(zone string, n int) (statecache.Put, []wire.MachineID) {
-	g := &statecache.MachineGroup{Name: "g-" + zone, MachineType: "s", Zone: zone}
+func machines(zone wire.Zone, n int) (statecache.Put, []wire.MachineID) {
+	g := &statecache.MachineGroup{Name: "g-" + string(zone), MachineType: "s", Zone: zone}
 	var names []wire.MachineID
 	for i := range n {
 		name := wire.MachineID(fmt.Sprintf("i-%s%02d", zone, i))
@@ -107,7 +107,7 @@
 	return r
 }
 
-func (b *bench) phase(zone string) string {
+func (b *bench) phase(zone wire.Zone) string {
 	if z := b.record().Find(zone); z != nil {
 		return z.Phase
 	}
@@ -245,7 +245,7 @@
 	for i := range 8 {
 		phase := []string{"lost", "degraded"}[i%2]
 		zones = append(zones, statecache.ZoneRecovery{
-			Zone: fmt.Sprintf("zone-with-a-name-%d", i), Phase: phase, Since: 1e12, Losses: 3, HoldUntil: 1e12, Evidence: []int{100, 90, 10, 3, 2, 1, 8, 4},
+			Zone: wire.Zone(fmt.Sprintf("zone-with-a-name-%d", i)), Phase: phase, Since: 1e12, Losses: 3, HoldUntil: 1e12, Evidence: []int{100, 90, 10, 3, 2, 1, 8, 4},
 		})
 	}
 	kept := fitting(zones, 1024)
--- a/internal/zonecontrol/record.go
+++ b/internal/zonecontrol/record.go
@@ -121,7 +121,7 @@
 	return r.ModRevision
 }
 
-func zoneRecordOf(name string, status zonehealth.Status) statecache.ZoneRecovery {
+func zoneRecordOf(name wire.Zone, status zonehealth.Status) statecache.ZoneRecovery {
 	return statecache.ZoneRecovery{
 		Zone:      name,
 		Phase:     status.Phase.String(),
@@ -134,8 +134,8 @@
 }
 
 // statusesOf reads a record; zones in a phase that is not known are left out.
-func statusesOf(record *statecache.ZoneRecoveries) map[string]zonehealth.Status {
-	statuses := map[string]zonehealth.Status{}
+func statusesOf(record *statecache.ZoneRecoveries) map[wire.Zone]zonehealth.Status {
+	statuses := map[wire.Zone]zonehealth.Status{}
 	if record == nil {
 		return statuses
 	}
--- a/internal/zonecontrol/status.go
+++ b/internal/zonecontrol/status.go
@@ -31,7 +31,7 @@
 
 // ZoneStatus is the state of a zone.
 type ZoneStatus struct {
-	Zone  string    `json:"zone"`
+	Zone  wire.Zone `json:"zone"`
 	Phase string    `json:"phase"`
 	Since time.Time `json:"since,omitzero"`
 	// Evidence is that of the last change; Now is what this controller sees.
--- a/internal/zonehealth/census.go
+++ b/internal/zonehealth/census.go
@@ -16,7 +16,7 @@
 	silence  time.Duration
 	machines map[wire.MachineID]machine
 	next     uint32 // numbers are not used again: a late report may still name an old one
-	zones    map[string]*zoneSets
+	zones    map[wire.Zone]*zoneSets
 	hearings map[string]*window // by controller
 	rotated  time.Time
 	since    time.Time // from when on nothing was missed
@@ -24,7 +24,7 @@
 
 type machine struct {
 	number uint32
-	zone   string
+	zone   wire.Zone
 }
 
 type zoneSets struct {
@@ -38,7 +38,7 @@
 	return &Census{
 		silence:  silence,
 		machines: map[wire.MachineID]machine{},
-		zones:    map[string]*zoneSets{},
+		zones:    map[wire.Zone]*zoneSets{},
 		hearings: map[string]*window{},
 		rotated:  now,
 		since:    now,
@@ -50,7 +50,7 @@
 
 // Expect notes that a machine should report from now on. It has the whole time of
 // silence to be heard.
-func (c *Census) Expect(name wire.MachineID, zone string) {
+func (c *Census) Expect(name wire.MachineID, zone wire.Zone) {
 	m, known := c.machines[name]
 	if !known {
 		m = machine{c.next, zone}
@@ -95,7 +95,7 @@
 	return h
 }
 
-func (c *Census) sets(zone string) *zoneSets {
+func (c *Census) sets(zone wire.Zone) *zoneSets {
 	s := c.zones[zone]
 	if s == nil {
 		s = &zoneSets{expected: roaring.New(), failed: newWindow()}
@@ -131,7 +131,7 @@
 func (c *Census) Complete(now time.Time) bool { return now.Sub(c.since) >= c.silence }
 
 // Evidence is what is known of the machines of each zone.
-func (c *Census) Evidence() map[string]Evidence {
+func (c *Census) Evidence() map[wire.Zone]Evidence {
 	var all []*roaring.Bitmap
 	var byController []*roaring.Bitmap
 	for controller, h := range c.hearings {
@@ -142,7 +142,7 @@
 		}
 	}
 	heard := roaring.FastOr(all...)
-	out := make(map[string]Evidence, len(c.zones))
+	out := make(map[wire.Zone]Evidence, len(c.zones))
 	for name, sets := range c.zones {
 		e := Evidence{
 			Expected: int(sets.expected.GetCardinality()),
--- a/internal/zonehealth/census_test.go
+++ b/internal/zonehealth/census_test.go
@@ -9,7 +9,7 @@
 )
 
 // names makes machine names of a zone.
-func names(zone string, n int) []wire.MachineID {
+func names(zone wire.Zone, n int) []wire.MachineID {
 	var out []wire.MachineID
 	for i := range n {
 		out = append(out, wire.MachineID(fmt.Sprintf("%s-%d", zone, i)))
@@ -17,7 +17,7 @@
 	return out
 }
 
-func expect(c *Census, zone string, machines []wire.MachineID) {
+func expect(c *Census, zone wire.Zone, machines []wire.MachineID) {
 	for _, m := range machines {
 		c.Expect(m, zone)
 	}
--- a/internal/zonehealth/tracker.go
+++ b/internal/zonehealth/tracker.go
@@ -1,6 +1,10 @@
 package zonehealth
 
-import "time"
+import (
+	"time"
+
+	"lynxledge/wire"
+)
 
 // Status is the state of one zone. All of it but the time of the step is recorded, so
 // that another leader goes on from it.
@@ -40,14 +44,14 @@
 
 // Change is a change of a zone's phase or step.
 type Change struct {
-	Zone     string
+	Zone     wire.Zone
 	From, To Status
 }
 
 // Tracker runs the state machines of all zones.
 type Tracker struct {
 	policy Policy
-	zones  map[string]*zoneState
+	zones  map[wire.Zone]*zoneState
 }
 
 type zoneState struct {
@@ -66,15 +70,15 @@
 
 // NewTracker begins with all zones healthy.
 func NewTracker(policy Policy) *Tracker {
-	return &Tracker{policy: policy, zones: map[string]*zoneState{}}
+	return &Tracker{policy: policy, zones: map[wire.Zone]*zoneState{}}
 }
 
 // Status is the state of a zone.
-func (t *Tracker) Status(zone string) Status { return t.zone(zone).Status }
+func (t *Tracker) Status(zone wire.Zone) Status { return t.zone(zone).Status }
 
 // Statuses are the states of all zones known.
-func (t *Tracker) Statuses() map[string]Status {
-	out := make(map[string]Status, len(t.zones))
+func (t *Tracker) Statuses() map[wire.Zone]Status {
+	out := make(map[wire.Zone]Status, len(t.zones))
 	for name, z := range t.zones {
 		out[name] = z.Status
 	}
@@ -82,7 +86,7 @@
 }
 
 // Restore takes recorded states over. What has to hold for a while begins anew.
-func (t *Tracker) Restore(now time.Time, recorded map[string]Status) {
+func (t *Tracker) Restore(now time.Time, recorded map[wire.Zone]Status) {
 	clear(t.zones)
 	for name, status := range recorded {
 		t.zone(name).Status = status
@@ -101,7 +105,7 @@
 	}
 }
 
-func (t *Tracker) zone(name string) *zoneState {
+func (t *Tracker) zone(name wire.Zone) *zoneState {
 	z := t.zones[name]
 	if z == nil {
 		z = &zoneState{timers: map[condition]time.Time{}}
@@ -113,7 +117,7 @@
 // Blind tells whether nothing can be concluded: no machine of any zone is heard. Then
 // it is more likely that this controller hears nothing than that all zones are lost,
 // and if they are, there is nowhere else to go.
-func Blind(evidence map[string]Evidence) bool {
+func Blind(evidence map[wire.Zone]Evidence) bool {
 	expected := 0
 	for _, e := range evidence {
 		expected += e.Machines()
@@ -125,7 +129,7 @@
 }
 
 // Judge goes on with every zone by its evidence, and returns what has changed.
-func (t *Tracker) Judge(now time.Time, evidence map[string]Evidence) []Change {
+func (t *Tracker) Judge(now time.Time, evidence map[wire.Zone]Evidence) []Change {
 	var changes []Change
 	for name, e := range evidence {
 		z := t.zone(name)
--- a/internal/zonehealth/tracker_test.go
+++ b/internal/zonehealth/tracker_test.go
@@ -8,6 +8,7 @@
 	"pgregory.net/rapid"
 
 	_ "lynxledge/internal/rapidseed"
+	"lynxledge/wire"
 )
 
 const tick = time.Second
@@ -23,7 +24,7 @@
 func drive(t *Tracker, now *time.Time, ticks int, e Evidence) Status {
 	for range ticks {
 		*now = now.Add(tick)
-		t.Judge(*now, map[string]Evidence{"a": e})
+		t.Judge(*now, map[wire.Zone]Evidence{"a": e})
 	}
 	return t.Status("a")
 }
--- a/wire/cloud.go
+++ b/wire/cloud.go
@@ -9,16 +9,16 @@
 
 // MachineType is a type of machines that the cloud offers. Prices are per hour.
 type MachineType struct {
-	Name            string   `json:"label"`
-	CPUs            float64  `json:"cores"`
-	GPUs            float64  `json:"gpus"`
-	MemoryGB        float64  `json:"memoryGb"`
-	CacheGB         float64  `json:"cacheGb"`     // space for images
-	ImageFetchGBps  float64  `json:"fetchGbPerS"` // GB per second
-	HourlyPrice     float64  `json:"hourly"`
-	HourlySpotPrice float64  `json:"marketPrice"`
-	BootTime        Seconds  `json:"bootS"` // as a rule, from the provision request to the first heartbeat
-	Zones           []string `json:"yards"`
+	Name            string  `json:"label"`
+	CPUs            float64 `json:"cores"`
+	GPUs            float64 `json:"gpus"`
+	MemoryGB        float64 `json:"memoryGb"`
+	CacheGB         float64 `json:"cacheGb"`     // space for images
+	ImageFetchGBps  float64 `json:"fetchGbPerS"` // GB per second
+	HourlyPrice     float64 `json:"hourly"`
+	HourlySpotPrice float64 `json:"marketPrice"`
+	BootTime        Seconds `json:"bootS"` // as a rule, from the provision request to the first heartbeat
+	Zones           []Zone  `json:"yards"`
 }
 
 // MachineTypeList answers GET /machine_types.
@@ -31,7 +31,7 @@
 type ProvisionRequest struct {
 	RequestID   string `json:"hire"`
 	MachineType string `json:"build"`
-	Zone        string `json:"yard"`
+	Zone        Zone   `json:"yard"`
 	Spot        bool   `json:"loaners"`
 	Count       int    `json:"howMany"`
 }
@@ -56,7 +56,7 @@
 	ID          MachineID     `json:"id"`
 	Address     string        `json:"address"`
 	MachineType string        `json:"build"`
-	Zone        string        `json:"yard"`
+	Zone        Zone          `json:"yard"`
 	Spot        bool          `json:"loaners"`
 	State       InstanceState `json:"status"`
 	Age         Seconds       `json:"heldS"` // since the provision request, at the time of the list
--- a/wire/heartbeat.go
+++ b/wire/heartbeat.go
@@ -41,7 +41,7 @@
 	Machine          MachineID    `json:"nest"`
 	Address          string       `json:"address"` // host and port for direct commands
 	MachineType      string       `json:"build"`
-	Zone             string       `json:"yard"`
+	Zone             Zone         `json:"yard"`
 	Spot             bool         `json:"loaners"`
 	Incarnation      uint64       `json:"shift"`   // from 1, higher each time the worker's lease expires
 	Sequence         uint64       `json:"tick"`    // higher with every message of the worker
--- a/wire/job.go
+++ b/wire/job.go
@@ -55,7 +55,7 @@
 type Job struct {
 	ID                 JobID    `json:"id"`
 	Class              string   `json:"lane"`
-	Team               string   `json:"crew"`
+	Team               TeamName `json:"crew"`
 	Kind               JobKind  `json:"shape"`
 	Priority           Priority `json:"rank"`
 	TaskCount          int      `json:"legs"`
@@ -65,7 +65,7 @@
 	Image              string   `json:"bundle"`
 	ImageGB            float64  `json:"sizeGb"`
 	MachineTypes       []string `json:"builds,omitempty"` // allowed types; empty: any
-	Zone               string   `json:"yard,omitempty"`   // the only allowed zone; empty: any
+	Zone               Zone     `json:"yard,omitempty"`   // the only allowed zone; empty: any
 	SingleZone         bool     `json:"oneZone"`          // all tasks must be in the same zone
 	SpreadZones        bool     `json:"scatter"`          // at most half of the tasks, rounded up, may be in one zone
 	AllowSpot          bool     `json:"loaners"`
--- a/wire/job_parse.go
+++ b/wire/job_parse.go
@@ -88,7 +88,7 @@
 // job returns the job without its optional fields; no mandatory one may be missing.
 func (d *jobDocument) job() *Job {
 	return &Job{
-		ID: *d.ID, Class: *d.Class, Team: *d.Team, Kind: JobKind(*d.Kind), Priority: *d.Priority,
+		ID: *d.ID, Class: *d.Class, Team: TeamName(*d.Team), Kind: JobKind(*d.Kind), Priority: *d.Priority,
 		TaskCount: *d.TaskCount, CPUs: *d.CPUs, GPUs: *d.GPUs, MemoryGB: *d.MemoryGB,
 		Image: *d.Image, ImageGB: *d.ImageGB, SingleZone: *d.SingleZone, SpreadZones: *d.SpreadZones,
 		AllowSpot: *d.AllowSpot, EstimatedRuntime: Seconds(*d.EstimatedRuntime),
@@ -108,7 +108,7 @@
 		if *d.Zone == "" {
 			return invalid("yard", "yard is empty")
 		}
-		j.Zone = *d.Zone
+		j.Zone = Zone(*d.Zone)
 	}
 	if d.Deadline != nil {
 		deadline := Seconds(*d.Deadline)
@@ -147,7 +147,7 @@
 }
 
 func (j *Job) validNames() bool {
-	names := append([]string{j.Class, j.Team, j.Image}, j.MachineTypes...)
+	names := append([]string{j.Class, string(j.Team), j.Image}, j.MachineTypes...)
 	return !slices.ContainsFunc(names, func(name string) bool { return name == "" || len(name) > maxNameBytes })
 }
 
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -18,7 +18,7 @@
 	jobID := rapid.Map(rapid.StringMatching(`req-[0-9]{6,12}`), func(s string) JobID { return JobID(s) })
 	seconds := func(label string) Seconds { return Seconds(amount.Draw(t, label)) }
 	j := &Job{
-		ID: jobID.Draw(t, "id"), Class: name.Draw(t, "class"), Team: name.Draw(t, "team"),
+		ID: jobID.Draw(t, "id"), Class: name.Draw(t, "class"), Team: TeamName(name.Draw(t, "team")),
 		Kind:     rapid.SampledFrom([]JobKind{KindArray, KindService}).Draw(t, "shape"),
 		Priority: Priority(rapid.IntRange(0, 3).Draw(t, "rank")), TaskCount: rapid.IntRange(1, MaxTasksPerJob).Draw(t, "tasks"),
 		CPUs: rapid.Float64Range(0.1, 1e3).Draw(t, "cpus"), GPUs: amount.Draw(t, "gpus"), MemoryGB: amount.Draw(t, "mem"),
@@ -27,7 +27,7 @@
 	}
 	if rapid.Bool().Draw(t, "limited") {
 		d := seconds("deadline")
-		j.Deadline, j.Zone = &d, name.Draw(t, "zone")
+		j.Deadline, j.Zone = &d, Zone(name.Draw(t, "zone"))
 		j.MachineTypes = rapid.SliceOfN(name, 1, 4).Draw(t, "types")
 		j.Dependencies = rapid.SliceOfNDistinct(jobID, 1, 5, rapid.ID).Draw(t, "awaits")
 	}
