--- a/internal/apiserver/bench_test.go
+++ b/internal/apiserver/bench_test.go
@@ -50,7 +50,7 @@
 	for n := range 4 {
 		task := statecache.TaskBinding{Job: "req-000001", TaskIndex: n, Attempt: 40}
 		machine.Bindings = append(machine.Bindings, task)
-		report.Tasks = append(report.Tasks, wire.TaskStatus{Task: task.TaskName(), Attempt: 40, State: wire.TaskRunning})
+		report.Tasks = append(report.Tasks, wire.TaskStatus{Task: task.TaskID(), Attempt: 40, State: wire.TaskRunning})
 	}
 	spec := &wire.Job{ID: "req-000001", Team: "red", Kind: wire.KindArray, TaskCount: 80, CPUs: 4, MemoryGB: 29}
 	loaded := make(chan statecache.Outcome, 1)
--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -55,7 +55,7 @@
 	blockedJobs    map[wire.JobID]*statecache.Job
 	latePipelines  map[wire.JobID]wire.JobID // pipelines by their last job: the stage that makes them late
 	runtimes       *estimate.RuntimeEstimator
-	boundSince     map[string]time.Time                // bound task: since when
+	boundSince     map[wire.TaskID]time.Time           // bound task: since when
 	liveness       map[wire.MachineID]*machineLiveness // by machine
 	exhaustedPools map[resources.Pool]time.Time
 	pendingUpdates map[wire.MachineID]machineUpdate // machine: what is to be written of it
@@ -90,7 +90,7 @@
 		blockedJobs:     map[wire.JobID]*statecache.Job{},
 		latePipelines:   map[wire.JobID]wire.JobID{},
 		runtimes:        estimate.NewRuntimeEstimator(),
-		boundSince:      map[string]time.Time{},
+		boundSince:      map[wire.TaskID]time.Time{},
 		liveness:        map[wire.MachineID]*machineLiveness{},
 		exhaustedPools:  map[resources.Pool]time.Time{},
 		provisioning:    map[string]resources.Pool{},
@@ -160,7 +160,7 @@
 func (r *Autoscaler) applyMachineChange(c statecache.MachineChange, now time.Time) {
 	m, old, b := c.Machine, c.Old, c.New
 	for _, t := range statecache.UnboundTasks(old, b) {
-		delete(r.boundSince, t.TaskName())
+		delete(r.boundSince, t.TaskID())
 	}
 	if b == nil {
 		delete(r.liveness, m)
@@ -178,7 +178,7 @@
 	}
 	for i := range b.Bindings {
 		if t := &b.Bindings[i]; old == nil || old.FindBinding(t.Job, t.TaskIndex) == nil {
-			r.boundSince[t.TaskName()] = now
+			r.boundSince[t.TaskID()] = now
 		}
 	}
 }
--- a/internal/autoscaler/planning_input.go
+++ b/internal/autoscaler/planning_input.go
@@ -114,7 +114,7 @@
 			}
 			left := math.Inf(1)
 			if !j.Spec.IsService() {
-				left = math.Max(0, r.runtimes.Estimate(j.Spec)-now.Sub(r.boundSince[t.TaskName()]).Seconds())
+				left = math.Max(0, r.runtimes.Estimate(j.Spec)-now.Sub(r.boundSince[t.TaskID()]).Seconds())
 			}
 			m.Tasks = append(m.Tasks, planner.RunningTask{Job: j.Spec, Remaining: left})
 		}
@@ -152,7 +152,7 @@
 		}
 		most := 0.0
 		for n := range r.view.Bindings[id] {
-			most = max(most, whole-now.Sub(r.boundSince[wire.TaskName(id, n)]).Seconds())
+			most = max(most, whole-now.Sub(r.boundSince[wire.NewTaskID(id, n)]).Seconds())
 		}
 		return most
 	}
--- a/internal/heartbeat/receiver.go
+++ b/internal/heartbeat/receiver.go
@@ -57,8 +57,8 @@
 	unacknowledgedToken   uint64    // the token of the first answer that the machine has not acknowledged
 	unacknowledgedSince   time.Time // when that was given
 	inboundPartitioned    bool
-	redirectedAt          time.Time            // when it was sent to the controller that writes
-	taskStarts            map[string]time.Time // tasks: first seen running
+	redirectedAt          time.Time                 // when it was sent to the controller that writes
+	taskStarts            map[wire.TaskID]time.Time // tasks: first seen running
 }
 
 // Start runs the actor.
@@ -90,7 +90,7 @@
 				delete(r.contacts, b.Machine)
 			} else if k := r.contacts[b.Machine]; k != nil {
 				for _, t := range statecache.UnboundTasks(b.Old, b.New) {
-					delete(k.taskStarts, t.TaskName())
+					delete(k.taskStarts, t.TaskID())
 				}
 			}
 		}
@@ -150,7 +150,7 @@
 func (r *Receiver) contact(rep *wire.Heartbeat) (k *contact, news bool) {
 	k = r.contacts[rep.Machine]
 	if k == nil {
-		k = &contact{taskStarts: map[string]time.Time{}}
+		k = &contact{taskStarts: map[wire.TaskID]time.Time{}}
 		if r.view.Machines[rep.Machine] != nil { // not for strangers: there may be any number
 			r.contacts[rep.Machine] = k
 		}
@@ -328,10 +328,10 @@
 	}
 	n := reconcile.Evidence{Heartbeat: rep}
 	for i := range proof.Terminated {
-		task := proof.Terminated[i].TaskName()
+		task := proof.Terminated[i].TaskID()
 		if begun, ok := k.taskStarts[task]; ok {
 			if n.TaskRuntimes == nil {
-				n.TaskRuntimes = map[string]float64{}
+				n.TaskRuntimes = map[wire.TaskID]float64{}
 			}
 			n.TaskRuntimes[task] = float64(int(10*time.Since(begun).Seconds())) / 10
 		}
--- a/internal/reconcile/reconcile.go
+++ b/internal/reconcile/reconcile.go
@@ -43,10 +43,10 @@
 	}
 	p.PreemptionNotice = rep.PreemptionNotice != nil && rec.DrainReason == ""
 	type entries struct{ same, other *wire.TaskStatus }
-	seen := make(map[string]entries, len(rep.Tasks))
-	bound := make(map[string]*statecache.TaskBinding, len(rec.Bindings))
+	seen := make(map[wire.TaskID]entries, len(rep.Tasks))
+	bound := make(map[wire.TaskID]*statecache.TaskBinding, len(rec.Bindings))
 	for i := range rec.Bindings {
-		bound[rec.Bindings[i].TaskName()] = &rec.Bindings[i]
+		bound[rec.Bindings[i].TaskID()] = &rec.Bindings[i]
 	}
 	saving := false
 	for i := range rep.Tasks {
@@ -63,7 +63,7 @@
 	var starts []wire.Command
 	for i := range rec.Bindings {
 		b := &rec.Bindings[i]
-		name := b.TaskName()
+		name := b.TaskID()
 		e := seen[name]
 		runs := active(b.Job)
 		switch {
--- a/internal/reconcile/reconcile_test.go
+++ b/internal/reconcile/reconcile_test.go
@@ -20,7 +20,7 @@
 		rec := &statecache.Machine{Incarnation: 2, FencingToken: 50}
 		rep := &wire.Heartbeat{Incarnation: uint64(rapid.IntRange(1, 3).Draw(t, "session")), FencingToken: uint64(rapid.IntRange(30, 60).Draw(t, "token"))}
 		cancelled := map[wire.JobID]bool{}
-		entries := map[string]wire.TaskStatus{}
+		entries := map[wire.TaskID]wire.TaskStatus{}
 		for i := range rapid.IntRange(1, 6).Draw(t, "tasks") {
 			b := statecache.TaskBinding{Job: wire.JobID(fmt.Sprintf("req-%06d", i)), Attempt: 7}
 			if rapid.Bool().Draw(t, "stopped") {
@@ -29,7 +29,7 @@
 			cancelled[b.Job] = rapid.Bool().Draw(t, "cancelled")
 			rec.Bindings = append(rec.Bindings, b)
 			if rapid.Bool().Draw(t, "reported") {
-				e := wire.TaskStatus{Task: b.TaskName(), Attempt: uint64(rapid.IntRange(6, 7).Draw(t, "attempt")), State: rapid.SampledFrom([]wire.TaskState{wire.TaskFetchingImage, wire.TaskRunning, wire.TaskExited}).Draw(t, "state")}
+				e := wire.TaskStatus{Task: b.TaskID(), Attempt: uint64(rapid.IntRange(6, 7).Draw(t, "attempt")), State: rapid.SampledFrom([]wire.TaskState{wire.TaskFetchingImage, wire.TaskRunning, wire.TaskExited}).Draw(t, "state")}
 				if e.State == wire.TaskExited {
 					e.ExitReason = wire.ReasonCompleted
 				}
@@ -38,25 +38,25 @@
 			}
 		}
 		p := Heartbeat(rec, rep, func(j wire.JobID) bool { return !cancelled[j] })
-		gone := map[string]bool{}
+		gone := map[wire.TaskID]bool{}
 		for _, g := range p.Terminated {
-			gone[g.TaskName()] = true
+			gone[g.TaskID()] = true
 		}
-		launched := map[string]bool{}
+		launched := map[wire.TaskID]bool{}
 		for _, o := range p.Commands {
 			if o.Op == wire.OpLaunch {
 				launched[o.Task] = true
 			}
 		}
 		for _, b := range rec.Bindings {
-			e, seen := entries[b.TaskName()]
+			e, seen := entries[b.TaskID()]
 			same := seen && e.Attempt == b.Attempt
 			proved := rep.Incarnation > rec.Incarnation ||
 				rep.Incarnation == rec.Incarnation && (same && e.State == wire.TaskExited || !same && b.StopToken > 0 && rep.FencingToken >= b.StopToken)
-			if gone[b.TaskName()] != proved {
-				t.Fatalf("%+v with %+v: gone is %v", b, e, gone[b.TaskName()])
+			if gone[b.TaskID()] != proved {
+				t.Fatalf("%+v with %+v: gone is %v", b, e, gone[b.TaskID()])
 			}
-			if launched[b.TaskName()] && (proved || cancelled[b.Job] || b.StopToken > 0 || same || rep.Incarnation != rec.Incarnation) {
+			if launched[b.TaskID()] && (proved || cancelled[b.Job] || b.StopToken > 0 || same || rep.Incarnation != rec.Incarnation) {
 				t.Fatalf("%+v with %+v launched", b, e)
 			}
 		}
--- a/internal/scheduler/advisor_test.go
+++ b/internal/scheduler/advisor_test.go
@@ -75,7 +75,7 @@
 	out := map[string]int{}
 	for machine, orders := range p.planCycle(time.Now(), 24).launches {
 		for _, o := range orders {
-			id, _, _ := wire.ParseTaskName(o.Task)
+			id, _, _ := wire.ParseTaskID(o.Task)
 			out[fmt.Sprint(id, " ", p.nodes[machine].Zone)]++
 		}
 	}
--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -67,7 +67,7 @@
 	for _, b := range p.view.Groups[group].Machines[:machines] {
 		report := &wire.Heartbeat{Machine: b.Name, Incarnation: 1, Sequence: 1, FencingToken: 9}
 		for i := range b.Bindings {
-			report.Tasks = append(report.Tasks, wire.TaskStatus{Task: b.Bindings[i].TaskName(), Attempt: b.Bindings[i].Attempt, State: wire.TaskExited, ExitReason: wire.ReasonCompleted})
+			report.Tasks = append(report.Tasks, wire.TaskStatus{Task: b.Bindings[i].TaskID(), Attempt: b.Bindings[i].Attempt, State: wire.TaskExited, ExitReason: wire.ReasonCompleted})
 		}
 		p.storeEvidence(group, b.Name, &pendingEvidence{reconcile.Evidence{Heartbeat: report}, now, 1})
 	}
--- a/internal/scheduler/cycle.go
+++ b/internal/scheduler/cycle.go
@@ -176,6 +176,6 @@
 	r.assignmentPreconditions[w.job.Spec.Team] = w.assignment
 	r.placed[w.id]++
 	r.launchedMachines[node.Name] = rec
-	r.launches[node.Name] = append(r.launches[node.Name], wire.Command{Op: wire.OpLaunch, Task: t.TaskName(), Attempt: t.Attempt})
+	r.launches[node.Name] = append(r.launches[node.Name], wire.Command{Op: wire.OpLaunch, Task: t.TaskID(), Attempt: t.Attempt})
 	return true
 }
--- a/internal/scheduler/cycle_test.go
+++ b/internal/scheduler/cycle_test.go
@@ -64,7 +64,7 @@
 func endedOn(g *statecache.MachineGroup, i int) reconcile.Evidence {
 	b := g.Machines[i]
 	return reconcile.Evidence{Heartbeat: &wire.Heartbeat{Machine: b.Name, Address: "x:1", MachineType: "s", Zone: "a", Incarnation: 1, Sequence: 1, FencingToken: 9, Tasks: []wire.TaskStatus{
-		{Task: b.Bindings[0].TaskName(), Attempt: 1, State: wire.TaskExited, ExitReason: wire.ReasonCompleted},
+		{Task: b.Bindings[0].TaskID(), Attempt: 1, State: wire.TaskExited, ExitReason: wire.ReasonCompleted},
 	}}}
 }
 
@@ -283,8 +283,8 @@
 func TestNoteIsNotWrittenTo(t *testing.T) {
 	placing(t, map[string]int{"a": 1}, func(_ *statecache.Cache, p *Scheduler) {
 		first, second := endedOn(groupOf("a", 1), 0), endedOn(groupOf("a", 1), 0)
-		first.TaskRuntimes = map[string]float64{"req-000001/0": 4}
-		second.Heartbeat.Sequence, second.TaskRuntimes = 2, map[string]float64{"req-000001/1": 5}
+		first.TaskRuntimes = map[wire.TaskID]float64{"req-000001/0": 4}
+		second.Heartbeat.Sequence, second.TaskRuntimes = 2, map[wire.TaskID]float64{"req-000001/1": 5}
 		p.HandleEvidence(first, time.Minute)
 		p.HandleEvidence(second, time.Minute)
 		in(p, func() {
@@ -540,7 +540,7 @@
 		for _, b := range group.Machines {
 			report := &wire.Heartbeat{Machine: b.Name, Address: "x:1", MachineType: "s", Zone: "a", Incarnation: 1, Sequence: 1, FencingToken: b.FencingToken}
 			for i := range b.Bindings {
-				task := wire.TaskStatus{Task: b.Bindings[i].TaskName(), Attempt: b.Bindings[i].Attempt, State: wire.TaskRunning}
+				task := wire.TaskStatus{Task: b.Bindings[i].TaskID(), Attempt: b.Bindings[i].Attempt, State: wire.TaskRunning}
 				if i == 0 {
 					task.State, task.ExitReason = wire.TaskExited, wire.ReasonCompleted
 				}
--- a/internal/scheduler/pending_evidence.go
+++ b/internal/scheduler/pending_evidence.go
@@ -38,7 +38,7 @@
 			// The mesh may be sending the note as it came: its map is not written to.
 			ran := maps.Clone(old.TaskRuntimes)
 			if ran == nil {
-				ran = map[string]float64{}
+				ran = map[wire.TaskID]float64{}
 			}
 			maps.Copy(ran, n.TaskRuntimes)
 			n.TaskRuntimes = ran
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -69,7 +69,7 @@
 		}
 		d.size += stopOverheadBytes
 		grace := wire.Seconds(0)
-		r.stops[v.Node.Name] = append(r.stops[v.Node.Name], wire.Command{Op: wire.OpStop, Task: t.TaskName(), Attempt: t.Attempt, GracePeriod: &grace})
-		slog.Info("preempting", "task", t.TaskName(), "machine", v.Node.Name, "ran_s", int(task.RuntimeSoFar))
+		r.stops[v.Node.Name] = append(r.stops[v.Node.Name], wire.Command{Op: wire.OpStop, Task: t.TaskID(), Attempt: t.Attempt, GracePeriod: &grace})
+		slog.Info("preempting", "task", t.TaskID(), "machine", v.Node.Name, "ran_s", int(task.RuntimeSoFar))
 	}
 }
--- a/internal/scheduler/reconciliation.go
+++ b/internal/scheduler/reconciliation.go
@@ -147,7 +147,7 @@
 		}
 	}
 	for _, g := range proof.Terminated {
-		g.Runtime = n.TaskRuntimes[g.TaskName()]
+		g.Runtime = n.TaskRuntimes[g.TaskID()]
 		if g.Reason == wire.ReasonCompleted && p.view.Active(g.Job) && !p.view.IsCompleted(g.Job, g.TaskIndex) {
 			d.MarkCompleted(g.Job, g.TaskIndex)
 			r.completed[g.Job]++
@@ -161,7 +161,7 @@
 			r.usage[j.Spec.Team] = r.usage[j.Spec.Team].Plus(resources.OfTask(j.Spec), -1)
 		}
 		if g.Reason != wire.ReasonCompleted {
-			r.onCommitted = append(r.onCommitted, func() { slog.Info("task left machine", "task", g.TaskName(), "machine", m, "why", g.Reason) })
+			r.onCommitted = append(r.onCommitted, func() { slog.Info("task left machine", "task", g.TaskID(), "machine", m, "why", g.Reason) })
 		}
 	}
 	if node := p.nodes[m]; node != nil {
--- a/internal/simulation/idle.go
+++ b/internal/simulation/idle.go
@@ -52,7 +52,7 @@
 	used := map[wire.MachineID]amount{}
 	on = map[wire.JobID]int{}
 	for task, h := range r.on {
-		id, _, _ := wire.ParseTaskName(task)
+		id, _, _ := wire.ParseTaskID(task)
 		on[id]++
 		j, u := r.jobs[id].job, used[h.ID]
 		used[h.ID] = amount{u.cpus + j.CPUs, u.mem + j.MemoryGB}
--- a/internal/simulation/invariants.go
+++ b/internal/simulation/invariants.go
@@ -17,8 +17,8 @@
 	teams      map[wire.TeamName]config.TeamQuota
 	cancelS    time.Duration
 	jobs       map[wire.JobID]*jobRecord
-	on         map[string]wire.Instance  // task: machine
-	used       map[wire.TeamName]float64 // processors, by team
+	on         map[wire.TaskID]wire.Instance // task: machine
+	used       map[wire.TeamName]float64     // processors, by team
 	violations []string
 	started    int
 	late       int // tasks ordered to start after their job's confirmed cancellation
@@ -48,7 +48,7 @@
 		teams:   map[wire.TeamName]config.TeamQuota{},
 		cancelS: config.Seconds(p.Workers.CancellationDeadline),
 		jobs:    map[wire.JobID]*jobRecord{},
-		on:      map[string]wire.Instance{},
+		on:      map[wire.TaskID]wire.Instance{},
 		used:    map[wire.TeamName]float64{},
 		free:    map[wire.MachineID]*freeRoom{},
 	}
@@ -102,10 +102,10 @@
 }
 
 // RunTime is how long a task runs on a worker that is ordered to start it.
-func (r *InvariantChecker) RunTime(task string) (run time.Duration, forever bool, err error) {
+func (r *InvariantChecker) RunTime(task wire.TaskID) (run time.Duration, forever bool, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	id, _, ok := wire.ParseTaskName(task)
+	id, _, ok := wire.ParseTaskID(task)
 	t := r.jobs[id]
 	if !ok || t == nil {
 		return 0, false, errors.New("unknown")
@@ -117,11 +117,11 @@
 }
 
 // Started checks a start.
-func (r *InvariantChecker) Started(h wire.Instance, task string) {
+func (r *InvariantChecker) Started(h wire.Instance, task wire.TaskID) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.started++
-	id, _, _ := wire.ParseTaskName(task)
+	id, _, _ := wire.ParseTaskID(task)
 	t := r.jobs[id]
 	if other, ok := r.on[task]; ok {
 		r.violation("ran_twice: %s starts on %s while on %s", task, h.ID, other.ID)
@@ -151,7 +151,7 @@
 }
 
 // Ended takes a task off its machine.
-func (r *InvariantChecker) Ended(machine wire.MachineID, task string) {
+func (r *InvariantChecker) Ended(machine wire.MachineID, task wire.TaskID) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.on[task].ID == machine {
@@ -160,12 +160,12 @@
 }
 
 // leave takes a task out of the sums; the caller holds the lock.
-func (r *InvariantChecker) leave(task string) {
+func (r *InvariantChecker) leave(task wire.TaskID) {
 	h, ok := r.on[task]
 	if !ok {
 		return
 	}
-	id, _, _ := wire.ParseTaskName(task)
+	id, _, _ := wire.ParseTaskID(task)
 	t := r.jobs[id]
 	t.zones[h.Zone]--
 	r.used[t.job.Team] -= t.job.CPUs
@@ -173,10 +173,10 @@
 }
 
 // Completed notes a completed task.
-func (r *InvariantChecker) Completed(task string) {
+func (r *InvariantChecker) Completed(task wire.TaskID) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	id, n, _ := wire.ParseTaskName(task)
+	id, n, _ := wire.ParseTaskID(task)
 	t := r.jobs[id]
 	fresh := !t.completed[n]
 	t.completed[n] = true
@@ -190,7 +190,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for task := range r.on {
-		id, _, _ := wire.ParseTaskName(task)
+		id, _, _ := wire.ParseTaskID(task)
 		if t := r.jobs[id]; !t.cancelled.IsZero() && time.Since(t.cancelled) > r.cancelS {
 			r.violation("ran_cancelled: %s is on a machine %v after", task, time.Since(t.cancelled))
 		}
@@ -340,7 +340,7 @@
 	defer r.mu.Unlock()
 	n := 0
 	for task := range r.on {
-		if id, _, _ := wire.ParseTaskName(task); slices.Contains(jobs, id) {
+		if id, _, _ := wire.ParseTaskID(task); slices.Contains(jobs, id) {
 			n++
 		}
 	}
@@ -354,7 +354,7 @@
 	defer r.mu.Unlock()
 	on := map[wire.JobID]int{}
 	for task := range r.on {
-		id, _, _ := wire.ParseTaskName(task)
+		id, _, _ := wire.ParseTaskID(task)
 		on[id]++
 	}
 	var out []wire.JobID
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -219,7 +219,7 @@
 	}
 }
 
-func (w *Worker) find(task string) *held {
+func (w *Worker) find(task wire.TaskID) *held {
 	for _, t := range w.tasks {
 		if t.Task == task {
 			return t
--- a/internal/statecache/cache_test.go
+++ b/internal/statecache/cache_test.go
@@ -276,7 +276,7 @@
 			}
 			for _, k := range b.Bindings {
 				if bound++; v.Bindings[k.Job][k.TaskIndex] != m {
-					t.Fatalf("%s is not known to be bound", k.TaskName())
+					t.Fatalf("%s is not known to be bound", k.TaskID())
 				}
 			}
 		}
--- a/internal/statecache/completion_codec.go
+++ b/internal/statecache/completion_codec.go
@@ -65,7 +65,7 @@
 	if len(f) < 3 {
 		return Termination{}, fmt.Errorf("gone %.80q", s)
 	}
-	job, n, ok := wire.ParseTaskName(jobPrefix + f[1])
+	job, n, ok := wire.ParseTaskID(wire.TaskID(jobPrefix + f[1]))
 	if !ok {
 		return Termination{}, fmt.Errorf("gone %.80q", s)
 	}
--- a/internal/statecache/machine_codec.go
+++ b/internal/statecache/machine_codec.go
@@ -96,7 +96,7 @@
 
 func decodeBinding(s string, token uint64) (TaskBinding, error) {
 	name, rest, _ := strings.Cut(s, ".")
-	job, n, ok := wire.ParseTaskName(jobPrefix + name)
+	job, n, ok := wire.ParseTaskID(wire.TaskID(jobPrefix + name))
 	if !ok {
 		return TaskBinding{}, fmt.Errorf("task %.40q", s)
 	}
--- a/internal/statecache/machine_group.go
+++ b/internal/statecache/machine_group.go
@@ -32,8 +32,8 @@
 	Runtime   float64 // 0: not known
 }
 
-// TaskName is the task's name.
-func (g *Termination) TaskName() string { return wire.TaskName(g.Job, g.TaskIndex) }
+// TaskID is the task's name.
+func (g *Termination) TaskID() wire.TaskID { return wire.NewTaskID(g.Job, g.TaskIndex) }
 
 // Why a task left its machine, besides the workers' own reasons.
 const (
--- a/internal/statecache/records.go
+++ b/internal/statecache/records.go
@@ -111,8 +111,8 @@
 	GraceSeconds int
 }
 
-// TaskName is the task's name.
-func (b *TaskBinding) TaskName() string { return wire.TaskName(b.Job, b.TaskIndex) }
+// TaskID is the task's name.
+func (b *TaskBinding) TaskID() wire.TaskID { return wire.NewTaskID(b.Job, b.TaskIndex) }
 
 // FirstToken is the lowest token of a term; generations count up from it.
 func FirstToken(term uint64) uint64 { return term << termShift }
--- a/wire/heartbeat.go
+++ b/wire/heartbeat.go
@@ -28,7 +28,7 @@
 
 // TaskStatus is the status of one task in a heartbeat.
 type TaskStatus struct {
-	Task         string     `json:"leg"`
+	Task         TaskID     `json:"leg"`
 	Attempt      uint64     `json:"try"`
 	State        TaskState  `json:"status"`
 	ExitReason   ExitReason `json:"cause,omitempty"`
@@ -90,7 +90,7 @@
 // Command is one command to a worker.
 type Command struct {
 	Op          CommandOp `json:"verb"`
-	Task        string    `json:"leg"`
+	Task        TaskID    `json:"leg"`
 	Attempt     uint64    `json:"try"`
 	GracePeriod *Seconds  `json:"windS,omitempty"` // of a stop: time to write a checkpoint
 }
--- a/wire/ids.go
+++ b/wire/ids.go
@@ -30,12 +30,12 @@
 	return ok && len(digits) >= 6 && len(digits) <= 18 && onlyDigits(digits)
 }
 
-// TaskName is the name that workers know a task by.
-func TaskName(job JobID, index int) string { return fmt.Sprintf("%s/%d", job, index) }
+// NewTaskID is the name that workers know a task by.
+func NewTaskID(job JobID, index int) TaskID { return TaskID(fmt.Sprintf("%s/%d", job, index)) }
 
-// ParseTaskName is the reverse of TaskName.
-func ParseTaskName(s string) (job JobID, index int, ok bool) {
-	id, digits, found := strings.Cut(s, "/")
+// ParseTaskID is the reverse of TaskName.
+func ParseTaskID(s TaskID) (job JobID, index int, ok bool) {
+	id, digits, found := strings.Cut(string(s), "/")
 	if !found || !ValidJobID(id) || digits == "" || len(digits) > 6 || (digits[0] == '0' && digits != "0") || !onlyDigits(digits) {
 		return "", 0, false
 	}
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -129,12 +129,12 @@
 func TestTaskNames(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		id, n := JobID(rapid.StringMatching(`req-[0-9]{6,9}`).Draw(t, "id")), rapid.IntRange(0, MaxTasksPerJob-1).Draw(t, "n")
-		if j, m, ok := ParseTaskName(TaskName(id, n)); !ok || j != id || m != n {
+		if j, m, ok := ParseTaskID(NewTaskID(id, n)); !ok || j != id || m != n {
 			t.Fatalf("%s %d became %s %d %v", id, n, j, m, ok)
 		}
 	})
-	for _, s := range []string{"req-000001", "req-000001/", "req-000001/-1", "req-000001/01", "req-000001/100000", "x/1", "req-000001/1/2"} {
-		if _, _, ok := ParseTaskName(s); ok {
+	for _, s := range []TaskID{"req-000001", "req-000001/", "req-000001/-1", "req-000001/01", "req-000001/100000", "x/1", "req-000001/1/2"} {
+		if _, _, ok := ParseTaskID(s); ok {
 			t.Errorf("%q accepted", s)
 		}
 	}
