--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -65,7 +65,7 @@
 				e.view.Apply(c)
 				if c.Kind == statecache.KindJob {
 					job, _ := c.Record.(*statecache.Job)
-					e.teams.apply(c.Name, job)
+					e.teams.apply(wire.JobID(c.Name), job)
 				}
 			}
 			e.reconcile()
--- a/internal/election/teams.go
+++ b/internal/election/teams.go
@@ -13,17 +13,17 @@
 // through all of them.
 type teamList struct {
 	configured []wire.TeamName
-	teamOfJob  map[string]wire.TeamName // job that is not over: its team
-	activeJobs map[wire.TeamName]int    // number of such jobs, by team
-	names      []wire.TeamName          // the list as it is, nil once it may have changed
+	teamOfJob  map[wire.JobID]wire.TeamName // job that is not over: its team
+	activeJobs map[wire.TeamName]int        // number of such jobs, by team
+	names      []wire.TeamName              // the list as it is, nil once it may have changed
 }
 
 func newTeamList(settings []wire.TeamName) *teamList {
-	return &teamList{configured: settings, teamOfJob: map[string]wire.TeamName{}, activeJobs: map[wire.TeamName]int{}}
+	return &teamList{configured: settings, teamOfJob: map[wire.JobID]wire.TeamName{}, activeJobs: map[wire.TeamName]int{}}
 }
 
 // apply takes a job's new record over; nil if there is none any more.
-func (t *teamList) apply(id string, j *statecache.Job) {
+func (t *teamList) apply(id wire.JobID, j *statecache.Job) {
 	if team, ok := t.teamOfJob[id]; ok {
 		delete(t.teamOfJob, id)
 		t.count(team, -1)
--- a/wire/ids.go
+++ b/wire/ids.go
@@ -1,7 +1,7 @@
 package wire
 
 import (
-	"fmt"
+	"strconv"
 	"strings"
 )
 
@@ -30,22 +30,26 @@
 	return ok && len(digits) >= 6 && len(digits) <= 18 && onlyDigits(digits)
 }
 
-// NewTaskID is the name that workers know a task by.
-func NewTaskID(job JobID, index int) TaskID { return TaskID(fmt.Sprintf("%s/%d", job, index)) }
+// NewTaskID returns the id of the task with an index, counted from 0, of a job.
+func NewTaskID(job JobID, index int) TaskID {
+	return TaskID(string(job) + "/" + strconv.Itoa(index))
+}
 
-// ParseTaskID is the reverse of TaskName.
-func ParseTaskID(s TaskID) (job JobID, index int, ok bool) {
-	id, digits, found := strings.Cut(string(s), "/")
-	if !found || !ValidJobID(id) || digits == "" || len(digits) > 6 || (digits[0] == '0' && digits != "0") || !onlyDigits(digits) {
+// ParseTaskID returns the job and the index that NewTaskID made the id of; ok is false if it
+// can't have made it.
+func ParseTaskID(id TaskID) (job JobID, index int, ok bool) {
+	jobID, digits, found := strings.Cut(string(id), "/")
+	if !found || !ValidJobID(jobID) || digits == "" || len(digits) > 6 || (digits[0] == '0' && digits != "0") || !onlyDigits(digits) {
 		return "", 0, false
 	}
 	for _, c := range []byte(digits) {
 		index = index*10 + int(c-'0')
 	}
-	return JobID(id), index, index < MaxTasksPerJob
+	return JobID(jobID), index, index < MaxTasksPerJob
 }
 
-// ValidMachineName reports whether s can name a machine in a key of the store.
+// ValidMachineName reports whether s can stand for a machine in a record or a key of the
+// store. It applies to addresses of machines too.
 func ValidMachineName(s string) bool {
 	if s == "" || len(s) > maxNameBytes {
 		return false
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -6,13 +6,14 @@
 	"reflect"
 	"strings"
 	"testing"
+	"time"
 
 	"pgregory.net/rapid"
 
 	_ "lynxledge/internal/rapidseed"
 )
 
-func genJob(t *rapid.T) *Job {
+func drawJob(t *rapid.T) *Job {
 	name := rapid.StringMatching(`[a-z][a-z0-9-]{0,20}`)
 	amount := rapid.Float64Range(0, 1e6)
 	jobID := rapid.Map(rapid.StringMatching(`req-[0-9]{6,12}`), func(s string) JobID { return JobID(s) })
@@ -46,9 +47,9 @@
 	return m
 }
 
-func TestJobSurvivesTheWire(t *testing.T) {
+func TestJobRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		j := genJob(t)
+		j := drawJob(t)
 		m := fields(t, j)
 		m["unknown"] = []int{1}
 		if j.Deadline == nil {
@@ -65,8 +66,8 @@
 	})
 }
 
-// One field missing, mistyped or out of range is always malformed.
-func TestJobWithOneBadField(t *testing.T) {
+// One field that is missing, of a wrong type or out of range makes a job malformed.
+func TestParseJobRejectsOneInvalidField(t *testing.T) {
 	bad := map[string][]any{
 		"id": {"", 7, "req-12", "job-000412", "req-00041x"}, "lane": {"", 1}, "crew": {"", strings.Repeat("x", 200)},
 		"shape": {"group", 1}, "rank": {"urgent", 3}, "legs": {0, -1, MaxTasksPerJob + 1, 1.5, "4"}, "cores": {0, -1, "8", 1e12},
@@ -76,7 +77,7 @@
 	}
 	optional := map[string]bool{"awaits": true}
 	rapid.Check(t, func(t *rapid.T) {
-		m := fields(t, genJob(t))
+		m := fields(t, drawJob(t))
 		var names []string
 		for n := range bad {
 			names = append(names, n)
@@ -100,10 +101,10 @@
 	})
 }
 
-// What a job waits for counts once, however often it is named.
-func TestAwaitsCountOnce(t *testing.T) {
+// A dependency counts once, however often it is named.
+func TestDependenciesAreDeduplicated(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := fields(t, genJob(t))
+		m := fields(t, drawJob(t))
 		m["awaits"] = []string{"req-000002", "req-000001", "req-000002"}
 		b, _ := json.Marshal(m)
 		if j, err := ParseJob(b); err != nil || !reflect.DeepEqual(j.Dependencies, []JobID{"req-000002", "req-000001"}) {
@@ -112,7 +113,7 @@
 	})
 }
 
-func TestRubbishIsMalformed(t *testing.T) {
+func TestParseJobRejectsMalformedBodies(t *testing.T) {
 	for _, s := range []string{"", "null", "[]", "{", `"x"`, `{} {}`, "\xff\xfe", `{"id":"req-000001"}`} {
 		if _, err := ParseJob([]byte(s)); !errors.Is(err, ErrMalformed) {
 			t.Errorf("%q: %v", s, err)
@@ -126,7 +127,7 @@
 	})
 }
 
-func TestTaskNames(t *testing.T) {
+func TestTaskIDs(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		id, n := JobID(rapid.StringMatching(`req-[0-9]{6,9}`).Draw(t, "id")), rapid.IntRange(0, MaxTasksPerJob-1).Draw(t, "n")
 		if j, m, ok := ParseTaskID(NewTaskID(id, n)); !ok || j != id || m != n {
@@ -140,16 +141,76 @@
 	}
 }
 
-func TestReportCheck(t *testing.T) {
+func TestHeartbeatValidation(t *testing.T) {
 	negative := Seconds(-1)
 	for name, r := range map[string]Heartbeat{
-		"no machine": {Address: "x:1", MachineType: "t", Zone: "z", Incarnation: 1},
-		"slash":      {Machine: "a/b", Address: "x:1", MachineType: "t", Zone: "z", Incarnation: 1},
-		"no session": {Machine: "a", Address: "x:1", MachineType: "t", Zone: "z"},
-		"notice":     {Machine: "a", Address: "x:1", MachineType: "t", Zone: "z", Incarnation: 1, PreemptionNotice: &negative},
+		"no machine":     {Address: "x:1", MachineType: "t", Zone: "z", Incarnation: 1},
+		"slash":          {Machine: "a/b", Address: "x:1", MachineType: "t", Zone: "z", Incarnation: 1},
+		"no incarnation": {Machine: "a", Address: "x:1", MachineType: "t", Zone: "z"},
+		"notice":         {Machine: "a", Address: "x:1", MachineType: "t", Zone: "z", Incarnation: 1, PreemptionNotice: &negative},
 	} {
 		if r.Validate() == nil {
 			t.Errorf("%s accepted", name)
 		}
 	}
 }
+
+// The texts reach users and workers, which may depend on them.
+func TestValidationErrorTexts(t *testing.T) {
+	for _, c := range []struct {
+		field string // that is changed
+		value any    // nil: the field is left out
+		want  ValidationError
+	}{
+		{"crew", nil, ValidationError{"crew", "crew is missing"}},
+		{"stashS", nil, ValidationError{"stashS", "stashS is missing"}},
+		{"id", "x", ValidationError{"id", `id "x" is not of the form req-000412`}},
+		{"shape", "group", ValidationError{"shape", `shape "group"`}},
+		{"legs", 0, ValidationError{"legs", "legs must be 1 to 100000"}},
+		{"lane", "", ValidationError{"", "a name is empty or longer than 128 bytes"}},
+		{"yard", "", ValidationError{"yard", "yard is empty"}},
+		{"yard", strings.Repeat("x", 129), ValidationError{"yard", "yard is longer than 128 bytes"}},
+		{"builds", []string{}, ValidationError{"builds", "builds must name 1 to 64 types"}},
+		{"awaits", []string{"x"}, ValidationError{"awaits", `awaits: "x" is not of the form req-000412`}},
+		{"cores", 0, ValidationError{"cores", "cores must be more than 0"}},
+		{"gpus", -1, ValidationError{"", "an amount is out of range"}},
+	} {
+		m := map[string]any{
+			"id": "req-000412", "lane": "train", "crew": "vision", "shape": "array", "rank": "high", "legs": 16,
+			"cores": 8.0, "gpus": 1.0, "memoryGb": 64.0, "bundle": "img-07", "sizeGb": 6.2, "oneZone": true, "scatter": false,
+			"loaners": true, "expectS": 240.0, "waypointS": 30.0, "stashS": 4.0,
+		}
+		m[c.field] = c.value
+		b, err := json.Marshal(m)
+		if err != nil {
+			t.Fatal(err)
+		}
+		_, err = ParseJob(b)
+		var got *ValidationError
+		if !errors.As(err, &got) || *got != c.want || !errors.Is(err, ErrMalformed) {
+			t.Errorf("%s = %v: %v, want %+v", c.field, c.value, err, c.want)
+		} else if text := "malformed: " + c.want.Reason; err.Error() != text {
+			t.Errorf("%s = %v: %q, want %q", c.field, c.value, err, text)
+		}
+	}
+}
+
+func TestSecondsKeepTheWiresNumber(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		number := rapid.Float64Range(0, 1e9).Draw(t, "number")
+		want, err := json.Marshal(number)
+		if err != nil {
+			t.Fatal(err)
+		}
+		var s Seconds
+		if err := json.Unmarshal(want, &s); err != nil {
+			t.Fatal(err)
+		}
+		if got, err := json.Marshal(s); err != nil || string(got) != string(want) {
+			t.Fatalf("%s became %s, %v", want, got, err)
+		}
+		if got, want := s.Duration(), time.Duration(number*float64(time.Second)); got != want {
+			t.Fatalf("%v s are %v, want %v", number, got, want)
+		}
+	})
+}
