--- a/internal/cloud/catalog.go
+++ b/internal/cloud/catalog.go
@@ -37,7 +37,8 @@
 		slog.Info("machine types not read", "err", err, "types", len(types))
 		next = retry
 	} else {
-		valid := types[:0]
+		// A slice of its own: the lister may keep, and hand out again, the one it returned.
+		valid := make([]wire.MachineType, 0, len(types))
 		for _, t := range types {
 			if t.Name != "" && t.CPUs > 0 && t.MemoryGB >= 0 && t.HourlyPrice >= 0 && len(t.Zones) > 0 {
 				valid = append(valid, t)
--- /dev/null
+++ b/internal/cloud/catalog_test.go
@@ -0,0 +1,44 @@
+package cloud
+
+import (
+	"context"
+	"slices"
+	"testing"
+	"time"
+
+	"lynxledge/wire"
+)
+
+// cachedTypes is a client that hands out the same slice at each call.
+type cachedTypes []wire.MachineType
+
+func (c cachedTypes) MachineTypes(context.Context) ([]wire.MachineType, error) { return c, nil }
+
+// Machine types that can't be used are left out of what subscribers get; the slice that the
+// client returned stays as it was, since others may read it.
+func TestCatalogLeavesTheClientsSliceAlone(t *testing.T) {
+	usable := func(name string) wire.MachineType {
+		return wire.MachineType{Name: name, CPUs: 4, MemoryGB: 16, HourlyPrice: 1, Zones: []string{"a"}}
+	}
+	client := cachedTypes{{Name: "without CPUs", Zones: []string{"a"}}, usable("s"), usable("l")}
+	before := slices.Clone(client)
+	c := NewCatalog(t.Context(), client)
+	var got []string
+	c.Subscribe(func(types []wire.MachineType) {
+		got = got[:0]
+		for _, m := range types {
+			got = append(got, m.Name)
+		}
+	})
+	for range 2 {
+		c.Run(t.Context(), time.Hour, time.Hour)
+		if !slices.Equal(got, []string{"s", "l"}) {
+			t.Fatalf("subscribers got %q", got)
+		}
+	}
+	for i := range before {
+		if client[i].Name != before[i].Name {
+			t.Errorf("type %d of the client is %q, was %q", i, client[i].Name, before[i].Name)
+		}
+	}
+}
