--- a/internal/statecache/cache_test.go
+++ b/internal/statecache/cache_test.go
@@ -17,6 +17,7 @@
 
 	"pgregory.net/rapid"
 
+	"lynxledge/internal/actor"
 	_ "lynxledge/internal/rapidseed"
 	"lynxledge/internal/simulation"
 	"lynxledge/wire"
@@ -352,7 +353,7 @@
 		commit(write("a", "i-1"), write("b", "i-2"), write("c", "i-3"))
 		store := &paged{conn, func() { commit(write("a", "i-1", "i-2"), wire.Write{DeleteKey: Key(KindMachineGroup, "b")}) }}
 		l := Start(ctx, store, Options{ChunkTasks: 8, WatchHold: time.Second, MaxViewAge: time.Second, Backoff: 100 * time.Millisecond})
-		v := NewView(8)
+		v := NewView(8) // of the actor that the cache is
 		l.Subscribe(func(d Update) {
 			for _, c := range d.Changes {
 				v.Apply(c)
@@ -363,8 +364,8 @@
 		})
 		l.Run()
 		time.Sleep(5 * time.Second)
-		if len(v.Machines) != 3 {
-			t.Errorf("%d machines in the end", len(v.Machines))
+		if n, ok := actor.Ask(l.Actor, func(reply func(int)) { reply(len(v.Machines)) }); !ok || n != 3 {
+			t.Errorf("%d machines in the end", n)
 		}
 	})
 }
