--- a/internal/peer/transport_test.go
+++ b/internal/peer/transport_test.go
@@ -13,6 +13,7 @@
 	"testing/synctest"
 	"time"
 
+	"lynxledge/internal/actor"
 	"lynxledge/internal/apiserver"
 	"lynxledge/internal/config"
 	"lynxledge/internal/reconcile"
@@ -20,13 +21,28 @@
 	"lynxledge/wire"
 )
 
-// node is one controller's end of a mesh of two.
+// node is one controller's end of a mesh of two. What it received belongs to the
+// transport's actor.
 type node struct {
 	*Transport
 	heard []string
 	notes []reconcile.Evidence
 }
 
+// received asks the actor for what it was told up to now.
+func (n *node) received(t *testing.T) (heard []string, notes []reconcile.Evidence) {
+	t.Helper()
+	type lists struct {
+		heard []string
+		notes []reconcile.Evidence
+	}
+	got, ok := actor.Ask(n.Actor, func(reply func(lists)) { reply(lists{slices.Clone(n.heard), slices.Clone(n.notes)}) })
+	if !ok {
+		t.Fatal("the transport's actor doesn't answer")
+	}
+	return got.heard, got.notes
+}
+
 // pair connects two controllers over fake connections; each has a view that
 // is fresh as long as its own flag says so.
 func pair(t *testing.T, f func(net *simulation.Network, a, b *node, fresh map[string]bool)) {
@@ -34,8 +50,8 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		net := simulation.NewNetwork(1, time.Millisecond)
 		pipes := simulation.NewPipes(net)
-		fresh := map[string]bool{"n0": true, "n1": true}
 		names := []string{"n0", "n1"}
+		fresh := map[string]bool{"n0": true, "n1": true}
 		var nodes []*node
 		for i, name := range names {
 			other := names[1-i]
@@ -78,8 +94,9 @@
 			t.Error("n1 out of reach, or n9 within")
 		}
 		time.Sleep(time.Second)
-		if !slices.Equal(b.heard, []string{"i-1", "i-2"}) || len(b.notes) != 1 || b.notes[0].TaskRuntimes["req-000001/0"] != 2.5 {
-			t.Errorf("n1 got %v, %+v", b.heard, b.notes)
+		heard, notes := b.received(t)
+		if !slices.Equal(heard, []string{"i-1", "i-2"}) || len(notes) != 1 || notes[0].TaskRuntimes["req-000001/0"] != 2.5 {
+			t.Errorf("n1 got %v, %+v", heard, notes)
 		}
 		if a.Isolated() || a.FreshPeer() != "n1" {
 			t.Errorf("alone %v, elsewhere %q", a.Isolated(), a.FreshPeer())
@@ -123,8 +140,8 @@
 		r.Body = io.NopCloser(strings.NewReader(`{"member":"n7","heard":["i-9"]}{"member":"n1","note":{"report":{"nest":""}}}rubbish`))
 		a.receiveHeartbeats(httptest.NewRecorder(), r)
 		time.Sleep(time.Second)
-		if len(a.heard) > 0 || len(a.notes) > 0 {
-			t.Errorf("believed: %v %v", a.heard, a.notes)
+		if heard, notes := a.received(t); len(heard) > 0 || len(notes) > 0 {
+			t.Errorf("believed: %v %v", heard, notes)
 		}
 	})
 }
