--- a/internal/peer/transport_test.go
+++ b/internal/peer/transport_test.go
@@ -9,6 +9,7 @@
 	"os"
 	"slices"
 	"strings"
+	"sync/atomic"
 	"testing"
 	"testing/synctest"
 	"time"
@@ -45,13 +46,17 @@
 
 // pair connects two controllers over fake connections; each has a view that
 // is fresh as long as its own flag says so.
-func pair(t *testing.T, f func(net *simulation.Network, a, b *node, fresh map[string]bool)) {
+func pair(t *testing.T, f func(net *simulation.Network, a, b *node, fresh map[string]*atomic.Bool)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		net := simulation.NewNetwork(1, time.Millisecond)
 		pipes := simulation.NewPipes(net)
 		names := []string{"n0", "n1"}
-		fresh := map[string]bool{"n0": true, "n1": true}
+		fresh := map[string]*atomic.Bool{} // the actors and streams ask at any time
+		for _, name := range names {
+			fresh[name] = new(atomic.Bool)
+			fresh[name].Store(true)
+		}
 		var nodes []*node
 		for i, name := range names {
 			other := names[1-i]
@@ -59,7 +64,7 @@
 			cfg.Params.Workers.HeartbeatInterval = 3
 			n := &node{}
 			n.Transport = Start(ctx, cfg, pipes.Dial(name), func() time.Time {
-				if fresh[name] {
+				if fresh[name].Load() {
 					return time.Now()
 				}
 				return time.Time{}
@@ -87,7 +92,7 @@
 // cut; then each knows that it is alone, and Tell says so, since the worker is to
 // carry the news itself. After the cut all is as before.
 func TestMeshThroughACut(t *testing.T) {
-	pair(t, func(net *simulation.Network, a, b *node, _ map[string]bool) {
+	pair(t, func(net *simulation.Network, a, b *node, _ map[string]*atomic.Bool) {
 		note := reconcile.Evidence{Heartbeat: &wire.Heartbeat{Machine: "i-1", Address: "x:1", MachineType: "t", Zone: "z", Incarnation: 1}, TaskRuntimes: map[string]float64{"req-000001/0": 2.5}}
 		a.AnnounceReachable([]string{"i-1", "i-2"})
 		if !a.SendEvidence("n1", note) || a.SendEvidence("n9", note) {
@@ -117,12 +122,12 @@
 // Requests go only to a controller that has state, marked so that they are not
 // passed on again.
 func TestForwardNeedsState(t *testing.T) {
-	pair(t, func(_ *simulation.Network, a, _ *node, fresh map[string]bool) {
+	pair(t, func(_ *simulation.Network, a, _ *node, fresh map[string]*atomic.Bool) {
 		status, body, err := a.Forward(context.Background(), http.MethodPost, "/work", []byte("job"))
 		if err != nil || status != http.StatusCreated || string(body) != "n1 POST /work n0 job" {
 			t.Errorf("%d %s %v", status, body, err)
 		}
-		fresh["n1"] = false
+		fresh["n1"].Store(false)
 		time.Sleep(5 * time.Second)
 		if a.FreshPeer() != "" || a.Isolated() {
 			t.Errorf("elsewhere %q, alone %v", a.FreshPeer(), a.Isolated())
@@ -135,7 +140,7 @@
 
 // A beat that no controller of the settings sent is not believed.
 func TestStrangersBeat(t *testing.T) {
-	pair(t, func(_ *simulation.Network, a, _ *node, _ map[string]bool) {
+	pair(t, func(_ *simulation.Network, a, _ *node, _ map[string]*atomic.Bool) {
 		r := httptest.NewRequest(http.MethodPost, "/beats", nil)
 		r.Body = io.NopCloser(strings.NewReader(`{"member":"n7","heard":["i-9"]}{"member":"n1","note":{"report":{"nest":""}}}rubbish`))
 		a.receiveHeartbeats(httptest.NewRecorder(), r)
