--- a/internal/simulation/invariants.go
+++ b/internal/simulation/invariants.go
@@ -46,7 +46,7 @@
 func NewInvariantChecker(p config.Params) *InvariantChecker {
 	r := &InvariantChecker{
 		teams:   map[wire.TeamName]config.TeamQuota{},
-		cancelS: config.Seconds(p.Workers.CancellationDeadline),
+		cancelS: p.Workers.CancellationDeadline,
 		jobs:    map[wire.JobID]*jobRecord{},
 		on:      map[wire.TaskID]wire.Instance{},
 		used:    map[wire.TeamName]float64{},
