--- a/internal/estimate/deadlines.go
+++ b/internal/estimate/deadlines.go
@@ -18,7 +18,7 @@
 	spec := j.Spec
 	var own *time.Duration
 	if spec.Deadline != nil {
-		deadline := config.Seconds(float64(*spec.Deadline))
+		deadline := spec.Deadline.Duration()
 		own = &deadline
 	}
 	var out []time.Duration
