--- a/cmd/lynxledge/run.go
+++ b/cmd/lynxledge/run.go
@@ -170,10 +170,10 @@
 	})
 	msh := peer.Start(ctx, peer.Options{Config: cfg, Dial: to.peers, FreshAsOf: led.FreshAsOf})
 	var placer *scheduler.Scheduler
-	rep := heartbeat.Start(ctx, cfg, boot, led, heartbeat.Routes{
+	rep := heartbeat.Start(ctx, heartbeat.Options{Config: cfg, Cache: led, Routes: heartbeat.Routes{
 		FreshPeer: msh.FreshPeer, Isolated: msh.Isolated, SendEvidence: msh.SendEvidence,
 		ApplyEvidence: func(n reconcile.Evidence, wait time.Duration) { placer.HandleEvidence(n, wait) },
-	})
+	}})
 	placer = scheduler.Start(ctx, scheduler.Options{
 		Config: cfg, Incarnation: boot, Cache: led, Workers: to.workers, OnCommandResponse: rep.HandleCommandResponse, StoreLimits: limits, Overload: load,
 	})
--- a/internal/apiserver/bench_test.go
+++ b/internal/apiserver/bench_test.go
@@ -36,12 +36,12 @@
 	cfg.Params.Teams = []config.TeamQuota{{Name: "red"}}
 	conn := &simulation.StoreConn{Store: simulation.NewStore(), Net: simulation.NewNetwork(1, 0), Node: "n0", Timeout: time.Second}
 	l := statecache.Start(ctx, conn, statecache.Options{ChunkTasks: statecache.ChunkTasks(4), WatchHold: time.Second, MaxViewAge: time.Second, Backoff: 100 * time.Millisecond})
-	reporter := heartbeat.Start(ctx, cfg, 1, l, heartbeat.Routes{
+	reporter := heartbeat.Start(ctx, heartbeat.Options{Config: cfg, Cache: l, Routes: heartbeat.Routes{
 		FreshPeer:     func() string { return "" },
 		Isolated:      func() bool { return false },
 		ApplyEvidence: func(reconcile.Evidence, time.Duration) {},
 		SendEvidence:  func(string, reconcile.Evidence) bool { return false },
-	})
+	}})
 	front := Start(ctx, Options{Config: cfg, Cache: l, Heartbeats: reporter})
 	front.SetMachineTypes([]wire.MachineType{{Name: "s", CPUs: 16, MemoryGB: 128, Zones: []wire.Zone{"a"}}})
 	l.Run()
--- a/internal/apiserver/server.go
+++ b/internal/apiserver/server.go
@@ -322,9 +322,9 @@
 	}
 	out, ok := actor.Ask(f.heartbeats.Actor, func(reply func(heartbeat.Response)) { f.heartbeats.HandleHeartbeat(&rep, reply) })
 	switch {
-	case ok && out.Accepted:
+	case ok && out.Outcome == heartbeat.Accepted:
 		writeJSON(w, http.StatusOK, out.Body)
-	case ok && out.RedirectTo != "":
+	case ok && out.Outcome == heartbeat.Redirected:
 		writeJSON(w, http.StatusMisdirectedRequest, wire.RedirectResponse{RedirectTo: out.RedirectTo})
 	default:
 		writeUnavailable(w, "not entitled to answer")
--- a/internal/heartbeat/receiver_test.go
+++ b/internal/heartbeat/receiver_test.go
@@ -15,290 +15,293 @@
 	"lynxledge/wire"
 )
 
-// bench is a Reports actor over a state service that holds one machine.
-type bench struct {
-	ledger    *statecache.Cache
-	reports   *Receiver
-	elsewhere string
-	alone     bool
+// controller is a Receiver with a cache of a store that holds one machine, i-1, and one job,
+// req-000001.
+type controller struct {
+	cache     *statecache.Cache
+	receiver  *Receiver
+	freshPeer string
+	isolated  bool
 }
 
-func newBench(ctx context.Context, t *testing.T, bind *statecache.Machine, job *statecache.Job) *bench {
+func newController(ctx context.Context, t *testing.T, machine *statecache.Machine, job *statecache.Job) *controller {
+	t.Helper()
 	cfg := &config.Config{Operator: config.DefaultOperatorSettings()}
 	cfg.Params.Workers = config.WorkerTimings{HeartbeatInterval: 3 * time.Second, LeaseDuration: 34 * time.Second, CancellationDeadline: 64 * time.Second}
 	cfg.Params.Store = config.StoreLimits{MaxValueKB: 8, MaxTxnOps: 8, RequestRate: 150, WriteRate: 50}
-	conn := &simulation.StoreConn{Store: simulation.NewStore(), Net: simulation.NewNetwork(1, time.Millisecond), Node: "n0", Timeout: time.Second}
-	chunk := statecache.ChunkTasks(8)
-	l := statecache.Start(ctx, conn, statecache.Options{ChunkTasks: chunk, WatchHold: time.Second, MaxViewAge: time.Second, Backoff: 100 * time.Millisecond})
-	b := &bench{ledger: l}
-	placer := scheduler.Start(ctx, scheduler.Options{Config: cfg, Incarnation: 1, Cache: l, OnCommandResponse: func(*wire.Heartbeat) {}})
-	b.reports = Start(ctx, cfg, 1, l, Routes{
-		FreshPeer: func() string { return b.elsewhere }, Isolated: func() bool { return b.alone },
-		ApplyEvidence: placer.HandleEvidence, SendEvidence: func(string, reconcile.Evidence) bool { return false },
-	})
-	l.Run()
+	store := &simulation.StoreConn{Store: simulation.NewStore(), Net: simulation.NewNetwork(1, time.Millisecond), Node: "n0", Timeout: time.Second}
+	cache := statecache.Start(ctx, store, statecache.Options{ChunkTasks: statecache.ChunkTasks(8), WatchHold: time.Second, MaxViewAge: time.Second, Backoff: 100 * time.Millisecond})
+	c := &controller{cache: cache}
+	active := scheduler.Start(ctx, scheduler.Options{Config: cfg, Incarnation: 1, Cache: cache, OnCommandResponse: func(*wire.Heartbeat) {}})
+	c.receiver = Start(ctx, Options{Config: cfg, Cache: cache, Routes: Routes{
+		FreshPeer:     func() string { return c.freshPeer },
+		Isolated:      func() bool { return c.isolated },
+		ApplyEvidence: active.HandleEvidence,
+		SendEvidence:  func(string, reconcile.Evidence) bool { return false },
+	}})
+	cache.Run()
 	time.Sleep(time.Second)
-	bind.Name = "i-1"
-	ok := make(chan statecache.Outcome, 1)
-	l.Commit(statecache.Commit{Puts: []statecache.Put{
-		{Key: statecache.Key(statecache.KindMachineGroup, "g"), Record: &statecache.MachineGroup{MachineType: "t", Zone: "z", Machines: []*statecache.Machine{bind}}}, {Key: statecache.Key(statecache.KindJob, "req-000001"), Record: job},
-	}}, func(out statecache.Outcome) { ok <- out })
-	if out := <-ok; out != statecache.Committed {
-		t.Fatal(out)
+	machine.Name = "i-1"
+	committed := make(chan statecache.Outcome, 1)
+	cache.Commit(statecache.Commit{Puts: []statecache.Put{
+		{Key: statecache.Key(statecache.KindMachineGroup, "g"), Record: &statecache.MachineGroup{MachineType: "t", Zone: "z", Machines: []*statecache.Machine{machine}}},
+		{Key: statecache.Key(statecache.KindJob, "req-000001"), Record: job},
+	}}, func(outcome statecache.Outcome) { committed <- outcome })
+	if outcome := <-committed; outcome != statecache.Committed {
+		t.Fatal(outcome)
 	}
-	return b
+	return c
+}
+
+// send has the machine send a heartbeat, and waits for the response alone.
+func (c *controller) send(heartbeat wire.Heartbeat) Response {
+	heartbeat.Machine, heartbeat.Address, heartbeat.MachineType, heartbeat.Zone = "i-1", "i-1:1", "t", "z"
+	responses := make(chan Response, 1)
+	c.receiver.Send(func() { c.receiver.HandleHeartbeat(&heartbeat, func(r Response) { responses <- r }) })
+	return <-responses
 }
 
-func (b *bench) report(rep wire.Heartbeat) Response {
-	rep.Machine, rep.Address, rep.MachineType, rep.Zone = "i-1", "i-1:1", "t", "z"
-	ch := make(chan Response, 1)
-	b.reports.Send(func() { b.reports.HandleHeartbeat(&rep, func(r Response) { ch <- r }) })
-	r := <-ch
+// sendAndSettle is send, with time for what the heartbeat proves to be written.
+func (c *controller) sendAndSettle(heartbeat wire.Heartbeat) Response {
+	response := c.send(heartbeat)
 	time.Sleep(time.Second)
-	return r
+	return response
+}
+
+// inActor evaluates f in the receiver's actor.
+func inActor[T any](c *controller, f func(r *Receiver) T) T {
+	values := make(chan T)
+	c.receiver.Send(func() { values <- f(c.receiver) })
+	return <-values
+}
+
+// setViewAge makes the controller's view as old as age.
+func (c *controller) setViewAge(age time.Duration) {
+	inActor(c, func(r *Receiver) bool {
+		r.freshAsOf = time.Now().Add(-age)
+		return true
+	})
+}
+
+// machine is the machine's record as the receiver knows it.
+func (c *controller) machine() statecache.Machine {
+	return inActor(c, func(r *Receiver) statecache.Machine { return *r.view.Machines["i-1"] })
 }
 
-// A machine that was cut off while a job on it was cancelled is refused while
-// its old session may run, so that its lease ends in time. It must not be
-// refused for ever: the report of its next session proves the old one over.
-func TestMachineServesAgainAfterOverdueCancel(t *testing.T) {
+// reachable tells whether the machine counts as reachable since the last announcement.
+func (c *controller) reachable() bool {
+	return inActor(c, func(r *Receiver) bool { return r.reachable["i-1"] })
+}
+
+// A machine that was partitioned while a job on it was cancelled is refused while its old
+// incarnation may run, so that its lease expires in time. It must not be refused for ever: the
+// heartbeat of its next incarnation proves that the old one ended.
+func TestMachineServesAgainAfterOverdueCancellation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		b := newBench(ctx, t,
+		c := newController(ctx, t,
 			&statecache.Machine{Incarnation: 1, FencingToken: 9, Bindings: []statecache.TaskBinding{{Job: "req-000001", Attempt: 1}}},
 			&statecache.Job{State: wire.JobCancelled, TaskCount: 1, FinishedAt: time.Now().Add(-40 * time.Second).UnixMilli()})
 		running := []wire.TaskStatus{{Task: "req-000001/0", Attempt: 1, State: wire.TaskRunning}}
-		if r := b.report(wire.Heartbeat{Incarnation: 1, Sequence: 1, Tasks: running}); r.Accepted {
-			t.Error("lease renewed for work cancelled long ago")
+		if r := c.sendAndSettle(wire.Heartbeat{Incarnation: 1, Sequence: 1, Tasks: running}); r.Outcome == Accepted {
+			t.Error("lease renewed for a job cancelled long ago")
 		}
-		b.report(wire.Heartbeat{Incarnation: 2, Sequence: 2})
-		if r := b.report(wire.Heartbeat{Incarnation: 2, Sequence: 3}); !r.Accepted {
-			t.Error("refused though the cancelled work is gone")
+		c.sendAndSettle(wire.Heartbeat{Incarnation: 2, Sequence: 2})
+		if r := c.sendAndSettle(wire.Heartbeat{Incarnation: 2, Sequence: 3}); r.Outcome != Accepted {
+			t.Error("refused though the cancelled task is terminated")
 		}
 	})
 }
 
-// stale makes the node's view as old as d.
-func (b *bench) stale(d time.Duration) {
-	ch := make(chan bool)
-	b.reports.Send(func() { b.reports.freshAsOf = time.Now().Add(-d); ch <- true })
-	<-ch
-}
-
-// ask reports once and waits only for the answer.
-func (b *bench) ask(rep wire.Heartbeat) Response {
-	rep.Machine, rep.Address, rep.MachineType, rep.Zone = "i-1", "i-1:1", "t", "z"
-	ch := make(chan Response, 1)
-	b.reports.Send(func() { b.reports.HandleHeartbeat(&rep, func(r Response) { ch <- r }) })
-	return <-ch
-}
-
-// row is the machine's row as the reports actor knows it.
-func (b *bench) row() statecache.Machine {
-	ch := make(chan statecache.Machine)
-	b.reports.Send(func() { ch <- *b.reports.view.Machines["i-1"] })
-	return <-ch
-}
-
-// heard tells whether the machine counts as heard since the last beat.
-func (b *bench) heard() bool {
-	ch := make(chan bool)
-	b.reports.Send(func() { ch <- b.reports.reachable["i-1"] })
-	return <-ch
-}
-
-// What a report proves is told to the controller that writes it; if that is out
-// of reach, the worker is sent there, once. Controllers that each wrote their
-// own part while they refused each other held each other up.
-func TestWorkerTellsTheWriterWhenTheMeshCant(t *testing.T) {
+// What a heartbeat proves is forwarded to the controller that writes it; if that is out of
+// reach, the worker is redirected there, once. Controllers that each wrote their own part while
+// they could not reach each other held each other up with conflicts.
+func TestWorkerRedirectedToUnreachedWriter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		b := newBench(ctx, t, &statecache.Machine{Incarnation: 1, FencingToken: 9, Bindings: []statecache.TaskBinding{{Job: "req-000001", Attempt: 1}}}, &statecache.Job{TaskCount: 9})
-		b.ledger.Commit(statecache.Commit{Puts: []statecache.Put{
+		c := newController(ctx, t, &statecache.Machine{Incarnation: 1, FencingToken: 9, Bindings: []statecache.TaskBinding{{Job: "req-000001", Attempt: 1}}}, &statecache.Job{TaskCount: 9})
+		c.cache.Commit(statecache.Commit{Puts: []statecache.Put{
 			{Key: statecache.Key(statecache.KindAssignment, "red"), Record: statecache.Assignment{Member: "n1", Incarnation: 4}},
 			{Key: statecache.Key(statecache.KindMember, "n1"), Record: statecache.Member{Incarnation: 4}},
 		}}, func(statecache.Outcome) {})
 		time.Sleep(time.Second)
-		ended := []wire.TaskStatus{{Task: "req-000001/0", Attempt: 1, State: wire.TaskExited, ExitReason: wire.ReasonCompleted}}
-		if r := b.ask(wire.Heartbeat{Incarnation: 1, Sequence: 1, FencingToken: 9, Tasks: ended}); r.Accepted || r.RedirectTo != "n1" {
-			t.Errorf("not sent to the controller that writes: %+v", r)
+		exited := []wire.TaskStatus{{Task: "req-000001/0", Attempt: 1, State: wire.TaskExited, ExitReason: wire.ReasonCompleted}}
+		if r := c.send(wire.Heartbeat{Incarnation: 1, Sequence: 1, FencingToken: 9, Tasks: exited}); r.Outcome == Accepted || r.RedirectTo != "n1" {
+			t.Errorf("not redirected to the controller that writes: %+v", r)
 		}
-		if r := b.ask(wire.Heartbeat{Incarnation: 1, Sequence: 2, FencingToken: 9, Tasks: ended}); !r.Accepted {
-			t.Error("sent away again at once")
+		if r := c.send(wire.Heartbeat{Incarnation: 1, Sequence: 2, FencingToken: 9, Tasks: exited}); r.Outcome != Accepted {
+			t.Error("redirected again at once")
 		}
 		time.Sleep(10 * time.Second)
-		if n := len(b.row().Bindings); n > 0 {
-			t.Error("nobody has written it")
+		if n := len(c.machine().Bindings); n > 0 {
+			t.Error("termination not written")
 		}
 	})
 }
 
-// Without state, a node hands its workers over while there is time: to one that
-// has state, or, when it hears no other, anywhere else. In an outage for all,
-// they come back and keep their leases: a node that refused them then cost
-// 1,400 sessions in an outage of 50 s (docs/incidents/inc-ec15-gebeya-grown.md).
-func TestNodeWithoutStateLetsItsWorkersGo(t *testing.T) {
+// Without the store, a controller redirects its workers while there is time: to one with a fresh
+// view, or, when it is isolated, anywhere else. In an outage for all, they come back and keep
+// their leases: a controller that refused them then cost 1,400 worker incarnations in an outage
+// of 50 s (docs/incidents/inc-ec15-gebeya-grown.md).
+func TestControllerWithoutStoreRedirectsItsWorkers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		b := newBench(ctx, t, &statecache.Machine{Incarnation: 1, FencingToken: 9}, &statecache.Job{TaskCount: 1})
-		half := b.reports.renewalWindow() * 3 / 4
-		b.stale(half)
-		if r := b.ask(wire.Heartbeat{Incarnation: 1, Sequence: 1}); !r.Accepted {
-			t.Error("refused in an outage that all see")
+		c := newController(ctx, t, &statecache.Machine{Incarnation: 1, FencingToken: 9}, &statecache.Job{TaskCount: 1})
+		age := c.receiver.renewalWindow() * 3 / 4
+		c.setViewAge(age)
+		if r := c.send(wire.Heartbeat{Incarnation: 1, Sequence: 1}); r.Outcome != Accepted {
+			t.Error("refused in an outage for all")
 		}
-		b.alone = true
-		b.stale(half)
-		if r := b.ask(wire.Heartbeat{Incarnation: 1, Sequence: 2}); r.Accepted {
-			t.Error("held by a node that hears no other")
+		c.isolated = true
+		c.setViewAge(age)
+		if r := c.send(wire.Heartbeat{Incarnation: 1, Sequence: 2}); r.Outcome == Accepted {
+			t.Error("kept by an isolated controller")
 		}
-		if r := b.ask(wire.Heartbeat{Incarnation: 1, Sequence: 3}); !r.Accepted {
-			t.Error("refused though it found no better node")
+		if r := c.send(wire.Heartbeat{Incarnation: 1, Sequence: 3}); r.Outcome != Accepted {
+			t.Error("refused though it found no better controller")
 		}
-		b.alone, b.elsewhere = false, "n1"
-		b.stale(half)
-		if r := b.ask(wire.Heartbeat{Incarnation: 1, Sequence: 4}); r.Accepted || r.RedirectTo != "n1" {
-			t.Errorf("not sent to the node that has state: %+v", r)
+		c.isolated, c.freshPeer = false, "n1"
+		c.setViewAge(age)
+		if r := c.send(wire.Heartbeat{Incarnation: 1, Sequence: 4}); r.Outcome == Accepted || r.RedirectTo != "n1" {
+			t.Errorf("not redirected to the controller with a fresh view: %+v", r)
 		}
 	})
 }
 
-// Copies of reports that come late, over a lease or after an answer, don't
-// count as hearing the machine, take no quiet mark away and undo nothing; a
-// report of a machine whose record went adopts nothing.
+// Copies of heartbeats that come late, over a lease or after a response, don't make the machine
+// count as reachable or clear its suspicion, and undo nothing; a heartbeat of a machine whose
+// record is gone adopts nothing.
 func TestLateCopiesChangeNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		b := newBench(ctx, t, &statecache.Machine{Incarnation: 2, FencingToken: 9, Suspected: true, DrainReason: "faulty"}, &statecache.Job{TaskCount: 1})
-		before := b.row()
-		b.report(wire.Heartbeat{Incarnation: 2, Sequence: 7, FencingToken: 8}) // from before the mark
-		b.report(wire.Heartbeat{Incarnation: 1, Sequence: 3, FencingToken: 8}) // from an earlier session
-		if now := b.row(); !reflect.DeepEqual(now, before) {
+		c := newController(ctx, t, &statecache.Machine{Incarnation: 2, FencingToken: 9, Suspected: true, DrainReason: "faulty"}, &statecache.Job{TaskCount: 1})
+		before := c.machine()
+		c.sendAndSettle(wire.Heartbeat{Incarnation: 2, Sequence: 7, FencingToken: 8}) // from before the suspicion
+		c.sendAndSettle(wire.Heartbeat{Incarnation: 1, Sequence: 3, FencingToken: 8}) // from an earlier incarnation
+		if now := c.machine(); !reflect.DeepEqual(now, before) {
 			t.Errorf("late copies made %+v of %+v", now, before)
 		}
-		b.report(wire.Heartbeat{Incarnation: 2, Sequence: 8, FencingToken: 9}) // it has seen the mark
-		if now := b.row(); now.Suspected || now.DrainReason != "faulty" {
-			t.Errorf("heard again, but %+v", now)
+		c.sendAndSettle(wire.Heartbeat{Incarnation: 2, Sequence: 8, FencingToken: 9}) // acknowledges the suspicion
+		if now := c.machine(); now.Suspected || now.DrainReason != "faulty" {
+			t.Errorf("reachable again, but %+v", now)
 		}
-		time.Sleep(5 * time.Second) // beats pass
-		b.ask(wire.Heartbeat{Incarnation: 2, Sequence: 8, FencingToken: 9})
-		b.ask(wire.Heartbeat{Incarnation: 1, Sequence: 3, FencingToken: 8})
-		if b.heard() {
-			t.Error("a copy counts as hearing the machine")
+		time.Sleep(5 * time.Second) // announcements pass
+		c.send(wire.Heartbeat{Incarnation: 2, Sequence: 8, FencingToken: 9})
+		c.send(wire.Heartbeat{Incarnation: 1, Sequence: 3, FencingToken: 8})
+		if c.reachable() {
+			t.Error("reachable by a copy")
 		}
-		b.ledger.Commit(statecache.Commit{Deletes: []string{statecache.Key(statecache.KindMachineGroup, "g")}}, func(statecache.Outcome) {})
+		c.cache.Commit(statecache.Commit{Deletes: []string{statecache.Key(statecache.KindMachineGroup, "g")}}, func(statecache.Outcome) {})
 		time.Sleep(time.Second)
-		if r := b.report(wire.Heartbeat{Incarnation: 2, Sequence: 9, FencingToken: 9}); r.Accepted {
+		if r := c.sendAndSettle(wire.Heartbeat{Incarnation: 2, Sequence: 9, FencingToken: 9}); r.Outcome == Accepted {
 			t.Error("lease renewed without a record")
 		}
-		ch := make(chan int)
-		b.reports.Send(func() { ch <- len(b.reports.view.Groups) })
-		if n := <-ch; n > 0 {
-			t.Error("adopted by a report alone")
+		if n := inActor(c, func(r *Receiver) int { return len(r.view.Groups) }); n > 0 {
+			t.Error("adopted by a heartbeat alone")
 		}
 	})
 }
 
-// A machine that is heard but hears nothing, as its reports go on showing an
-// old token, stops counting as heard, so the leader marks and returns it; it
-// counts again when it shows what it was answered.
-func TestDeafMachineIsNotHeard(t *testing.T) {
+// A machine whose heartbeats arrive but which responses don't reach, as its heartbeats go on
+// showing an old fencing token, stops counting as reachable, so the leader suspects and
+// terminates it; it counts again when it acknowledges the response.
+func TestInboundPartitionedMachineIsUnreachable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		b := newBench(ctx, t, &statecache.Machine{Incarnation: 1, FencingToken: 9}, &statecache.Job{TaskCount: 1})
-		for seq := range uint64(6) {
-			b.ask(wire.Heartbeat{Incarnation: 1, Sequence: seq + 1, FencingToken: 5})
+		c := newController(ctx, t, &statecache.Machine{Incarnation: 1, FencingToken: 9}, &statecache.Job{TaskCount: 1})
+		for sequence := range uint64(6) {
+			c.send(wire.Heartbeat{Incarnation: 1, Sequence: sequence + 1, FencingToken: 5})
 			time.Sleep(3 * time.Second)
 		}
-		b.ask(wire.Heartbeat{Incarnation: 1, Sequence: 7, FencingToken: 5})
-		if b.heard() {
-			t.Error("a machine that hears nothing counts as heard")
+		c.send(wire.Heartbeat{Incarnation: 1, Sequence: 7, FencingToken: 5})
+		if c.reachable() {
+			t.Error("reachable though no response reaches it")
 		}
-		b.ask(wire.Heartbeat{Incarnation: 1, Sequence: 8, FencingToken: 9})
-		if !b.heard() {
-			t.Error("not heard though it acknowledged")
+		c.send(wire.Heartbeat{Incarnation: 1, Sequence: 8, FencingToken: 9})
+		if !c.reachable() {
+			t.Error("unreachable though it acknowledged")
 		}
 	})
 }
 
-// A node that has not known every cancellation lately must not renew leases.
-func TestStaleNodeRefusesReports(t *testing.T) {
+// A controller that may not know every cancellation must not renew leases.
+func TestStaleControllerRefusesHeartbeats(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		b := newBench(ctx, t, &statecache.Machine{Incarnation: 1, FencingToken: 9}, &statecache.Job{TaskCount: 1})
-		if r := b.report(wire.Heartbeat{Incarnation: 1, Sequence: 1}); !r.Accepted {
+		c := newController(ctx, t, &statecache.Machine{Incarnation: 1, FencingToken: 9}, &statecache.Job{TaskCount: 1})
+		if r := c.sendAndSettle(wire.Heartbeat{Incarnation: 1, Sequence: 1}); r.Outcome != Accepted {
 			t.Fatal("refused with a fresh view")
 		}
-		b.stale(b.reports.renewalWindow() + time.Second)
-		if r := b.ask(wire.Heartbeat{Incarnation: 1, Sequence: 2}); r.Accepted {
-			t.Error("lease renewed by a stale node")
+		c.setViewAge(c.receiver.renewalWindow() + time.Second)
+		if r := c.send(wire.Heartbeat{Incarnation: 1, Sequence: 2}); r.Outcome == Accepted {
+			t.Error("lease renewed by a stale controller")
 		}
 	})
 }
 
-// A node whose view is behind launches nothing: the job may have been cancelled
-// since, and its user told so. What stops or clears is answered all the same, and
-// the lease is renewed.
-func TestNothingLaunchedOnAnOldView(t *testing.T) {
+// A controller whose view is old launches nothing: the job may have been cancelled since, and its
+// user told so. Stops and acknowledgements are sent all the same, and the lease is renewed.
+func TestNothingLaunchedOnOldView(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		b := newBench(ctx, t, &statecache.Machine{Incarnation: 1, FencingToken: 9, Bindings: []statecache.TaskBinding{{Job: "req-000001", Attempt: 8}}}, &statecache.Job{TaskCount: 1})
-		left := []wire.TaskStatus{{Task: "req-000002/0", Attempt: 1, State: wire.TaskExited, ExitReason: wire.ReasonCompleted}}
-		verbs := func(seq uint64) (out []wire.CommandOp) {
-			r := b.ask(wire.Heartbeat{Incarnation: 1, Sequence: seq, Tasks: left})
-			if !r.Accepted {
+		c := newController(ctx, t, &statecache.Machine{Incarnation: 1, FencingToken: 9, Bindings: []statecache.TaskBinding{{Job: "req-000001", Attempt: 8}}}, &statecache.Job{TaskCount: 1})
+		unbound := []wire.TaskStatus{{Task: "req-000002/0", Attempt: 1, State: wire.TaskExited, ExitReason: wire.ReasonCompleted}}
+		commands := func(sequence uint64) (ops []wire.CommandOp) {
+			r := c.send(wire.Heartbeat{Incarnation: 1, Sequence: sequence, Tasks: unbound})
+			if r.Outcome != Accepted {
 				t.Error("refused")
 			}
-			for _, o := range r.Body.Commands {
-				out = append(out, o.Op)
+			for _, command := range r.Body.Commands {
+				ops = append(ops, command.Op)
 			}
-			return out
+			return ops
 		}
-		if got := verbs(1); !reflect.DeepEqual(got, []wire.CommandOp{wire.OpAcknowledge, wire.OpLaunch}) {
+		if got := commands(1); !reflect.DeepEqual(got, []wire.CommandOp{wire.OpAcknowledge, wire.OpLaunch}) {
 			t.Errorf("on a fresh view: %v", got)
 		}
-		b.stale(2900 * time.Millisecond)
-		if got := verbs(2); !reflect.DeepEqual(got, []wire.CommandOp{wire.OpAcknowledge}) {
-			t.Errorf("on a view almost a report old: %v", got)
+		c.setViewAge(2900 * time.Millisecond)
+		if got := commands(2); !reflect.DeepEqual(got, []wire.CommandOp{wire.OpAcknowledge}) {
+			t.Errorf("on a view almost a heartbeat interval old: %v", got)
 		}
 	})
 }
 
-// A machine that only answers what it is asked is not heard: its own reports
-// reach nobody, and its lease runs out.
-func TestAnswersAreNoReports(t *testing.T) {
+// A machine that only answers direct commands is not reachable: its own heartbeats reach nobody,
+// and its lease expires.
+func TestCommandResponsesAreNoHeartbeats(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		b := newBench(ctx, t, &statecache.Machine{Incarnation: 1, FencingToken: 9}, &statecache.Job{TaskCount: 1})
-		b.reports.HandleCommandResponse(&wire.Heartbeat{Machine: "i-1", Address: "i-1:1", MachineType: "t", Zone: "z", Incarnation: 1, Sequence: 5, FencingToken: 9})
-		if b.heard() {
-			t.Error("an answer to a command passes for a report")
+		c := newController(ctx, t, &statecache.Machine{Incarnation: 1, FencingToken: 9}, &statecache.Job{TaskCount: 1})
+		c.receiver.HandleCommandResponse(&wire.Heartbeat{Machine: "i-1", Address: "i-1:1", MachineType: "t", Zone: "z", Incarnation: 1, Sequence: 5, FencingToken: 9})
+		if c.reachable() {
+			t.Error("reachable by the response to a command")
 		}
-		b.ask(wire.Heartbeat{Incarnation: 1, Sequence: 6, FencingToken: 9})
-		if !b.heard() {
-			t.Error("a report is not heard")
+		c.send(wire.Heartbeat{Incarnation: 1, Sequence: 6, FencingToken: 9})
+		if !c.reachable() {
+			t.Error("unreachable after a heartbeat")
 		}
 	})
 }
 
-// In an outage so long that nobody may renew leases, machines report all the
-// same: the leader must not take them all for silent when it is over.
-func TestRefusedReportsAreHeard(t *testing.T) {
+// In an outage so long that nobody may renew leases, heartbeats are sent all the same: the leader
+// must not take all machines for unreachable when it is over.
+func TestRefusedHeartbeatsCountAsReachable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		b := newBench(ctx, t, &statecache.Machine{Incarnation: 1, FencingToken: 9}, &statecache.Job{TaskCount: 1})
+		c := newController(ctx, t, &statecache.Machine{Incarnation: 1, FencingToken: 9}, &statecache.Job{TaskCount: 1})
 		time.Sleep(100 * time.Millisecond) // the watch repeats what was just committed
-		b.stale(40 * time.Second)
-		if r := b.ask(wire.Heartbeat{Incarnation: 1, Sequence: 1, FencingToken: 9}); r.Accepted || !b.heard() {
-			t.Errorf("accepted %v, heard %v", r.Accepted, b.heard())
+		c.setViewAge(40 * time.Second)
+		if r := c.send(wire.Heartbeat{Incarnation: 1, Sequence: 1, FencingToken: 9}); r.Outcome == Accepted || !c.reachable() {
+			t.Errorf("accepted %v, reachable %v", r.Outcome == Accepted, c.reachable())
 		}
 	})
 }
