--- a/cmd/lynxledge/run.go
+++ b/cmd/lynxledge/run.go
@@ -177,7 +177,7 @@
 	placer = scheduler.Start(ctx, scheduler.Options{
 		Config: cfg, Incarnation: boot, Cache: led, Workers: to.workers, OnCommandResponse: rep.HandleCommandResponse, StoreLimits: limits, Overload: load,
 	})
-	front := apiserver.Start(ctx, apiserver.Options{Config: cfg, Cache: led, Heartbeats: rep, Peer: msh, StoreLimits: limits, Overload: load})
+	front := apiserver.Start(ctx, apiserver.Options{Config: cfg, Cache: led, Heartbeats: rep, Peers: msh, StoreLimits: limits, Overload: load})
 	renter := autoscaler.Start(ctx, autoscaler.Options{
 		Config: cfg, Incarnation: boot, Cache: led, Cloud: to.cloud, Prober: to.workers, OnProbeResponse: rep.HandleCommandResponse, StoreLimits: limits, Overload: load,
 	})
--- a/internal/apiserver/admission_queue_test.go
+++ b/internal/apiserver/admission_queue_test.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// Users who come at once are told to come back one after another, as fast as they can be
-// served; later ones are not kept waiting for turns that have passed.
-func TestTurnsAreSpread(t *testing.T) {
+// Users who come at once are told to come back one after another, as fast as they can be served;
+// later ones are not kept waiting for places that have passed.
+func TestAdmissionQueueSpreadsUsers(t *testing.T) {
 	const perSecond = 8
-	var turns admissionQueue
+	var queue admissionQueue
 	now := time.Now()
 	inSecond := map[int]int{}
 	const users = perSecond * retryRateFactor * int(maxRetryAfter/time.Second)
 	for range users {
-		wait := turns.next(now, perSecond)
+		wait := queue.next(now, perSecond)
 		if wait < minRetryAfter || wait > maxRetryAfter {
 			t.Fatalf("told to wait %v", wait)
 		}
@@ -26,11 +26,11 @@
 		}
 	}
 	for range 1000 {
-		if wait := turns.next(now, perSecond); wait > maxRetryAfter {
+		if wait := queue.next(now, perSecond); wait > maxRetryAfter {
 			t.Fatalf("told to wait %v", wait)
 		}
 	}
-	if wait := turns.next(now.Add(time.Hour), perSecond); wait != minRetryAfter {
+	if wait := queue.next(now.Add(time.Hour), perSecond); wait != minRetryAfter {
 		t.Errorf("told to wait %v when nobody else does", wait)
 	}
 }
--- a/internal/apiserver/responses.go
+++ b/internal/apiserver/responses.go
@@ -11,40 +11,55 @@
 	"lynxledge/wire"
 )
 
-func writeJSON(w http.ResponseWriter, status int, v any) {
-	b, err := json.Marshal(v)
-	if err != nil {
-		status, b = http.StatusInternalServerError, nil
-	}
-	h := w.Header()
-	h["Content-Type"] = []string{"application/json"}
-	h["Content-Length"] = []string{strconv.Itoa(len(b))}
-	w.WriteHeader(status)
-	_, _ = w.Write(b)
+// refusal is the response to a request that is not served: an error whose text the client reads.
+type refusal struct {
+	status     int
+	text       string
+	retryAfter time.Duration // after which the client may come back; 0: it need not
+}
+
+func (r *refusal) Error() string { return r.text }
+
+// unavailable refuses what can't be served now, but may be the next moment.
+func unavailable(text string) *refusal {
+	return &refusal{status: http.StatusServiceUnavailable, text: text, retryAfter: minRetryAfter}
 }
 
-func writeError(w http.ResponseWriter, status int, why string) {
-	writeJSON(w, status, wire.ErrorResponse{Message: why})
+// badRequest refuses what the client has to mend.
+func badRequest(err error) *refusal {
+	return &refusal{status: http.StatusBadRequest, text: err.Error()}
 }
 
-// writeRetryAfter refuses what can't be taken now, and says after which time to come back.
-func writeRetryAfter(w http.ResponseWriter, status int, wait time.Duration, why string) {
-	seconds := int(math.Ceil(wait.Seconds()))
-	w.Header().Set("Retry-After", strconv.Itoa(seconds))
-	writeError(w, status, why)
+// unprocessable refuses what is well-formed, but can never be served.
+func unprocessable(text string) *refusal {
+	return &refusal{status: http.StatusUnprocessableEntity, text: text}
 }
 
-// writeUnavailable refuses what can't be taken now, but may be the next moment.
-func writeUnavailable(w http.ResponseWriter, why string) {
-	writeRetryAfter(w, http.StatusServiceUnavailable, minRetryAfter, why)
+func writeRefusal(w http.ResponseWriter, r *refusal) {
+	if r.retryAfter > 0 {
+		w.Header().Set("Retry-After", strconv.Itoa(int(math.Ceil(r.retryAfter.Seconds()))))
+	}
+	writeJSON(w, r.status, wire.ErrorResponse{Message: r.text})
+}
+
+func writeJSON(w http.ResponseWriter, status int, v any) {
+	body, err := json.Marshal(v)
+	if err != nil {
+		status, body = http.StatusInternalServerError, nil
+	}
+	header := w.Header()
+	header["Content-Type"] = []string{"application/json"}
+	header["Content-Length"] = []string{strconv.Itoa(len(body))}
+	w.WriteHeader(status)
+	_, _ = w.Write(body)
 }
 
 // readBody reads a request's body; false when it was answered already.
 func readBody(w http.ResponseWriter, r *http.Request) ([]byte, bool) {
-	b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, wire.MaxBodyBytes))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, wire.MaxBodyBytes))
 	if err != nil {
-		writeError(w, http.StatusBadRequest, "body unreadable or over 64 KiB")
+		writeRefusal(w, &refusal{status: http.StatusBadRequest, text: "body unreadable or over 64 KiB"})
 		return nil, false
 	}
-	return b, true
+	return body, true
 }
--- a/internal/apiserver/submit.go
+++ b/internal/apiserver/submit.go
@@ -2,212 +2,127 @@
 
 import (
 	"context"
-	"encoding/json"
+	"errors"
 	"log/slog"
 	"net/http"
-	"strconv"
 	"time"
 
-	"golang.org/x/time/rate"
-
-	"lynxledge/internal/actor"
-	"lynxledge/internal/config"
 	"lynxledge/internal/overload"
-	"lynxledge/internal/placement"
-	"lynxledge/internal/resources"
 	"lynxledge/internal/statecache"
-	"lynxledge/internal/storelimits"
 	"lynxledge/wire"
 )
 
-// admissionRateFactor is what all controllers together may use for new jobs, as a
-// multiple of the state service's rate of writes. Jobs come seldom but for the
-// first seconds; to know all the work early is then worth more than to rent for
-// a part of it some seconds sooner. More than the rate would only be refused.
-const admissionRateFactor = 1.2
-
-func newAdmissionLimiter(cfg *config.Config, limits *storelimits.Tracker) *rate.Limiter {
-	each := admissionRate(cfg, limits)
-	return rate.NewLimiter(each, 1+int(2*each))
-}
-
-// admissionRate is this controller's part.
-func admissionRate(cfg *config.Config, limits *storelimits.Tracker) rate.Limit {
-	return rate.Limit(limits.WriteRate(&cfg.Params.Store) * admissionRateFactor / float64(len(cfg.Peers)+1))
-}
-
-func (f *Server) submit(w http.ResponseWriter, r *http.Request) {
-	if f.overload.Level() >= overload.Overloaded {
-		f.refuseSubmission(w, http.StatusServiceUnavailable, "overloaded")
+// submit answers a submission: a new job is admitted and committed, a repeated submission is
+// answered with the job's state, whatever else it says.
+func (s *Server) submit(w http.ResponseWriter, r *http.Request) {
+	if s.overload.Level() >= overload.Overloaded {
+		writeRefusal(w, s.queued(http.StatusServiceUnavailable, "overloaded"))
 		return
 	}
-	b, ok := readBody(w, r)
+	body, ok := readBody(w, r)
 	if !ok {
 		return
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), responseTimeout)
 	defer cancel()
-	job, perr := wire.ParseJob(b)
-	id, valid := wire.PeekJobID(b)
-	if perr != nil && !valid {
-		writeError(w, http.StatusBadRequest, perr.Error())
+	job, parseErr := wire.ParseJob(body)
+	id, hasID := wire.PeekJobID(body)
+	if parseErr != nil && !hasID {
+		writeRefusal(w, badRequest(parseErr))
 		return
 	}
-	if l, ok := f.snapshot(id); ok && l.known {
-		f.respondToRepeat(ctx, w, r, id, b)
+	if snapshot, ok := s.snapshot(id); ok && snapshot.known {
+		s.respondToRepeat(ctx, w, r, id, body)
 		return
 	}
-	status, why := http.StatusBadRequest, ""
-	if perr != nil {
-		why = perr.Error()
-	} else if status, why = f.admissionError(job); why == "" && len(job.Dependencies) > 0 {
-		var err error
-		if status, why, err = f.checkDependencies(ctx, job); err != nil {
-			f.forwardToPeer(ctx, w, r, b)
-			return
-		}
+	var err error
+	if parseErr != nil {
+		err = badRequest(parseErr)
+	} else {
+		err = s.checkAdmission(ctx, job)
 	}
+	var refused *refusal
 	switch {
-	case status == http.StatusServiceUnavailable:
-		writeUnavailable(w, why)
-		return
-	case why != "":
-		// A job that was accepted is never refused later, whatever its repeat
-		// says: only a read of the state can tell.
-		l, err := f.currentSnapshot(ctx, id)
-		switch {
-		case err != nil:
-			f.forwardToPeer(ctx, w, r, b)
-		case l.known:
-			writeJSON(w, http.StatusOK, l.status)
-		default:
-			writeError(w, status, why)
-		}
-		return
+	case err == nil:
+		s.accept(ctx, w, r, job, body)
+	case errors.As(err, &refused):
+		s.refuseUnlessRepeat(ctx, w, r, id, body, refused)
+	default:
+		s.forwardToPeer(ctx, w, r, body)
 	}
-	f.accept(ctx, w, r, job, b)
-}
-
-// refuseSubmission tells a user at once to come back, and when there will be a turn.
-func (f *Server) refuseSubmission(w http.ResponseWriter, status int, why string) {
-	wait := f.queue.next(time.Now(), float64(admissionRate(f.config, f.storeLimits)))
-	writeRetryAfter(w, status, wait, why)
 }
 
-func (f *Server) respondToRepeat(ctx context.Context, w http.ResponseWriter, r *http.Request, id wire.JobID, body []byte) {
-	l, err := f.currentSnapshot(ctx, id)
-	if err != nil || !l.known {
-		f.forwardToPeer(ctx, w, r, body)
+// refuseUnlessRepeat refuses a submission. A job that was accepted is never refused later,
+// whatever its repeat says, and only a read of the store can tell; a refusal that asks the user
+// to come back decides nothing and needs no read.
+func (s *Server) refuseUnlessRepeat(ctx context.Context, w http.ResponseWriter, r *http.Request, id wire.JobID, body []byte, refused *refusal) {
+	if refused.retryAfter > 0 {
+		writeRefusal(w, refused)
 		return
 	}
-	writeJSON(w, http.StatusOK, l.status)
-}
-
-// admissionError tells why a job can never run, or can't be judged yet.
-func (f *Server) admissionError(j *wire.Job) (int, string) {
-	team, ok := f.config.Params.TeamQuota(j.Team)
-	if !ok {
-		return http.StatusUnprocessableEntity, "unknown team " + strconv.Quote(string(j.Team))
-	}
-	types, ok := actor.Ask(f.Actor, func(reply func([]wire.MachineType)) { reply(f.machineTypes) })
-	if !ok || len(types) == 0 {
-		return http.StatusServiceUnavailable, "machine types not known yet"
-	}
-	if !FitsAnyMachineType(j, types) {
-		return http.StatusUnprocessableEntity, "a task fits no allowed machine type"
-	}
-	if raw, err := json.Marshal(&statecache.Job{Spec: j}); err != nil || len(raw)+jobRecordMarginBytes > f.config.Params.Store.ValueSizeLimit() {
-		return http.StatusUnprocessableEntity, "the description is too long for the state service"
-	}
-	n := 1.0
-	if j.IsService() {
-		n = float64(j.TaskCount)
-	}
-	if !(resources.Usage{}).WithinLimit(team, resources.Vector{}.Plus(resources.OfTask(j), n)) {
-		return http.StatusUnprocessableEntity, "needs more than the team's limit"
-	}
-	return 0, ""
-}
-
-// checkDependencies tells why a job can't wait for what it names. That a job was
-// accepted is final: only if one is not known here the state has to be read, once.
-func (f *Server) checkDependencies(ctx context.Context, j *wire.Job) (status int, why string, err error) {
-	read := false
-	for _, id := range j.Dependencies {
-		l, ok := f.snapshot(id)
-		if ok && !l.known && !read {
-			if err := f.linearizableRead(ctx); err != nil {
-				return 0, "", err
-			}
-			read = true
-			l, ok = f.snapshot(id)
-		}
-		switch {
-		case !ok:
-			return 0, "", errStoreUnreachable
-		case id == j.ID:
-			return http.StatusUnprocessableEntity, "awaits: the job names itself", nil
-		case !l.known:
-			return http.StatusUnprocessableEntity, "awaits: " + string(id) + " was never accepted", nil
-		case l.job.Spec != nil && l.job.Spec.IsService():
-			return http.StatusUnprocessableEntity, "awaits: " + string(id) + " is a service, which is never done", nil
-		}
+	snapshot, err := s.currentSnapshot(ctx, id)
+	switch {
+	case err != nil:
+		s.forwardToPeer(ctx, w, r, body)
+	case snapshot.known:
+		writeJSON(w, http.StatusOK, snapshot.status)
+	default:
+		writeRefusal(w, refused)
 	}
-	return 0, "", nil
 }
 
-// jobRecordMarginBytes is what a job's record may grow by, in bytes, when it ends.
-const jobRecordMarginBytes = 128
-
-// FitsAnyMachineType tells whether a task of the job fits a type it may use.
-func FitsAnyMachineType(j *wire.Job, types []wire.MachineType) bool {
-	for i := range types {
-		t := &types[i]
-		for _, z := range t.Zones {
-			if placement.Allowed(j, t.Name, z, false) && resources.OfTask(j).Fits(resources.OfMachineType(t)) {
-				return true
-			}
-		}
+// respondToRepeat answers the repeated submission of a job that was accepted before.
+func (s *Server) respondToRepeat(ctx context.Context, w http.ResponseWriter, r *http.Request, id wire.JobID, body []byte) {
+	snapshot, err := s.currentSnapshot(ctx, id)
+	if err != nil || !snapshot.known {
+		s.forwardToPeer(ctx, w, r, body)
+		return
 	}
-	return false
+	writeJSON(w, http.StatusOK, snapshot.status)
 }
 
-func (f *Server) accept(ctx context.Context, w http.ResponseWriter, r *http.Request, j *wire.Job, body []byte) {
-	if f.storeUnreachable() {
-		f.forwardToPeer(ctx, w, r, body)
+// accept commits a job that was admitted.
+func (s *Server) accept(ctx context.Context, w http.ResponseWriter, r *http.Request, job *wire.Job, body []byte) {
+	if s.storeUnreachable() {
+		s.forwardToPeer(ctx, w, r, body)
 		return
 	}
-	key := statecache.Key(statecache.KindJob, string(j.ID))
-	// A crowd of users must not take all the writes: who comes too early is told
-	// when to come back.
-	f.admission.SetLimit(admissionRate(f.config, f.storeLimits))
-	if !f.admission.Allow() {
-		f.refuseSubmission(w, http.StatusTooManyRequests, "too many submissions at once")
+	if !s.allowAdmission() {
+		writeRefusal(w, s.queued(http.StatusTooManyRequests, "too many submissions at once"))
 		return
 	}
-	out, ok := f.commit(ctx, statecache.Commit{
+	key := statecache.Key(statecache.KindJob, string(job.ID))
+	outcome, ok := s.commit(ctx, statecache.Commit{
 		Preconditions: []wire.Precondition{{Key: key}},
-		Puts:          []statecache.Put{{Key: key, Record: &statecache.Job{Spec: j, TaskCount: j.TaskCount, SubmittedAt: time.Now().UnixMilli()}}},
-		RetryFor:      retryAfter,
+		Puts:          []statecache.Put{{Key: key, Record: &statecache.Job{Spec: job, TaskCount: job.TaskCount, SubmittedAt: time.Now().UnixMilli()}}},
 	})
 	switch {
-	case ok && out == statecache.Committed:
-		slog.Debug("job accepted",
-			"job", j.ID,
-			"class", j.Class,
-			"team", j.Team,
-			"tasks", j.TaskCount,
-			"image", j.Image,
-			"gb", j.ImageGB,
-			"expect_s", float64(j.EstimatedRuntime))
-		status := wire.JobStatus{ID: j.ID, State: wire.JobQueued}
-		if l, ok := f.snapshot(j.ID); ok && l.known { // it may name a job that is cancelled
-			status = l.status
-		}
-		writeJSON(w, http.StatusCreated, status)
-	case ok && out == statecache.Conflicted:
-		f.respondToRepeat(ctx, w, r, j.ID, body)
+	case ok && outcome == statecache.Committed:
+		logAccepted(job)
+		writeJSON(w, http.StatusCreated, s.acceptedStatus(job.ID))
+	case ok && outcome == statecache.Conflicted:
+		s.respondToRepeat(ctx, w, r, job.ID, body)
 	default:
-		f.forwardToPeer(ctx, w, r, body)
+		s.forwardToPeer(ctx, w, r, body)
 	}
 }
+
+// acceptedStatus is the state of a job that was just committed: queued, unless it depends on one
+// that is cancelled.
+func (s *Server) acceptedStatus(id wire.JobID) wire.JobStatus {
+	if snapshot, ok := s.snapshot(id); ok && snapshot.known {
+		return snapshot.status
+	}
+	return wire.JobStatus{ID: id, State: wire.JobQueued}
+}
+
+func logAccepted(job *wire.Job) {
+	slog.Debug("job accepted",
+		"job", job.ID,
+		"class", job.Class,
+		"team", job.Team,
+		"tasks", job.TaskCount,
+		"image", job.Image,
+		"image_gb", job.ImageGB,
+		"estimated_runtime_seconds", float64(job.EstimatedRuntime))
+}
--- a/internal/peer/bench_test.go
+++ b/internal/peer/bench_test.go
@@ -11,10 +11,10 @@
 	"lynxledge/wire"
 )
 
-// BenchmarkHeartbeat is one heartbeat on its way to another controller: what it takes to
+// BenchmarkPeerHeartbeat is one heartbeat on its way to another controller: what it takes to
 // encode, decode and handle it. It announces the machines reachable within a third of the
 // workers' heartbeat interval.
-func BenchmarkHeartbeat(b *testing.B) {
+func BenchmarkPeerHeartbeat(b *testing.B) {
 	const controllers = 7
 	for _, machines := range []int{250, 1830, 4000} {
 		b.Run(fmt.Sprintf("machines=%d", machines), func(b *testing.B) {
