--- /dev/null
+++ b/cmd/lynxledge/cache_options.go
@@ -0,0 +1,50 @@
+package main
+
+import (
+	"time"
+
+	"lynxledge/internal/config"
+	"lynxledge/internal/statecache"
+	"lynxledge/internal/storelimits"
+)
+
+// Shares of the store's request rate that all controllers together use to watch it, and to
+// answer users.
+const (
+	watchShare   = 0.3
+	refreshShare = 0.2
+)
+
+// finishedJobsMemoryShare is the part of the memory that finished jobs may take before operators
+// are warned.
+const finishedJobsMemoryShare = 0.15
+
+// cacheOptions set the pace of the cache, and the sizes that it writes.
+func cacheOptions(cfg *config.Config, limits *storelimits.Tracker) statecache.Options {
+	heartbeatInterval, store := cfg.Params.Workers.HeartbeatInterval, cfg.Params.Store
+	return statecache.Options{
+		ChunkTasks:              statecache.ChunkTasks(store.MaxValueKB),
+		WatchHold:               5 * heartbeatInterval,
+		MinWatchInterval:        minReadInterval(cfg, watchShare),
+		MinRefreshInterval:      minReadInterval(cfg, refreshShare),
+		MaxViewAge:              heartbeatInterval / 2,
+		Backoff:                 heartbeatInterval / 30,
+		WriteInterval:           config.Seconds(1 / store.WriteRate),
+		MaxValueBytes:           store.ValueSizeLimit(),
+		MaxCompletionChunkBytes: int(store.MaxValueKB * 1024),
+		OnThrottled:             limits.ObserveThrottled,
+		OnSizeRejected:          limits.ObserveLowerSizeLimit,
+		JobCountWarning:         jobCountWarning(cfg.Params.Resources),
+	}
+}
+
+// minReadInterval is the least time between two reads of this controller so that all of them
+// keep to a share of the store's request rate.
+func minReadInterval(cfg *config.Config, share float64) time.Duration {
+	return config.Seconds(float64(len(cfg.Peers)+1) / (cfg.Params.Store.RequestRateLimit() * share))
+}
+
+// jobCountWarning is the number of finished jobs that take that part of the memory.
+func jobCountWarning(resources config.ControllerResources) int {
+	return int(resources.MemoryMB * (1 << 20) * finishedJobsMemoryShare / statecache.FinishedJobBytes)
+}
--- /dev/null
+++ b/cmd/lynxledge/controller.go
@@ -0,0 +1,238 @@
+package main
+
+import (
+	"context"
+	"log/slog"
+	"net/http"
+	"time"
+
+	"github.com/go-chi/chi/v5"
+
+	"lynxledge/internal/apiserver"
+	"lynxledge/internal/autoscaler"
+	"lynxledge/internal/cloud"
+	"lynxledge/internal/config"
+	"lynxledge/internal/election"
+	"lynxledge/internal/heartbeat"
+	"lynxledge/internal/overload"
+	"lynxledge/internal/peer"
+	"lynxledge/internal/reconcile"
+	"lynxledge/internal/recovery"
+	"lynxledge/internal/scheduler"
+	"lynxledge/internal/standby"
+	"lynxledge/internal/statecache"
+	"lynxledge/internal/storelimits"
+	"lynxledge/internal/zonecontrol"
+	"lynxledge/wire"
+)
+
+// clients are a controller's ways to everything outside its process.
+type clients struct {
+	store interface {
+		statecache.Store
+		election.LeaseClient
+	}
+	cloud   autoscaler.Cloud
+	workers interface {
+		scheduler.CommandSender
+		autoscaler.Prober
+	}
+	dialPeer peer.Dial
+}
+
+// controller is the actors of one process, and what they share.
+type controller struct {
+	config      *config.Config
+	incarnation uint64 // tells this process from its earlier ones
+	clients     clients
+	storeLimits *storelimits.Tracker
+	overload    *overload.Gauge
+
+	cache      *statecache.Cache
+	transport  *peer.Transport
+	receiver   *heartbeat.Receiver
+	scheduler  *scheduler.Scheduler
+	apiServer  *apiserver.Server
+	autoscaler *autoscaler.Autoscaler
+	election   *election.Election
+	catalog    *cloud.Catalog
+
+	zoneController *zonecontrol.Controller // nil: zone recovery is off
+	standby        *standby.Standby        // nil: early failover is off
+}
+
+// assemble starts a controller's actors, which end with ctx, and then has them exchange
+// messages. Each actor is handed those that were started before it; the functions that connect
+// two are the only way back.
+func assemble(ctx context.Context, cfg *config.Config, incarnation uint64, to clients) *controller {
+	c := &controller{
+		config:      cfg,
+		incarnation: incarnation,
+		clients:     to,
+		storeLimits: &storelimits.Tracker{},
+		overload:    overload.Start(ctx, cfg.Params.Workers.HeartbeatInterval),
+	}
+	slog.Info("controller started", "member", cfg.MemberName, "zone", cfg.Zone, "incarnation", incarnation)
+	c.startStoreSide(ctx)
+	c.startHeartbeats(ctx)
+	c.startControl(ctx)
+	c.connectHeartbeats()
+	c.startElection(ctx)
+	c.startCatalog(ctx)
+	if cfg.Operator.ZoneRecovery != nil {
+		c.startZoneRecovery(ctx)
+	}
+	if cfg.Operator.Standby != nil {
+		c.standby = standby.Start(ctx, cfg, incarnation, c.cache, c.election)
+	}
+	c.run(ctx)
+	return c
+}
+
+// startStoreSide starts the cache of the store that all actors follow.
+func (c *controller) startStoreSide(ctx context.Context) {
+	c.cache = statecache.Start(ctx, c.clients.store, cacheOptions(c.config, c.storeLimits))
+}
+
+// startHeartbeats starts what takes heartbeats: of other controllers and of workers.
+func (c *controller) startHeartbeats(ctx context.Context) {
+	c.transport = peer.Start(ctx, peer.Options{Config: c.config, Dial: c.clients.dialPeer, FreshAsOf: c.cache.FreshAsOf})
+	c.receiver = heartbeat.Start(ctx, heartbeat.Options{Config: c.config, Cache: c.cache, Routes: heartbeat.Routes{
+		FreshPeer:    c.transport.FreshPeer,
+		Isolated:     c.transport.Isolated,
+		SendEvidence: c.transport.SendEvidence,
+		ApplyEvidence: func(evidence reconcile.Evidence, wait time.Duration) {
+			c.scheduler.HandleEvidence(evidence, wait) // started after the receiver, before any heartbeat
+		},
+	}})
+}
+
+// startControl starts what decides: on tasks, on users' requests and on machines.
+func (c *controller) startControl(ctx context.Context) {
+	c.scheduler = scheduler.Start(ctx, scheduler.Options{
+		Config:            c.config,
+		Incarnation:       c.incarnation,
+		Cache:             c.cache,
+		Workers:           c.clients.workers,
+		OnCommandResponse: c.receiver.HandleCommandResponse,
+		StoreLimits:       c.storeLimits,
+		Overload:          c.overload,
+	})
+	c.apiServer = apiserver.Start(ctx, apiserver.Options{
+		Config:      c.config,
+		Cache:       c.cache,
+		Heartbeats:  c.receiver,
+		Peers:       c.transport,
+		StoreLimits: c.storeLimits,
+		Overload:    c.overload,
+	})
+	c.autoscaler = autoscaler.Start(ctx, autoscaler.Options{
+		Config:          c.config,
+		Incarnation:     c.incarnation,
+		Cache:           c.cache,
+		Cloud:           c.clients.cloud,
+		Prober:          c.clients.workers,
+		OnProbeResponse: c.receiver.HandleCommandResponse,
+		StoreLimits:     c.storeLimits,
+		Overload:        c.overload,
+	})
+}
+
+// connectHeartbeats has the machines that send heartbeats here announced to the other
+// controllers, and to the autoscaler.
+func (c *controller) connectHeartbeats() {
+	c.receiver.OnReachable(c.transport.AnnounceReachable)
+	c.receiver.OnReachable(c.autoscaler.MachinesReachable)
+}
+
+// startElection starts this controller's membership, and its part in the leader election.
+func (c *controller) startElection(ctx context.Context) {
+	params, operator := c.config.Params, c.config.Operator
+	c.election = election.Start(ctx, c.clients.store, c.cache, election.Options{
+		MemberName:   c.config.MemberName,
+		Incarnation:  c.incarnation,
+		LeaseTTL:     params.Workers.Heartbeats(operator.MemberLeaseHeartbeats),
+		Teams:        teamNames(params.Teams),
+		MaxTxnOps:    params.Store.TxnOpsLimit(),
+		ChunkTasks:   statecache.ChunkTasks(params.Store.MaxValueKB),
+		Capabilities: capabilities(operator),
+	})
+}
+
+// startCatalog starts what follows the cloud's machine types.
+func (c *controller) startCatalog(ctx context.Context) {
+	c.catalog = cloud.NewCatalog(ctx, c.clients.cloud)
+	c.catalog.Subscribe(c.apiServer.SetMachineTypes)
+	c.catalog.Subscribe(c.scheduler.SetMachineTypes)
+	c.catalog.Subscribe(c.autoscaler.SetMachineTypes)
+}
+
+// startZoneRecovery starts what follows the health of zones, and has the scheduler and the
+// autoscaler heed it.
+func (c *controller) startZoneRecovery(ctx context.Context) {
+	c.zoneController = zonecontrol.Start(ctx, c.config, c.incarnation, c.cache, c.scheduler)
+	c.scheduler.SetAdvisor(recovery.NewAdvisor(c.config))
+	c.autoscaler.SetZoneRecovery(recovery.NewScalingPolicy(c.config), c.zoneController.PoolExhausted)
+	c.receiver.OnReachable(func(machines []wire.MachineID) {
+		c.zoneController.MachinesReachable(c.config.MemberName, machines)
+	})
+	c.catalog.Subscribe(c.zoneController.SetMachineTypes)
+}
+
+// run begins to follow the cloud, the other controllers and the store.
+func (c *controller) run(ctx context.Context) {
+	go c.catalog.Run(ctx, 12*c.config.Operator.PlanningInterval, c.config.Params.Workers.HeartbeatInterval/3)
+	c.transport.Run(ctx, c.peerHandlers())
+	c.cache.Run()
+}
+
+// peerHandlers receive what other controllers send.
+func (c *controller) peerHandlers() peer.Handlers {
+	handlers := peer.Handlers{
+		Reachable: func(member string, machines []wire.MachineID) {
+			c.autoscaler.MachinesReachable(machines)
+			if c.zoneController != nil {
+				c.zoneController.MachinesReachable(member, machines)
+			}
+		},
+		Evidence: func(evidence reconcile.Evidence) { c.scheduler.HandleEvidence(evidence, 0) },
+	}
+	if c.standby != nil {
+		handlers.FailureDetection = &peer.FailureDetection{
+			Incarnation: c.incarnation,
+			Interval:    c.config.Operator.Standby.HeartbeatInterval(c.config.Params.Workers),
+			Observer:    c.standby,
+		}
+	}
+	return handlers
+}
+
+// peerHandler answers other controllers and operators: users' requests that are forwarded, and
+// the status of what is switched on.
+func (c *controller) peerHandler() http.Handler {
+	router := chi.NewRouter()
+	if c.zoneController != nil {
+		router.Method(http.MethodGet, zonecontrol.StatusPath, c.zoneController)
+	}
+	if c.standby != nil {
+		router.Method(http.MethodGet, standby.StatusPath, c.standby)
+	}
+	router.Mount("/", c.apiServer.Handler())
+	return router
+}
+
+// capabilities are what the settings switch on that other members must know of.
+func capabilities(operator config.OperatorSettings) []string {
+	if operator.ZoneRecovery == nil {
+		return nil
+	}
+	return []string{statecache.CapabilityZoneRecovery}
+}
+
+func teamNames(teams []config.TeamQuota) []wire.TeamName {
+	var names []wire.TeamName
+	for _, team := range teams {
+		names = append(names, team.Name)
+	}
+	return names
+}
--- a/cmd/lynxledge/loopback_test.go
+++ b/cmd/lynxledge/loopback_test.go
@@ -35,7 +35,7 @@
 	if settings == "" {
 		os.Exit(m.Run())
 	}
-	command := command()
+	command := rootCommand()
 	command.SetArgs([]string{"--operators", settings + ".json", "--config", settings})
 	if err := command.Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, err)
--- a/cmd/lynxledge/main.go
+++ b/cmd/lynxledge/main.go
@@ -2,6 +2,7 @@
 package main
 
 import (
+	"errors"
 	"fmt"
 	"os"
 
@@ -14,16 +15,17 @@
 const version = "0.1.0"
 
 func main() {
-	if err := command().Execute(); err != nil {
+	if err := rootCommand().Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, "lynxledge:", err)
 		os.Exit(1)
 	}
 }
 
-func command() *cobra.Command {
-	var path, ops string
-	var check bool
-	c := &cobra.Command{
+// rootCommand runs a controller, or checks its settings.
+func rootCommand() *cobra.Command {
+	var configPath, operatorsPath string
+	var checkOnly bool
+	command := &cobra.Command{
 		Use:           "lynxledge --config FILE",
 		Short:         "A controller of the lynxledge cluster scheduler",
 		Version:       version,
@@ -31,23 +33,23 @@
 		SilenceUsage:  true,
 		SilenceErrors: true,
 		RunE: func(*cobra.Command, []string) error {
-			if path == "" {
-				return fmt.Errorf("--config FILE is missing")
+			if configPath == "" {
+				return errors.New("--config FILE is missing")
 			}
-			cfg, err := config.Load(path, ops)
+			cfg, err := config.Load(configPath, operatorsPath)
 			if err != nil {
 				return err
 			}
-			if check {
+			if checkOnly {
 				fmt.Println("settings are sound")
 				return nil
 			}
 			return run(cfg)
 		},
 	}
-	c.AddCommand(zonesCommand(), standbyCommand())
-	c.Flags().StringVar(&path, "config", "", "settings `file` of the platform (TOML)")
-	c.Flags().StringVar(&ops, "operators", "", "operators' own settings `file` (JSON, see internal/config/operators.schema.json)")
-	c.Flags().BoolVar(&check, "check", false, "check the settings and exit")
-	return c
+	command.AddCommand(zonesCommand(), standbyCommand())
+	command.Flags().StringVar(&configPath, "config", "", "settings `file` of the platform (TOML)")
+	command.Flags().StringVar(&operatorsPath, "operators", "", "operators' own settings `file` (JSON, see internal/config/operators.schema.json)")
+	command.Flags().BoolVar(&checkOnly, "check", false, "check the settings and exit")
+	return command
 }
--- a/cmd/lynxledge/run.go
+++ b/cmd/lynxledge/run.go
@@ -9,7 +9,6 @@
 	"math/rand/v2"
 	"net"
 	"net/http"
-	"os"
 	"os/signal"
 	"runtime"
 	"runtime/debug"
@@ -17,262 +16,102 @@
 	"syscall"
 	"time"
 
-	"github.com/go-chi/chi/v5"
-
-	"lynxledge/internal/actor"
-	"lynxledge/internal/apiserver"
-	"lynxledge/internal/autoscaler"
 	"lynxledge/internal/cloud"
 	"lynxledge/internal/config"
 	"lynxledge/internal/connlimit"
 	"lynxledge/internal/election"
-	"lynxledge/internal/heartbeat"
 	"lynxledge/internal/kvstore"
-	"lynxledge/internal/overload"
-	"lynxledge/internal/peer"
-	"lynxledge/internal/reconcile"
-	"lynxledge/internal/recovery"
-	"lynxledge/internal/scheduler"
-	"lynxledge/internal/standby"
-	"lynxledge/internal/statecache"
-	"lynxledge/internal/storelimits"
 	"lynxledge/internal/worker"
-	"lynxledge/internal/zonecontrol"
-	"lynxledge/wire"
 )
 
-// goMemoryLimitShare is the part of the memory limit at which Go collects harder;
-// the rest is for what its heap doesn't count.
-const goMemoryLimitShare = 0.6
-
+// run sets the process up and serves until it is killed.
 func run(cfg *config.Config) error {
-	logLevel()
-	res := cfg.Params.Resources
-	runtime.GOMAXPROCS(max(1, int(math.Ceil(res.CPUCores))))
-	debug.SetMemoryLimit(int64(res.MemoryMB * goMemoryLimitShare * (1 << 20)))
-	debug.SetGCPercent(800)
-
-	if small := cfg.Warnings(); len(small) > 0 {
-		slog.Warn("settings look too small for a controller", "settings", strings.Join(small, " "))
+	setUpLogging()
+	limitRuntime(cfg.Params.Resources)
+	if tooSmall := cfg.Warnings(); len(tooSmall) > 0 {
+		slog.Warn("settings look too small for a controller", "settings", strings.Join(tooSmall, " "))
 	}
-
-	users, err := net.Listen("tcp4", cfg.ClientListenAddress)
+	clientListener, err := net.Listen("tcp4", cfg.ClientListenAddress)
 	if err != nil {
 		return fmt.Errorf("client_listen: %w", err)
 	}
-	peers, err := net.Listen("tcp4", cfg.PeerListenAddress)
+	peerListener, err := net.Listen("tcp4", cfg.PeerListenAddress)
 	if err != nil {
 		return fmt.Errorf("mesh_addr: %w", err)
 	}
-	return serve(context.Background(), cfg, users, peers)
+	return serve(context.Background(), cfg, clientListener, peerListener)
 }
 
-func logLevel() {
-	level := slog.LevelInfo
-	switch strings.ToLower(os.Getenv("LOG_LEVEL")) {
-	case "error":
-		level = slog.LevelError
-	case "debug":
-		level = slog.LevelDebug
-	}
-	slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level})))
+// goMemoryLimitShare is the part of the memory limit at which Go collects harder; the rest is
+// for what its heap doesn't count.
+const goMemoryLimitShare = 0.6
+
+// limitRuntime keeps Go's runtime within the controller's resources.
+func limitRuntime(resources config.ControllerResources) {
+	runtime.GOMAXPROCS(max(1, int(math.Ceil(resources.CPUCores))))
+	debug.SetMemoryLimit(int64(resources.MemoryMB * goMemoryLimitShare * (1 << 20)))
+	debug.SetGCPercent(800)
 }
 
-// serve puts the controller together and answers until the process is killed.
-func serve(ctx context.Context, cfg *config.Config, users, peers net.Listener) error {
-	p, ops := cfg.Params, cfg.Operator
-	report := p.Workers.HeartbeatInterval
-	sockets := newSocketBudget(p.Resources)
-	n := assemble(ctx, cfg, rand.Uint64()>>1, connections{
-		state:   kvstore.New(cfg.External.State, p.Store.RequestRateLimit(), p.Store.WriteRate, p.Store.MaxTxnOps, report/2),
-		cloud:   cloud.New(cfg.External.Cloud, p.Cloud.RequestRate, ops.CloudRateShare, 2*report),
-		workers: worker.New(report, sockets.idleCommands, sockets.busyCommands),
-		peers:   new(net.Dialer).DialContext,
-	})
+// serve assembles a controller and answers until the process is killed, or has resigned.
+func serve(ctx context.Context, cfg *config.Config, clientListener, peerListener net.Listener) error {
+	sockets := newSocketBudget(cfg.Params.Resources)
+	c := assemble(ctx, cfg, newIncarnation(), newClients(cfg, sockets))
 	go func() {
-		if err := n.mesh.Serve(ctx, peers, n.peerHandler()); err != nil {
-			slog.Error("mesh server ended", "err", err)
+		if err := c.transport.Serve(ctx, peerListener, c.peerHandler()); err != nil {
+			slog.Error("peer server ended", "error", err)
 		}
 	}()
-	connections := connlimit.New(sockets.inbound)
-	srv := &http.Server{
-		Handler:           connections.Handler(n.server.Handler()),
-		ConnState:         connections.ConnState,
-		ReadHeaderTimeout: 4 * report,
-		ErrorLog:          slog.NewLogLogger(slog.Default().Handler(), slog.LevelDebug),
-	}
-	if ops.Standby != nil {
-		go n.leaveOnSignal(ctx, srv, report)
+	server := newClientServer(cfg, c.apiServer.Handler(), connlimit.New(sockets.inbound))
+	if cfg.Operator.Standby != nil {
+		go resignOnSignal(ctx, c.election, server, cfg.Params.Workers.HeartbeatInterval)
 	}
-	if err := srv.Serve(users); !errors.Is(err, http.ErrServerClosed) {
+	if err := server.Serve(clientListener); !errors.Is(err, http.ErrServerClosed) {
 		return err
 	}
 	return nil
 }
 
-// leaveOnSignal hands this controller's roles over when the platform asks it to end, and
-// then ends it. It does not wait for long: what was not handed over is taken over.
-func (n *node) leaveOnSignal(ctx context.Context, srv *http.Server, patience time.Duration) {
-	asked, stop := signal.NotifyContext(ctx, syscall.SIGTERM)
-	defer stop()
-	<-asked.Done()
-	if ctx.Err() != nil {
-		return
-	}
-	resigned := make(chan struct{})
-	n.election.Resign(func() { close(resigned) })
-	select {
-	case <-resigned:
-	case <-time.After(patience):
-	}
-	srv.Close()
-}
+// newIncarnation tells this process from its earlier ones.
+func newIncarnation() uint64 { return rand.Uint64() >> 1 }
 
-// connections are a controller's ways to the world.
-type connections struct {
-	state interface {
-		statecache.Store
-		election.LeaseClient
-	}
-	cloud   autoscaler.Cloud
-	workers interface {
-		scheduler.CommandSender
-		autoscaler.Prober
+// newClients makes the clients of a controller in production.
+func newClients(cfg *config.Config, sockets socketBudget) clients {
+	heartbeatInterval := cfg.Params.Workers.HeartbeatInterval
+	store, provider := cfg.Params.Store, cfg.Params.Cloud
+	return clients{
+		store:    kvstore.New(cfg.External.State, store.RequestRateLimit(), store.WriteRate, store.MaxTxnOps, heartbeatInterval/2),
+		cloud:    cloud.New(cfg.External.Cloud, provider.RequestRate, cfg.Operator.CloudRateShare, 2*heartbeatInterval),
+		workers:  worker.New(heartbeatInterval, sockets.idleCommands, sockets.busyCommands),
+		dialPeer: new(net.Dialer).DialContext,
 	}
-	peers peer.Dial
 }
 
-// node is a controller's actors that take requests.
-type node struct {
-	server   *apiserver.Server
-	mesh     *peer.Transport
-	zones    *zonecontrol.Controller // nil: zone recovery is off
-	standby  *standby.Standby        // nil: early takeovers are off
-	election *election.Election
-	actors   []*actor.Actor // all that own state
-}
-
-// assemble starts a controller's actors. boot tells this process from its
-// earlier ones.
-func assemble(ctx context.Context, cfg *config.Config, boot uint64, to connections) node {
-	p, ops := cfg.Params, cfg.Operator
-	report := p.Workers.HeartbeatInterval
-	chunk := statecache.ChunkTasks(p.Store.MaxValueKB)
-	limits := &storelimits.Tracker{}
-	load := overload.Start(ctx, report)
-	slog.Info("starting", "member", cfg.MemberName, "zone", cfg.Zone, "boot", boot)
-
-	led := statecache.Start(ctx, to.state, statecache.Options{
-		ChunkTasks: chunk, WatchHold: 5 * report, MinWatchInterval: readPause(cfg, watchShare), MinRefreshInterval: readPause(cfg, refreshShare),
-		MaxViewAge: report / 2, Backoff: report / 30, WriteInterval: config.Seconds(1 / p.Store.WriteRate),
-		MaxValueBytes: p.Store.ValueSizeLimit(), MaxCompletionChunkBytes: int(p.Store.MaxValueKB * 1024), OnThrottled: limits.ObserveThrottled, OnSizeRejected: limits.ObserveLowerSizeLimit,
-		JobCountWarning: jobCountWarning(p.Resources),
-	})
-	msh := peer.Start(ctx, peer.Options{Config: cfg, Dial: to.peers, FreshAsOf: led.FreshAsOf})
-	var placer *scheduler.Scheduler
-	rep := heartbeat.Start(ctx, heartbeat.Options{Config: cfg, Cache: led, Routes: heartbeat.Routes{
-		FreshPeer: msh.FreshPeer, Isolated: msh.Isolated, SendEvidence: msh.SendEvidence,
-		ApplyEvidence: func(n reconcile.Evidence, wait time.Duration) { placer.HandleEvidence(n, wait) },
-	}})
-	placer = scheduler.Start(ctx, scheduler.Options{
-		Config: cfg, Incarnation: boot, Cache: led, Workers: to.workers, OnCommandResponse: rep.HandleCommandResponse, StoreLimits: limits, Overload: load,
-	})
-	front := apiserver.Start(ctx, apiserver.Options{Config: cfg, Cache: led, Heartbeats: rep, Peers: msh, StoreLimits: limits, Overload: load})
-	renter := autoscaler.Start(ctx, autoscaler.Options{
-		Config: cfg, Incarnation: boot, Cache: led, Cloud: to.cloud, Prober: to.workers, OnProbeResponse: rep.HandleCommandResponse, StoreLimits: limits, Overload: load,
-	})
-	rep.OnReachable(msh.AnnounceReachable)
-	rep.OnReachable(renter.MachinesReachable)
-	handlers := peer.Handlers{
-		Reachable: func(_ string, machines []wire.MachineID) { renter.MachinesReachable(machines) },
-		Evidence:  func(evidence reconcile.Evidence) { placer.HandleEvidence(evidence, 0) },
-	}
-	elect := election.Start(ctx, to.state, led, election.Options{
-		MemberName: cfg.MemberName, Incarnation: boot, LeaseTTL: p.Workers.Heartbeats(ops.MemberLeaseHeartbeats),
-		Teams: teams(p.Teams), MaxTxnOps: p.Store.TxnOpsLimit(), ChunkTasks: chunk, Capabilities: capabilities(ops),
-	})
-	catalog := cloud.NewCatalog(ctx, to.cloud)
-	catalog.Subscribe(front.SetMachineTypes)
-	catalog.Subscribe(placer.SetMachineTypes)
-	catalog.Subscribe(renter.SetMachineTypes)
-	n := node{
-		server:   front,
-		mesh:     msh,
-		election: elect,
-		actors:   []*actor.Actor{led.Actor, msh.Actor, rep.Actor, placer.Actor, front.Actor, renter.Actor, elect.Actor, catalog.Actor},
-	}
-	if ops.ZoneRecovery != nil {
-		zones := zonecontrol.Start(ctx, cfg, boot, led, placer)
-		placer.SetAdvisor(recovery.NewAdvisor(cfg))
-		renter.SetZoneRecovery(recovery.NewScalingPolicy(cfg), zones.PoolExhausted)
-		rep.OnReachable(func(machines []wire.MachineID) { zones.MachinesReachable(cfg.MemberName, machines) })
-		handlers.Reachable = func(member string, machines []wire.MachineID) {
-			renter.MachinesReachable(machines)
-			zones.MachinesReachable(member, machines)
-		}
-		catalog.Subscribe(zones.SetMachineTypes)
-		n.zones = zones
-		n.actors = append(n.actors, zones.Actor)
-	}
-	if ops.Standby != nil {
-		n.standby = standby.Start(ctx, cfg, boot, led, elect)
-		handlers.FailureDetection = &peer.FailureDetection{Incarnation: boot, Interval: ops.Standby.HeartbeatInterval(p.Workers), Observer: n.standby}
-		n.actors = append(n.actors, n.standby.Actor)
-	}
-	go catalog.Run(ctx, 12*ops.PlanningInterval, report/3)
-	msh.Run(ctx, handlers)
-	led.Run()
-	return n
-}
-
-// peerHandler answers other controllers and operators: users' requests that are passed
-// on, and the status of what is switched on.
-func (n *node) peerHandler() http.Handler {
-	router := chi.NewRouter()
-	if n.zones != nil {
-		router.Method(http.MethodGet, zonecontrol.StatusPath, n.zones)
-	}
-	if n.standby != nil {
-		router.Method(http.MethodGet, standby.StatusPath, n.standby)
+// newClientServer is the HTTP server for users, workers and health checks.
+func newClientServer(cfg *config.Config, handler http.Handler, connections *connlimit.Limiter) *http.Server {
+	return &http.Server{
+		Handler:           connections.Handler(handler),
+		ConnState:         connections.ConnState,
+		ReadHeaderTimeout: 4 * cfg.Params.Workers.HeartbeatInterval,
+		ErrorLog:          slog.NewLogLogger(slog.Default().Handler(), slog.LevelDebug),
 	}
-	router.Mount("/", n.server.Handler())
-	return router
 }
 
-// capabilities are what the settings switch on that other members must know of.
-func capabilities(ops config.OperatorSettings) []string {
-	if ops.ZoneRecovery == nil {
-		return nil
+// resignOnSignal hands this controller's roles over when the platform asks it to end, and then
+// closes its server. It does not wait for longer than timeout: what was not handed over, others
+// take over after a failover.
+func resignOnSignal(ctx context.Context, roles *election.Election, server *http.Server, timeout time.Duration) {
+	signalled, stop := signal.NotifyContext(ctx, syscall.SIGTERM)
+	defer stop()
+	<-signalled.Done()
+	if ctx.Err() != nil {
+		return
 	}
-	return []string{statecache.CapabilityZoneRecovery}
-}
-
-// jobMemoryShare is the part of the memory that jobs which are over may take before
-// operators are warned.
-const jobMemoryShare = 0.15
-
-// jobCountWarning is how many jobs that is.
-func jobCountWarning(r config.ControllerResources) int {
-	return int(r.MemoryMB * (1 << 20) * jobMemoryShare / statecache.FinishedJobBytes)
-}
-
-// Shares of the state service's rate that all controllers together use to
-// follow it, and to answer users.
-const (
-	watchShare   = 0.3
-	refreshShare = 0.2
-)
-
-// readPause is the least time between two reads of this controller so that all
-// of them keep to a share of the rate.
-func readPause(cfg *config.Config, share float64) time.Duration {
-	return config.Seconds(float64(len(cfg.Peers)+1) / (cfg.Params.Store.RequestRateLimit() * share))
-}
-
-func teams(ts []config.TeamQuota) []wire.TeamName {
-	var out []wire.TeamName
-	for _, t := range ts {
-		out = append(out, t.Name)
+	resigned := make(chan struct{})
+	roles.Resign(func() { close(resigned) })
+	select {
+	case <-resigned:
+	case <-time.After(timeout):
 	}
-	return out
+	server.Close()
 }
--- a/cmd/lynxledge/sockets.go
+++ b/cmd/lynxledge/sockets.go
@@ -6,7 +6,7 @@
 	"lynxledge/internal/config"
 )
 
-// Parts of a process's sockets. What they leave is for the state service, the cloud,
+// Parts of a process's sockets. What they leave is for the store, the cloud,
 // the other controllers, and connections on their way out.
 const (
 	inboundShare      = 0.45 // users, workers and health checks
--- a/cmd/lynxledge/sockets_test.go
+++ b/cmd/lynxledge/sockets_test.go
@@ -47,7 +47,7 @@
 }
 
 // More machines than a controller has sockets keep their connections open as long as they
-// are let. Each of them is answered in each round of reports, health checks are too, and
+// are let. Each of them is answered in each round of heartbeats, health checks are too, and
 // the sockets that the controller needs for itself stay free.
 func TestMoreMachinesThanSockets(t *testing.T) {
 	const machines, rounds, silentClients = 1400, 3, 100 // a third of 4,000 machines and more
@@ -68,7 +68,7 @@
 			}
 		}
 		var failed atomic.Int64
-		report := func(client *http.Client) {
+		sendHeartbeat := func(client *http.Client) {
 			response, err := client.Post("http://n0:8080/hello", "application/json", bytes.NewReader([]byte("{}")))
 			if err != nil {
 				failed.Add(1)
@@ -82,9 +82,9 @@
 		}
 		for round := range rounds {
 			for i, client := range clients {
-				go report(client)
+				go sendHeartbeat(client)
 				if i%100 == 0 {
-					go report(&http.Client{Timeout: time.Second, Transport: &http.Transport{DialContext: dial, DisableKeepAlives: true}})
+					go sendHeartbeat(&http.Client{Timeout: time.Second, Transport: &http.Transport{DialContext: dial, DisableKeepAlives: true}})
 				}
 				time.Sleep(5 * time.Millisecond)
 			}
@@ -106,7 +106,7 @@
 	})
 }
 
-// The parts of the budget leave sockets for the state service, the cloud and the other
+// The parts of the budget leave sockets for the store, the cloud and the other
 // controllers, however few there are.
 func TestSocketBudgetLeavesAReserve(t *testing.T) {
 	for _, limit := range []int{20, 100, 800, 5000} {
@@ -120,14 +120,14 @@
 // Connections take a bounded part of a small memory, and no fewer are kept for it where
 // there are few sockets anyhow.
 func TestSocketBudgetKeepsToTheMemory(t *testing.T) {
-	roomy := newSocketBudget(config.ControllerResources{FileDescriptorLimit: 4000, MemoryMB: 1000})
+	ample := newSocketBudget(config.ControllerResources{FileDescriptorLimit: 4000, MemoryMB: 1000})
 	small := newSocketBudget(config.ControllerResources{FileDescriptorLimit: 4000, MemoryMB: 70})
 	used := float64(small.inbound*inboundBytes+small.idleCommands*idleCommandBytes) / (70 << 20)
 	if used > inboundMemoryShare+idleCommandMemoryShare {
 		t.Errorf("connections take %.2f of 70 MB", used)
 	}
-	if small.inbound >= roomy.inbound || small.idleCommands >= roomy.idleCommands {
-		t.Errorf("%+v with 70 MB, %+v with 1000", small, roomy)
+	if small.inbound >= ample.inbound || small.idleCommands >= ample.idleCommands {
+		t.Errorf("%+v with 70 MB, %+v with 1000", small, ample)
 	}
 	few := config.ControllerResources{FileDescriptorLimit: 800, MemoryMB: 49}
 	if got, want := newSocketBudget(few), newSocketBudget(config.ControllerResources{FileDescriptorLimit: 800}); got != want {
--- a/cmd/lynxledge/standby.go
+++ b/cmd/lynxledge/standby.go
@@ -12,10 +12,10 @@
 	"lynxledge/internal/standby"
 )
 
-// standbyCommand prints what a controller thinks of the others.
+// standbyCommand prints a controller's verdicts on the others.
 func standbyCommand() *cobra.Command {
 	var endpoint string
-	c := &cobra.Command{
+	command := &cobra.Command{
 		Use:   "standby --endpoint HOST:PORT",
 		Short: "Print who stands by for the leader, and what a controller thinks of the others",
 		Args:  cobra.NoArgs,
@@ -27,24 +27,26 @@
 			return printStandby(cmd.OutOrStdout(), status, time.Now())
 		},
 	}
-	c.Flags().StringVar(&endpoint, "endpoint", "", "mesh `address` of a controller (mesh_addr in its settings)")
-	_ = c.MarkFlagRequired("endpoint") // the flag exists
-	return c
+	command.Flags().StringVar(&endpoint, "endpoint", "", "mesh `address` of a controller (mesh_addr in its settings)")
+	_ = command.MarkFlagRequired("endpoint") // the flag exists
+	return command
 }
 
-func printStandby(out io.Writer, s *standby.Status, now time.Time) error {
-	fmt.Fprintf(out, "as %s sees it; leader: %s; places: %s; stand by: %s\n", s.Member, orNone(s.Leader), orNone(s.Placer), strings.Join(s.StandsBy, ", "))
-	if s.Last.What != "" {
-		fmt.Fprintf(out, "last takeover: %s of %s, %s ago: %s\n", s.Last.What, s.Last.Member, sinceText(s.Last.At, now), s.Last.Reason)
+func printStandby(out io.Writer, status *standby.Status, now time.Time) error {
+	fmt.Fprintf(out, "as %s sees it; leader: %s; places: %s; stand by: %s\n",
+		status.Member, orNone(status.Leader), orNone(status.Placer), strings.Join(status.StandsBy, ", "))
+	if last := status.Last; last.What != "" {
+		fmt.Fprintf(out, "last takeover: %s of %s, %s ago: %s\n", last.What, last.Member, sinceText(last.At, now), last.Reason)
 	}
-	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(w, "\nCONTROLLER\tLEVEL\tSILENT\tCONNECTIONS\tREFUTED\tHELD")
-	for _, o := range s.Others {
+	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
+	fmt.Fprintln(table, "\nCONTROLLER\tLEVEL\tSILENT\tCONNECTIONS\tREFUTED\tHELD")
+	for _, other := range status.Others {
 		held := "-"
-		if o.HeldUntil.After(now) {
-			held = o.HeldUntil.Sub(now).Round(time.Second).String()
+		if other.HeldUntil.After(now) {
+			held = other.HeldUntil.Sub(now).Round(time.Second).String()
 		}
-		fmt.Fprintf(w, "%s\t%s\t%.1f s\t%d\t%d\t%s\n", o.Member, o.Level, float64(o.SilentMS)/1000, o.Connections, o.Refuted, held)
+		fmt.Fprintf(table, "%s\t%s\t%.1f s\t%d\t%d\t%s\n",
+			other.Member, other.Level, float64(other.SilentMS)/1000, other.Connections, other.Refuted, held)
 	}
-	return w.Flush()
+	return table.Flush()
 }
--- a/cmd/lynxledge/world_test.go
+++ b/cmd/lynxledge/world_test.go
@@ -196,17 +196,29 @@
 			cfg.Peers = append(cfg.Peers, config.Peer{Name: other, Zone: w.zoneOf(other), Address: other + ":8081"})
 		}
 	}
-	n := assemble(ctx, &cfg, w.rng.Uint64()>>1, connections{
-		state:   &simulation.StoreConn{Store: w.state, Net: w.net, Node: name, Timeout: 1500 * time.Millisecond},
-		cloud:   &simulation.CloudConn{Cloud: w.cloud, Net: w.net, Node: name, Timeout: 4 * time.Second, World: w.ctx},
-		workers: &simulation.WorkerConn{Cloud: w.cloud, Net: w.net, Node: name, Timeout: 3 * time.Second},
-		peers:   w.pipes.Dial(name),
+	c := assemble(ctx, &cfg, w.rng.Uint64()>>1, clients{
+		store:    &simulation.StoreConn{Store: w.state, Net: w.net, Node: name, Timeout: 1500 * time.Millisecond},
+		cloud:    &simulation.CloudConn{Cloud: w.cloud, Net: w.net, Node: name, Timeout: 4 * time.Second, World: w.ctx},
+		workers:  &simulation.WorkerConn{Cloud: w.cloud, Net: w.net, Node: name, Timeout: 3 * time.Second},
+		dialPeer: w.pipes.Dial(name),
 	})
-	w.peerDoors[name] = n.peerHandler()
-	go n.mesh.Serve(ctx, w.pipes.Listen(name, cfg.PeerListenAddress), w.peerDoors[name])
-	w.nodeActors[name] = n.actors
+	w.peerDoors[name] = c.peerHandler()
+	go c.transport.Serve(ctx, w.pipes.Listen(name, cfg.PeerListenAddress), w.peerDoors[name])
+	w.nodeActors[name] = c.actors()
 	w.up[name] = cancel
-	w.doors.set(name, n.server.Handler())
+	w.doors.set(name, c.apiServer.Handler())
+}
+
+// actors are those of a controller that own state.
+func (c *controller) actors() []*actor.Actor {
+	actors := []*actor.Actor{c.cache.Actor, c.transport.Actor, c.receiver.Actor, c.scheduler.Actor, c.apiServer.Actor, c.autoscaler.Actor, c.election.Actor, c.catalog.Actor}
+	if c.zoneController != nil {
+		actors = append(actors, c.zoneController.Actor)
+	}
+	if c.standby != nil {
+		actors = append(actors, c.standby.Actor)
+	}
+	return actors
 }
 
 // zoneOf is the zone of a controller, or none if it has no zone of its own.
--- a/cmd/lynxledge/zones.go
+++ b/cmd/lynxledge/zones.go
@@ -14,13 +14,13 @@
 	"lynxledge/internal/zonecontrol"
 )
 
-// statusTimeout bounds a question to a controller.
+// statusTimeout bounds the request for a status page.
 const statusTimeout = 5 * time.Second
 
 // zonesCommand prints what a controller knows of the zones.
 func zonesCommand() *cobra.Command {
 	var endpoint string
-	c := &cobra.Command{
+	command := &cobra.Command{
 		Use:   "zones --endpoint HOST:PORT",
 		Short: "Print the state of the zones, and what waits for their recovery",
 		Args:  cobra.NoArgs,
@@ -32,12 +32,12 @@
 			return printZones(cmd.OutOrStdout(), status, time.Now())
 		},
 	}
-	c.Flags().StringVar(&endpoint, "endpoint", "", "mesh `address` of a controller (mesh_addr in its settings)")
-	_ = c.MarkFlagRequired("endpoint") // the flag exists
-	return c
+	command.Flags().StringVar(&endpoint, "endpoint", "", "mesh `address` of a controller (mesh_addr in its settings)")
+	_ = command.MarkFlagRequired("endpoint") // the flag exists
+	return command
 }
 
-// fetchStatus reads a status page of a controller. Its mesh address speaks HTTP/2 alone.
+// fetchStatus reads a status page of a controller. Its peer address speaks HTTP/2 alone.
 func fetchStatus(ctx context.Context, endpoint, path string, status any) error {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
@@ -63,25 +63,26 @@
 	return fmt.Errorf("%s: %s", endpoint, response.Status)
 }
 
-func printZones(out io.Writer, s *zonecontrol.Status, now time.Time) error {
-	fmt.Fprintf(out, "as %s sees it; leader: %s; all members know the record: %v\n\n", s.Member, orNone(s.Leader), s.Recorded)
-	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(w, "ZONE\tPHASE\tSINCE\tSERVICES\tARRAYS\tLOSSES\tEVIDENCE")
-	for _, z := range s.Zones {
-		evidence := z.Now
-		if z.Evidence != "" {
-			evidence = fmt.Sprintf("%s (at the change: %s)", z.Now, z.Evidence)
+func printZones(out io.Writer, status *zonecontrol.Status, now time.Time) error {
+	fmt.Fprintf(out, "as %s sees it; leader: %s; all members know the record: %v\n\n", status.Member, orNone(status.Leader), status.Recorded)
+	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
+	fmt.Fprintln(table, "ZONE\tPHASE\tSINCE\tSERVICES\tARRAYS\tLOSSES\tEVIDENCE")
+	for _, zone := range status.Zones {
+		evidence := zone.Now
+		if zone.Evidence != "" {
+			evidence = fmt.Sprintf("%s (at the change: %s)", zone.Now, zone.Evidence)
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%.0f%%\t%.0f%%\t%d\t%s\n",
-			z.Zone, z.Phase, sinceText(z.Since, now), 100*z.AdmittedServices, 100*z.AdmittedArrays, z.Losses, evidence)
+		fmt.Fprintf(table, "%s\t%s\t%s\t%.0f%%\t%.0f%%\t%d\t%s\n",
+			zone.Zone, zone.Phase, sinceText(zone.Since, now), 100*zone.AdmittedServices, 100*zone.AdmittedArrays, zone.Losses, evidence)
 	}
-	if len(s.Services) > 0 {
-		fmt.Fprintln(w, "\nSERVICE\tCLASS\tWAITING\tAT RISK\tHAVE ROOM\tWAITS FOR")
+	if len(status.Services) > 0 {
+		fmt.Fprintln(table, "\nSERVICE\tCLASS\tWAITING\tAT RISK\tHAVE ROOM\tWAITS FOR")
 	}
-	for _, v := range s.Services {
-		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%s\n", v.Service, v.Class, v.Waiting, v.AtRisk, v.Placeable, orNone(v.WaitsFor))
+	for _, service := range status.Services {
+		fmt.Fprintf(table, "%s\t%s\t%d\t%d\t%d\t%s\n",
+			service.Service, service.Class, service.Waiting, service.AtRisk, service.Placeable, orNone(service.WaitsFor))
 	}
-	return w.Flush()
+	return table.Flush()
 }
 
 func orNone(s string) string {
--- a/internal/connlimit/connlimit.go
+++ b/internal/connlimit/connlimit.go
@@ -26,7 +26,7 @@
 	maxReuse int
 
 	mu   sync.Mutex
-	open map[net.Conn]*list.Element // its place in idle; nil while a request is served
+	open map[net.Conn]*list.Element // its element of idle; nil while a request is served
 	idle *list.List                 // of net.Conn; the one idle longest is in front
 }
 
@@ -47,7 +47,7 @@
 	}
 }
 
-// track takes a change over, and returns the connection to close for it, or nil. The
+// track follows a change, and returns the connection to close for it, or nil. The
 // server reports that connection as closed afterwards, like any other.
 func (l *Limiter) track(conn net.Conn, state http.ConnState) (surplus net.Conn) {
 	l.mu.Lock()
@@ -72,8 +72,8 @@
 
 // removeIdle takes a connection off the list of idle ones, if it is there.
 func (l *Limiter) removeIdle(conn net.Conn) {
-	if place := l.open[conn]; place != nil {
-		l.idle.Remove(place)
+	if element := l.open[conn]; element != nil {
+		l.idle.Remove(element)
 		l.open[conn] = nil
 	}
 }
--- a/internal/overload/overload.go
+++ b/internal/overload/overload.go
@@ -1,8 +1,8 @@
 // Package overload tells when a process gets less processor time than its work needs.
 //
-// What can wait then does: planning first, then the search for places that other work
-// holds, then new submissions, whose users are told when to come back. Health checks,
-// answers to workers, cancellations and the election go on.
+// What can wait then does: planning first, then the search for preemption victims, then new
+// submissions, whose users are told when to come back. Health checks, responses to workers,
+// cancellations and the election go on.
 package overload
 
 import (
@@ -23,45 +23,45 @@
 	Overloaded
 )
 
-// Parts of the workers' report interval by which timers fire late, and which share of
-// it passes between two looks.
+// Shares of the workers' heartbeat interval: the lateness of timers at which a level begins, and
+// the time between two checks.
 const (
 	behindLatenessShare     = 1.0 / 20
 	overloadedLatenessShare = 1.0 / 8
 	checkIntervalShare      = 1.0 / 20
 )
 
-// calmChecksToRecover is for how many looks in a row timers have to fire in time before a level
+// calmChecksToRecover is for how many checks in a row timers have to fire in time before a level
 // is left: load comes in waves.
 const calmChecksToRecover = 10
 
-// Gauge watches how late timers fire. The nil Gauge is always at Normal.
+// Gauge measures how late timers fire. The nil Gauge is always at Normal.
 type Gauge struct {
-	report     time.Duration
-	level      atomic.Int32
-	calmChecks int // looks since the level was reached last
+	heartbeatInterval time.Duration
+	level             atomic.Int32
+	calmChecks        int // since the level was reached last; of the measuring goroutine alone
 }
 
-// Start watches until ctx ends. report is the workers' report interval.
-func Start(ctx context.Context, report time.Duration) *Gauge {
-	g := &Gauge{report: report}
-	go g.watch(ctx)
+// Start measures until ctx ends. The workers' heartbeat interval is the scale for lateness.
+func Start(ctx context.Context, heartbeatInterval time.Duration) *Gauge {
+	g := &Gauge{heartbeatInterval: heartbeatInterval}
+	go g.measure(ctx)
 	return g
 }
 
-func (g *Gauge) watch(ctx context.Context) {
-	pause := time.Duration(checkIntervalShare * float64(g.report))
+func (g *Gauge) measure(ctx context.Context) {
+	interval := time.Duration(checkIntervalShare * float64(g.heartbeatInterval))
 	for ctx.Err() == nil {
-		due := time.Now().Add(pause)
-		time.Sleep(pause)
+		due := time.Now().Add(interval)
+		time.Sleep(interval)
 		g.observe(time.Since(due))
 	}
 }
 
 // observe takes note of how late a timer fired.
-func (g *Gauge) observe(late time.Duration) {
+func (g *Gauge) observe(lateness time.Duration) {
 	level := Normal
-	switch share := float64(late) / float64(g.report); {
+	switch share := float64(lateness) / float64(g.heartbeatInterval); {
 	case share > overloadedLatenessShare:
 		level = Overloaded
 	case share > behindLatenessShare:
--- a/internal/overload/overload_test.go
+++ b/internal/overload/overload_test.go
@@ -7,9 +7,9 @@
 
 // The level follows the latest timers at once upwards, and downwards only after a while.
 func TestLevels(t *testing.T) {
-	const report = 8 * time.Second
-	late := func(part float64) time.Duration { return time.Duration(part * float64(report)) }
-	g := &Gauge{report: report}
+	const heartbeatInterval = 8 * time.Second
+	late := func(share float64) time.Duration { return time.Duration(share * float64(heartbeatInterval)) }
+	g := &Gauge{heartbeatInterval: heartbeatInterval}
 	expect := func(want Level, after string) {
 		t.Helper()
 		if got := g.Level(); got != want {
