--- a/internal/apiserver/submit.go
+++ b/internal/apiserver/submit.go
@@ -41,13 +41,11 @@
 	} else {
 		err = s.checkAdmission(ctx, job)
 	}
-	var refused *refusal
-	switch {
-	case err == nil:
+	if err == nil {
 		s.accept(ctx, w, r, job, body)
-	case errors.As(err, &refused):
+	} else if refused, ok := errors.AsType[*refusal](err); ok {
 		s.refuseUnlessRepeat(ctx, w, r, id, body, refused)
-	default:
+	} else {
 		s.forwardToPeer(ctx, w, r, body)
 	}
 }
