--- a/cmd/lynxledge/takeover_measure_test.go
+++ b/cmd/lynxledge/takeover_measure_test.go
@@ -61,7 +61,7 @@
 		case *statecache.Assignment:
 			note(&k.handed, rec.Member != k.dead)
 		case *statecache.ProvisioningIntent:
-			note(&k.rented, rec.RequestedAt >= k.begun.UnixMilli())
+			note(&k.rented, rec.RequestedAt >= statecache.TimestampOf(k.begun))
 		case *statecache.MachineGroup:
 			for _, m := range rec.Machines {
 				for i := range m.Bindings {
--- a/internal/apiserver/bench_test.go
+++ b/internal/apiserver/bench_test.go
@@ -61,7 +61,7 @@
 		time.Sleep(10 * time.Millisecond)
 	}
 	l.Commit(statecache.Commit{Puts: []statecache.Put{
-		{Key: statecache.Key(statecache.KindJob, "req-000001"), Record: &statecache.Job{TaskCount: 80, SubmittedAt: time.Now().UnixMilli(), Spec: spec}},
+		{Key: statecache.Key(statecache.KindJob, "req-000001"), Record: &statecache.Job{TaskCount: 80, SubmittedAt: statecache.TimestampOf(time.Now()), Spec: spec}},
 		{Key: statecache.Key(statecache.KindMachineGroup, "g"), Record: &statecache.MachineGroup{MachineType: "s", Zone: "a", Machines: []*statecache.Machine{machine}}},
 	}}, func(out statecache.Outcome) { loaded <- out })
 	if out := <-loaded; out != statecache.Committed {
--- a/internal/apiserver/server.go
+++ b/internal/apiserver/server.go
@@ -266,7 +266,7 @@
 		key := statecache.Key(statecache.KindJob, string(id))
 		out, ok := f.commit(ctx, statecache.Commit{
 			Preconditions: []wire.Precondition{{Key: key, ModRevision: l.job.ModRevision}},
-			Puts:          []statecache.Put{{Key: key, Record: l.job.Cancelled(time.Now().UnixMilli())}},
+			Puts:          []statecache.Put{{Key: key, Record: l.job.Cancelled(statecache.TimestampOf(time.Now()))}},
 			RetryFor:      retryAfter,
 		})
 		if ok && out == statecache.Committed {
--- a/internal/apiserver/submit.go
+++ b/internal/apiserver/submit.go
@@ -187,7 +187,7 @@
 	}
 	out, ok := f.commit(ctx, statecache.Commit{
 		Preconditions: []wire.Precondition{{Key: key}},
-		Puts:          []statecache.Put{{Key: key, Record: &statecache.Job{Spec: j, TaskCount: j.TaskCount, SubmittedAt: time.Now().UnixMilli()}}},
+		Puts:          []statecache.Put{{Key: key, Record: &statecache.Job{Spec: j, TaskCount: j.TaskCount, SubmittedAt: statecache.TimestampOf(time.Now())}}},
 		RetryFor:      retryAfter,
 	})
 	switch {
--- a/internal/autoscaler/autoscaler_test.go
+++ b/internal/autoscaler/autoscaler_test.go
@@ -48,7 +48,7 @@
 		l.Commit(statecache.Commit{Puts: []statecache.Put{
 			{Key: statecache.LeaderKey, Record: &statecache.Leader{Member: "n0", Incarnation: 7, Term: 1}},
 			{Key: statecache.TermKey, Record: &statecache.Term{Number: 1}},
-			{Key: statecache.Key(statecache.KindJob, "req-000001"), Record: &statecache.Job{TaskCount: 1, SubmittedAt: time.Now().UnixMilli(), Spec: &wire.Job{
+			{Key: statecache.Key(statecache.KindJob, "req-000001"), Record: &statecache.Job{TaskCount: 1, SubmittedAt: statecache.TimestampOf(time.Now()), Spec: &wire.Job{
 				ID: "req-000001", Team: "red", Kind: wire.KindService, Priority: wire.PriorityProduction, TaskCount: 1, CPUs: 4, MemoryGB: 1,
 			}}},
 		}}, func(statecache.Outcome) {})
@@ -87,12 +87,12 @@
 	lead(t, 0, func(l *statecache.Cache, _ *simulation.Cloud, r *Autoscaler) {
 		group := func(m wire.MachineID, tasks ...statecache.TaskBinding) statecache.Put {
 			return statecache.Put{Key: statecache.Key(statecache.KindMachineGroup, "g."+string(m)), Record: &statecache.MachineGroup{
-				MachineType: "s", Zone: "a", ProvisionedAt: time.Now().UnixMilli(),
+				MachineType: "s", Zone: "a", ProvisionedAt: statecache.TimestampOf(time.Now()),
 				Machines: []*statecache.Machine{{Name: m, Address: "x:1", Incarnation: 1, Bindings: tasks}},
 			}}
 		}
 		c := statecache.Commit{Puts: []statecache.Put{
-			{Key: statecache.Key(statecache.KindJob, "req-000002"), Record: &statecache.Job{TaskCount: 1, SubmittedAt: time.Now().UnixMilli(), Spec: &wire.Job{
+			{Key: statecache.Key(statecache.KindJob, "req-000002"), Record: &statecache.Job{TaskCount: 1, SubmittedAt: statecache.TimestampOf(time.Now()), Spec: &wire.Job{
 				ID: "req-000002", Team: "red", Kind: wire.KindArray, TaskCount: 1, CPUs: 4, MemoryGB: 1, EstimatedRuntime: 500,
 			}}},
 			group("i-8", statecache.TaskBinding{Job: "req-000002", Attempt: 1}),
@@ -136,7 +136,7 @@
 	dear := wire.MachineType{Name: "l", CPUs: 16, MemoryGB: 64, HourlyPrice: 5, BootTime: 25, Zones: []wire.Zone{"a"}}
 	lead(t, 2, func(l *statecache.Cache, c *simulation.Cloud, r *Autoscaler) {
 		job := func(id wire.JobID, tasks int, types ...string) statecache.Put {
-			return statecache.Put{Key: statecache.Key(statecache.KindJob, string(id)), Record: &statecache.Job{TaskCount: tasks, SubmittedAt: time.Now().UnixMilli(), Spec: &wire.Job{
+			return statecache.Put{Key: statecache.Key(statecache.KindJob, string(id)), Record: &statecache.Job{TaskCount: tasks, SubmittedAt: statecache.TimestampOf(time.Now()), Spec: &wire.Job{
 				ID: id, Team: "red", Kind: wire.KindService, Priority: wire.PriorityProduction, TaskCount: tasks, CPUs: 4, MemoryGB: 1, MachineTypes: types,
 			}}}
 		}
--- a/internal/autoscaler/instances.go
+++ b/internal/autoscaler/instances.go
@@ -76,8 +76,11 @@
 		group := statecache.AdoptedGroupName(id)
 		key := statecache.Key(statecache.KindMachineGroup, group)
 		c.Preconditions = append(c.Preconditions, wire.Precondition{Key: key})
-		rentedAt := now.UnixMilli() - int64(float64(h.Age)*1000)
-		record := statecache.NewMachineGroup(group, h.MachineType, h.Zone, h.Spot, rentedAt, []wire.MachineID{id}, statecache.FirstToken(r.term))
+		provisionedAt := statecache.TimestampOf(now) - statecache.Timestamp(float64(h.Age)*1000)
+		record := statecache.NewMachineGroup(statecache.GroupOptions{
+			Name: group, MachineType: h.MachineType, Zone: h.Zone, Spot: h.Spot, ProvisionedAt: provisionedAt,
+			Machines: []wire.MachineID{id}, FencingToken: statecache.FirstToken(r.term),
+		})
 		c.Puts = append(c.Puts, statecache.Put{Key: key, Record: record})
 	}
 	if len(c.Puts) > 0 {
--- a/internal/autoscaler/planning_input.go
+++ b/internal/autoscaler/planning_input.go
@@ -67,7 +67,7 @@
 			return
 		}
 		// The first deadline that a machine rented now can still keep.
-		age, due := config.Milliseconds(now.UnixMilli()-j.RunnableSince()), time.Duration(0)
+		age, due := config.Milliseconds(int64(statecache.TimestampOf(now)-j.RunnableSince())), time.Duration(0)
 		runSeconds := r.runtimes.Estimate(j.Spec)
 		run := config.Seconds(runSeconds)
 		deadlines := estimate.Deadlines(r.config, j, run, age, age+wait)
@@ -168,7 +168,7 @@
 	if j.Spec.Deadline == nil {
 		return
 	}
-	end := float64(now.UnixMilli()-j.SubmittedAt)/1000 + h.Wait + r.runtimes.Estimate(j.Spec)
+	end := float64(statecache.TimestampOf(now)-j.SubmittedAt)/1000 + h.Wait + r.runtimes.Estimate(j.Spec)
 	late := end - float64(*j.Spec.Deadline)
 	by := wire.JobID("")
 	if late > 0 {
--- a/internal/autoscaler/planning_input_test.go
+++ b/internal/autoscaler/planning_input_test.go
@@ -24,7 +24,7 @@
 	last := &statecache.Job{
 		Spec:        &wire.Job{ID: "req-000009", Class: "publish", Kind: wire.KindArray, TaskCount: 1, EstimatedRuntime: 10, Deadline: &due},
 		TaskCount:   1,
-		SubmittedAt: now.UnixMilli(),
+		SubmittedAt: statecache.TimestampOf(now),
 		Blocked:     true,
 	}
 	r := &Autoscaler{
--- a/internal/autoscaler/provision.go
+++ b/internal/autoscaler/provision.go
@@ -55,7 +55,7 @@
 	name := fmt.Sprintf("r-%d-%d", r.term, r.provisionCount)
 	intent := &statecache.ProvisioningIntent{
 		MachineType: want.MachineType, Zone: want.Zone, Spot: want.Spot,
-		Count: want.Count, TasksPerMachine: want.Tasks, RequestedAt: time.Now().UnixMilli(),
+		Count: want.Count, TasksPerMachine: want.Tasks, RequestedAt: statecache.TimestampOf(time.Now()),
 	}
 	key := statecache.Key(statecache.KindProvisioningIntent, name)
 	r.provisioning[name] = want.Pool
@@ -139,7 +139,7 @@
 
 // isBootOverdue tells whether a machine has been starting for longer than is usual.
 func (r *Autoscaler) isBootOverdue(b *statecache.Machine, now time.Time) bool {
-	return b.Incarnation == 0 && now.Sub(time.UnixMilli(b.ProvisionedAt)) > config.Seconds(scheduler.UsualBootFactor*r.bootSeconds(b.MachineType))
+	return b.Incarnation == 0 && now.Sub(b.ProvisionedAt.Time()) > config.Seconds(scheduler.UsualBootFactor*r.bootSeconds(b.MachineType))
 }
 
 // exhaustionCycles is for how many passes a pool that ran short is left alone.
@@ -171,12 +171,15 @@
 		group := fmt.Sprintf("%s.%s", name, rest[0])
 		bind := statecache.Key(statecache.KindMachineGroup, group)
 		c.Preconditions = append(c.Preconditions, wire.Precondition{Key: bind})
-		c.Puts = append(c.Puts, statecache.Put{Key: bind, Record: statecache.NewMachineGroup(group, intent.MachineType, intent.Zone, intent.Spot, intent.RequestedAt, rest[:n], statecache.FirstToken(r.term))})
+		c.Puts = append(c.Puts, statecache.Put{Key: bind, Record: statecache.NewMachineGroup(statecache.GroupOptions{
+			Name: group, MachineType: intent.MachineType, Zone: intent.Zone, Spot: intent.Spot, ProvisionedAt: intent.RequestedAt,
+			Machines: rest[:n], FencingToken: statecache.FirstToken(r.term),
+		})})
 		rest = rest[n:]
 	}
 	next := *intent
 	if len(rest) == 0 && left > 0 {
-		next.Count, next.Batch, next.RequestedAt = left, intent.Batch+1, time.Now().UnixMilli()
+		next.Count, next.Batch, next.RequestedAt = left, intent.Batch+1, statecache.TimestampOf(time.Now())
 	}
 	if len(rest) > 0 || left > 0 {
 		c.Puts = append(c.Puts, statecache.Put{Key: key, Record: &next})
--- a/internal/autoscaler/unreachable.go
+++ b/internal/autoscaler/unreachable.go
@@ -107,7 +107,7 @@
 
 // checkBootTimeout returns a machine that was started long ago and never reported.
 func (r *Autoscaler) checkBootTimeout(now time.Time, m wire.MachineID, b *statecache.Machine) {
-	if age := now.Sub(time.UnixMilli(b.ProvisionedAt)); age > config.Seconds(r.bootSeconds(b.MachineType)*r.config.Operator.BootTimeoutMultiple) {
+	if age := now.Sub(b.ProvisionedAt.Time()); age > config.Seconds(r.bootSeconds(b.MachineType)*r.config.Operator.BootTimeoutMultiple) {
 		r.scaleIn(m, "never came up")
 	}
 }
--- a/internal/autoscaler/updates.go
+++ b/internal/autoscaler/updates.go
@@ -226,7 +226,7 @@
 		}
 		if b := r.view.Machines[m]; b != nil && e.scaleIn {
 			slog.Info("returning machine", "machine", m, "why", e.drainReason, "tasks", len(b.Bindings),
-				"age_s", (time.Now().UnixMilli()-b.ProvisionedAt)/1000, "type", b.MachineType, "zone", b.Zone, "spot", b.Spot)
+				"age_s", (statecache.TimestampOf(time.Now())-b.ProvisionedAt)/1000, "type", b.MachineType, "zone", b.Zone, "spot", b.Spot)
 		}
 	}
 }
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -131,7 +131,7 @@
 	me := e.view.Members[e.options.MemberName]
 	if me == nil || me.Incarnation != e.options.Incarnation {
 		e.commit(statecache.Commit{
-			Puts: []statecache.Put{{Key: statecache.Key(statecache.KindMember, e.options.MemberName), Record: statecache.Member{Incarnation: e.options.Incarnation, Capabilities: e.options.Capabilities}, LeaseID: e.leaseID}},
+			Puts: []statecache.Put{{Key: statecache.Key(statecache.KindMember, e.options.MemberName), Record: &statecache.Member{Incarnation: e.options.Incarnation, Capabilities: e.options.Capabilities}, LeaseID: e.leaseID}},
 		}, nil)
 		return
 	}
@@ -164,8 +164,8 @@
 	e.commit(statecache.Commit{
 		Preconditions: []wire.Precondition{{Key: statecache.LeaderKey, ModRevision: leader}, {Key: statecache.TermKey, ModRevision: term}},
 		Puts: []statecache.Put{
-			{Key: statecache.LeaderKey, Record: statecache.Leader{Member: e.options.MemberName, Incarnation: e.options.Incarnation, Term: next}, LeaseID: e.leaseID},
-			{Key: statecache.TermKey, Record: statecache.Term{Number: next}},
+			{Key: statecache.LeaderKey, Record: &statecache.Leader{Member: e.options.MemberName, Incarnation: e.options.Incarnation, Term: next}, LeaseID: e.leaseID},
+			{Key: statecache.TermKey, Record: &statecache.Term{Number: next}},
 		},
 	}, func() { slog.Info("leading", "term", next) })
 }
@@ -205,7 +205,7 @@
 		}
 		key := statecache.Key(statecache.KindAssignment, string(team))
 		c.Preconditions = append(c.Preconditions, wire.Precondition{Key: key, ModRevision: stamp})
-		c.Puts = append(c.Puts, statecache.Put{Key: key, Record: statecache.Assignment{Member: member, Incarnation: e.view.Members[member].Incarnation}})
+		c.Puts = append(c.Puts, statecache.Put{Key: key, Record: &statecache.Assignment{Member: member, Incarnation: e.view.Members[member].Incarnation}})
 		slog.Info("team handed out", "team", team, "to", member)
 	}
 	if len(c.Puts) > 0 {
--- a/internal/estimate/deadlines.go
+++ b/internal/estimate/deadlines.go
@@ -28,16 +28,16 @@
 			out[i] += start
 		}
 	} else {
-		out = cfg.Deadlines(spec.Class, own, runtime, config.Milliseconds(j.RunnableSince()-j.SubmittedAt))
+		out = cfg.Deadlines(spec.Class, own, runtime, config.Milliseconds(int64(j.RunnableSince()-j.SubmittedAt)))
 	}
 	if j.InheritedDeadline == 0 {
 		return out
 	}
-	due := config.Milliseconds(j.InheritedDeadline - j.RunnableSince())
+	due := config.Milliseconds(int64(j.InheritedDeadline - j.RunnableSince()))
 	from := max(now, start)
 	if due > from {
 		runtimeSeconds := runtime.Seconds()
-		due = from + config.Seconds((due-from).Seconds()*runtimeSeconds/max(runtimeSeconds+j.DownstreamRuntime, 1e-9))
+		due = from + config.Seconds((due-from).Seconds()*runtimeSeconds/max(runtimeSeconds+float64(j.DownstreamRuntime), 1e-9))
 	}
 	if !cfg.HasCompletionObjective(spec.Class) && spec.Deadline == nil {
 		return []time.Duration{due} // nobody else says when
--- a/internal/estimate/deadlines_test.go
+++ b/internal/estimate/deadlines_test.go
@@ -32,7 +32,7 @@
 		whole := tail
 		for i, run := range runs {
 			tail -= run
-			j := &statecache.Job{Spec: &wire.Job{Class: "c"}, InheritedDeadline: int64(1000 * due), DownstreamRuntime: tail}
+			j := &statecache.Job{Spec: &wire.Job{Class: "c"}, InheritedDeadline: statecache.Timestamp(1000 * due), DownstreamRuntime: wire.Seconds(tail)}
 			got := Deadlines(cfg, j, config.Seconds(run), config.Seconds(now), config.Seconds(now))
 			if len(got) != 1 {
 				t.Fatalf("%v", got)
--- a/internal/estimate/runtime.go
+++ b/internal/estimate/runtime.go
@@ -38,11 +38,11 @@
 		if g.Reason != wire.ReasonCompleted || g.Runtime <= 0 || j == nil || j.Spec == nil || j.Spec.EstimatedRuntime <= 0 {
 			continue
 		}
-		off := math.Log(g.Runtime / float64(j.Spec.EstimatedRuntime))
+		off := math.Log(float64(g.Runtime / j.Spec.EstimatedRuntime))
 		off = math.Max(-math.Log(maxCorrection), math.Min(math.Log(maxCorrection), off))
 		e.classCorrections[j.Spec.Class] += smoothing * (off - e.classCorrections[j.Spec.Class])
 		m := e.jobRuntimes[id]
-		e.jobRuntimes[id] = mean{m.sum + g.Runtime, m.n + 1}
+		e.jobRuntimes[id] = mean{m.sum + float64(g.Runtime), m.n + 1}
 	}
 }
 
--- a/internal/estimate/runtime_test.go
+++ b/internal/estimate/runtime_test.go
@@ -25,7 +25,7 @@
 			est := rapid.Float64Range(5, 100).Draw(t, "estimate")
 			jobs[id] = &statecache.Job{Spec: &wire.Job{ID: id, Class: "c", EstimatedRuntime: wire.Seconds(est)}}
 			e.Observe([]statecache.Termination{
-				{Job: id, TaskIndex: 0, Reason: wire.ReasonCompleted, Runtime: est * factor},
+				{Job: id, TaskIndex: 0, Reason: wire.ReasonCompleted, Runtime: wire.Seconds(est * factor)},
 				{Job: id, TaskIndex: 1, Reason: wire.ReasonStopped, Runtime: 1000},
 				{Job: id, TaskIndex: 2, Reason: wire.ReasonCompleted},
 			}, jobs)
--- a/internal/heartbeat/receiver.go
+++ b/internal/heartbeat/receiver.go
@@ -310,7 +310,7 @@
 func (r *Receiver) hasOverdueCancellation(rec *statecache.Machine, now time.Time) bool {
 	for i := range rec.Bindings {
 		j := r.view.Jobs[rec.Bindings[i].Job]
-		if j != nil && j.State == wire.JobCancelled && now.Sub(time.UnixMilli(j.FinishedAt)) > r.renewalWindow() {
+		if j != nil && j.State == wire.JobCancelled && now.Sub(j.FinishedAt.Time()) > r.renewalWindow() {
 			return true
 		}
 	}
--- a/internal/heartbeat/receiver_test.go
+++ b/internal/heartbeat/receiver_test.go
@@ -67,7 +67,7 @@
 		defer cancel()
 		b := newBench(ctx, t,
 			&statecache.Machine{Incarnation: 1, FencingToken: 9, Bindings: []statecache.TaskBinding{{Job: "req-000001", Attempt: 1}}},
-			&statecache.Job{State: wire.JobCancelled, TaskCount: 1, FinishedAt: time.Now().Add(-40 * time.Second).UnixMilli()})
+			&statecache.Job{State: wire.JobCancelled, TaskCount: 1, FinishedAt: statecache.TimestampOf(time.Now().Add(-40 * time.Second))})
 		running := []wire.TaskStatus{{Task: "req-000001/0", Attempt: 1, State: wire.TaskRunning}}
 		if r := b.report(wire.Heartbeat{Incarnation: 1, Sequence: 1, Tasks: running}); r.Accepted {
 			t.Error("lease renewed for work cancelled long ago")
@@ -117,8 +117,8 @@
 		defer cancel()
 		b := newBench(ctx, t, &statecache.Machine{Incarnation: 1, FencingToken: 9, Bindings: []statecache.TaskBinding{{Job: "req-000001", Attempt: 1}}}, &statecache.Job{TaskCount: 9})
 		b.ledger.Commit(statecache.Commit{Puts: []statecache.Put{
-			{Key: statecache.Key(statecache.KindAssignment, "red"), Record: statecache.Assignment{Member: "n1", Incarnation: 4}},
-			{Key: statecache.Key(statecache.KindMember, "n1"), Record: statecache.Member{Incarnation: 4}},
+			{Key: statecache.Key(statecache.KindAssignment, "red"), Record: &statecache.Assignment{Member: "n1", Incarnation: 4}},
+			{Key: statecache.Key(statecache.KindMember, "n1"), Record: &statecache.Member{Incarnation: 4}},
 		}}, func(statecache.Outcome) {})
 		time.Sleep(time.Second)
 		ended := []wire.TaskStatus{{Task: "req-000001/0", Attempt: 1, State: wire.TaskExited, ExitReason: wire.ReasonCompleted}}
--- a/internal/recovery/admission.go
+++ b/internal/recovery/admission.go
@@ -57,7 +57,7 @@
 			Phase:        phase,
 			services:     threshold(order, status.AdmittedShare(policy.Steps, true)),
 			arrays:       threshold(order, status.AdmittedShare(policy.Steps, false)),
-			arraysAnyway: now.Sub(time.UnixMilli(z.Since)) > policy.HoldDownMax,
+			arraysAnyway: now.Sub(z.Since.Time()) > policy.HoldDownMax,
 		}
 	}
 	return out
--- a/internal/recovery/plan_test.go
+++ b/internal/recovery/plan_test.go
@@ -10,6 +10,7 @@
 	"lynxledge/internal/placement"
 	_ "lynxledge/internal/rapidseed"
 	"lynxledge/internal/resources"
+	"lynxledge/internal/statecache"
 
 	"lynxledge/internal/config"
 	"lynxledge/internal/scheduler"
@@ -36,7 +37,7 @@
 	case 2:
 		j.SingleZone, j.SpreadZones = true, false
 	}
-	s := &Service{Job: j, AtRisk: map[wire.Zone]int{}, Zones: placement.ZoneCounts{}, Since: int64(id)}
+	s := &Service{Job: j, AtRisk: map[wire.Zone]int{}, Zones: placement.ZoneCounts{}, Since: statecache.Timestamp(id)}
 	left := j.TaskCount
 	for _, zone := range []wire.Zone{"a", "b", "c"} {
 		if !s.Zones.Allows(j, zone) || j.Zone != "" && j.Zone != zone {
--- a/internal/recovery/scaling_policy.go
+++ b/internal/recovery/scaling_policy.go
@@ -88,7 +88,7 @@
 	}
 	switch phase {
 	case zonehealth.Lost:
-		return max(0, (r.policy.HoldDownMax - now.Sub(time.UnixMilli(z.Since))).Seconds())
+		return max(0, (r.policy.HoldDownMax - now.Sub(z.Since.Time())).Seconds())
 	case zonehealth.Returning:
 		for ahead := 0; z.Step+ahead < len(r.policy.Steps); ahead++ {
 			if number <= threshold(order, r.policy.Steps[z.Step+ahead]) {
--- a/internal/recovery/service.go
+++ b/internal/recovery/service.go
@@ -24,8 +24,8 @@
 	AtRisk map[wire.Zone]int
 	// Zones counts all bound replicas by zone, those at risk included.
 	Zones placement.ZoneCounts
-	// Since is the time of day from which the service could run, in milliseconds.
-	Since int64
+	// Since is the time of day from which the service could run.
+	Since statecache.Timestamp
 }
 
 // AtRiskCount is the number of replicas at risk.
--- a/internal/scheduler/advisor_test.go
+++ b/internal/scheduler/advisor_test.go
@@ -44,7 +44,7 @@
 	p.zoneOffers = ZoneOffers{"a": 1, "b": 1}
 	now := time.Now()
 	job := func(id wire.JobID, shape wire.JobKind, rank wire.Priority, tasks int) *statecache.Job {
-		return &statecache.Job{TaskCount: tasks, SubmittedAt: now.UnixMilli(), ModRevision: 1, Spec: &wire.Job{
+		return &statecache.Job{TaskCount: tasks, SubmittedAt: statecache.TimestampOf(now), ModRevision: 1, Spec: &wire.Job{
 			ID: id, Team: "red", Kind: shape, Priority: rank, TaskCount: tasks, CPUs: 1, MemoryGB: 1, Image: "img", EstimatedRuntime: 50,
 		}}
 	}
--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -35,7 +35,7 @@
 	p.machineTypes["s"] = &wire.MachineType{Name: "s", CPUs: 4, MemoryGB: 32, Zones: []wire.Zone{"a"}}
 	p.zoneOffers = ZoneOffers{"a": 1}
 	p.cycleScheduled = true // rounds are begun by hand
-	at := time.Now().UnixMilli()
+	at := statecache.TimestampOf(time.Now())
 	changes := []statecache.Change{{Kind: statecache.KindAssignment, Name: "red", Record: &statecache.Assignment{Member: "n0", Incarnation: 1}}}
 	jobs := machines/machinesPerJob + 1
 	for i := range jobs {
--- a/internal/scheduler/commit.go
+++ b/internal/scheduler/commit.go
@@ -169,7 +169,7 @@
 	for job, writes := range r.finishedJobs {
 		j := p.view.Jobs[job]
 		c.Puts = append(c.Puts, statecache.Put{Key: statecache.Key(statecache.KindJob, string(job)), Record: &statecache.Job{
-			State: wire.JobDone, TaskCount: j.TaskCount, SubmittedAt: j.SubmittedAt, FinishedAt: r.now.UnixMilli(),
+			State: wire.JobDone, TaskCount: j.TaskCount, SubmittedAt: j.SubmittedAt, FinishedAt: statecache.TimestampOf(r.now),
 		}})
 		// The done set goes with the write that calls the job done.
 		for chunk := range p.view.CompletionChunks[job] {
--- a/internal/scheduler/cycle_test.go
+++ b/internal/scheduler/cycle_test.go
@@ -33,11 +33,11 @@
 		l.Run()
 		time.Sleep(time.Second)
 		c := statecache.Commit{Puts: []statecache.Put{
-			{Key: statecache.Key(statecache.KindJob, "req-000001"), Record: &statecache.Job{TaskCount: 10000, SubmittedAt: time.Now().UnixMilli(), Spec: &wire.Job{
+			{Key: statecache.Key(statecache.KindJob, "req-000001"), Record: &statecache.Job{TaskCount: 10000, SubmittedAt: statecache.TimestampOf(time.Now()), Spec: &wire.Job{
 				ID: "req-000001", Team: "red", Kind: wire.KindArray, TaskCount: 10000, CPUs: 4, MemoryGB: 1, EstimatedRuntime: 50,
 			}}},
 			// Another process places.
-			{Key: statecache.Key(statecache.KindAssignment, "red"), Record: statecache.Assignment{Member: "n1", Incarnation: 1}},
+			{Key: statecache.Key(statecache.KindAssignment, "red"), Record: &statecache.Assignment{Member: "n1", Incarnation: 1}},
 		}}
 		for name, n := range groups {
 			c.Puts = append(c.Puts, statecache.Put{Key: statecache.Key(statecache.KindMachineGroup, name), Record: groupOf(name, n)})
@@ -211,7 +211,7 @@
 	}
 	for i := range jobs {
 		id := wire.JobID(fmt.Sprintf("req-1%05d", i))
-		puts = append(puts, statecache.Put{Key: statecache.Key(statecache.KindJob, string(id)), Record: &statecache.Job{TaskCount: 4, SubmittedAt: time.Now().UnixMilli(), Spec: &wire.Job{
+		puts = append(puts, statecache.Put{Key: statecache.Key(statecache.KindJob, string(id)), Record: &statecache.Job{TaskCount: 4, SubmittedAt: statecache.TimestampOf(time.Now()), Spec: &wire.Job{
 			ID: id, Team: "red", Kind: wire.KindService, Priority: wire.PriorityProduction, TaskCount: 4, CPUs: 5, MemoryGB: 1,
 		}}})
 	}
@@ -423,7 +423,7 @@
 			in(p, func() {
 				now := time.Now()
 				spec := &wire.Job{ID: "req-000002", Team: "red", Kind: wire.KindArray, Priority: wire.PriorityHigh, TaskCount: 1, CPUs: 1, MemoryGB: 1, EstimatedRuntime: 10}
-				j := &statecache.Job{Spec: spec, TaskCount: 1, SubmittedAt: now.Add(-20 * time.Second).UnixMilli(), PriorityInherited: inherited, InheritedDeadline: now.Add(due).UnixMilli()}
+				j := &statecache.Job{Spec: spec, TaskCount: 1, SubmittedAt: statecache.TimestampOf(now.Add(-20 * time.Second)), PriorityInherited: inherited, InheritedDeadline: statecache.TimestampOf(now.Add(due))}
 				p.activeJobs["req-000002"], p.view.Jobs["req-000002"] = j, j
 				p.view.Jobs["req-000001"].Spec.EstimatedRuntime = 0.1 // leaves the cluster to it soon
 				p.config.Params.Objectives = []config.Objective{{Kind: config.ObjectiveGuarantee, Within: 5 * time.Second}}
@@ -534,7 +534,7 @@
 		}
 		l.Commit(statecache.Commit{Puts: []statecache.Put{
 			{Key: statecache.Key(statecache.KindMachineGroup, "a"), Record: group},
-			{Key: statecache.Key(statecache.KindAssignment, "red"), Record: statecache.Assignment{Member: "n0", Incarnation: p.incarnation}},
+			{Key: statecache.Key(statecache.KindAssignment, "red"), Record: &statecache.Assignment{Member: "n0", Incarnation: p.incarnation}},
 			{Key: statecache.TermKey, Record: &statecache.Term{Number: 2}},
 		}}, func(statecache.Outcome) {})
 		time.Sleep(time.Second)
--- a/internal/scheduler/job_placement.go
+++ b/internal/scheduler/job_placement.go
@@ -2,7 +2,6 @@
 
 import (
 	"slices"
-	"time"
 
 	"lynxledge/internal/config"
 	"lynxledge/internal/placement"
@@ -67,7 +66,7 @@
 		return false
 	}
 	within, _ := j.config.StartObjective(j.spec.Class)
-	age := j.cycle.now.Sub(time.UnixMilli(j.job.RunnableSince()))
+	age := j.cycle.now.Sub(j.job.RunnableSince().Time())
 	return j.spec.Priority == wire.PriorityProduction || age >= (within-j.config.Params.Workers.HeartbeatInterval/3)/2
 }
 
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -70,7 +70,7 @@
 			continue
 		}
 		run := p.runtimes.Estimate(j.Spec)
-		age := config.Milliseconds(now.UnixMilli() - j.RunnableSince())
+		age := config.Milliseconds(int64(statecache.TimestampOf(now) - j.RunnableSince()))
 		if age > starved && left == j.TaskCount {
 			w.deadlineStage, w.deadline = -1, float64(j.RunnableSince())
 			if !j.Spec.IsService() {
@@ -161,7 +161,7 @@
 	}
 	for m, s := range p.startingNodes {
 		if !s.Spot && p.zoneOffers[s.Zone] > p.zoneOffers[n.Zone] && placement.Allowed(j, s.MachineType.Name, s.Zone, s.Spot) && resources.OfTask(j).Fits(resources.OfMachineType(s.MachineType)) &&
-			now.Sub(time.UnixMilli(p.view.Machines[m].ProvisionedAt)) < config.Seconds(UsualBootFactor*float64(s.MachineType.BootTime)) {
+			now.Sub(p.view.Machines[m].ProvisionedAt.Time()) < config.Seconds(UsualBootFactor*float64(s.MachineType.BootTime)) {
 			return true
 		}
 	}
--- a/internal/scheduler/quota.go
+++ b/internal/scheduler/quota.go
@@ -14,7 +14,7 @@
 // QuotaClaim is an unfinished job: since when it could run, and its tasks not yet done.
 type QuotaClaim struct {
 	Job            *wire.Job
-	SubmittedAt    int64
+	SubmittedAt    statecache.Timestamp
 	RemainingTasks int
 }
 
--- a/internal/scheduler/reconciliation.go
+++ b/internal/scheduler/reconciliation.go
@@ -48,7 +48,7 @@
 	}
 	r.finishedJobs[job] = 1 + min(chunks, r.limit-r.ops()-1)
 	r.jobPreconditions[job] = j.ModRevision
-	at := time.UnixMilli(j.SubmittedAt)
+	at := j.SubmittedAt.Time()
 	r.onCommitted = append(r.onCommitted, func() { slog.Debug("job done", "job", job, "age_s", int(time.Since(at).Seconds())) })
 }
 
@@ -146,7 +146,7 @@
 		}
 	}
 	for _, g := range proof.Terminated {
-		g.Runtime = n.TaskRuntimes[g.TaskID()]
+		g.Runtime = wire.Seconds(n.TaskRuntimes[g.TaskID()])
 		if g.Reason == wire.ReasonCompleted && p.view.Active(g.Job) && !p.view.IsCompleted(g.Job, g.TaskIndex) {
 			d.MarkCompleted(g.Job, g.TaskIndex)
 			r.completed[g.Job]++
--- a/internal/statecache/cache.go
+++ b/internal/statecache/cache.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 	"log/slog"
 	"math/rand/v2"
 	"sync/atomic"
@@ -12,187 +11,167 @@
 	"lynxledge/wire"
 )
 
-// Store is what the ledger needs of the state service.
+// Store is what the cache needs of the key-value store.
 type Store interface {
 	List(ctx context.Context, prefix, after string, limit int) (*wire.RangeResponse, error)
 	Commit(ctx context.Context, txn *wire.Txn) (uint64, error)
 	Watch(ctx context.Context, prefix string, after uint64, hold time.Duration) (*wire.WatchResponse, error)
 }
 
-// Update tells a subscriber what changed. Fresh is the start of the newest
-// read that the view reflects in full.
+// Update tells a subscriber what changed.
 type Update struct {
 	Revision  uint64
-	FreshAsOf time.Time
+	FreshAsOf time.Time // start of the newest read that the view reflects in full
 	Changes   []Change
 }
 
-// Options set the ledger's pace.
+// Options of a cache.
 type Options struct {
-	ChunkTasks              int
-	WatchHold               time.Duration   // of the long watch
+	ChunkTasks              int             // tasks in a whole completion chunk
+	WatchHold               time.Duration   // how long a watch waits for changes
 	MinWatchInterval        time.Duration   // least time between two watches: batches changes
 	MinRefreshInterval      time.Duration   // least time between two refreshes
-	MaxViewAge              time.Duration   // a view older than this is refreshed unasked
+	MaxViewAge              time.Duration   // an older view is refreshed without a request
 	Backoff                 time.Duration   // first pause after a failure
-	WriteInterval           time.Duration   // of the state service's rate, for one write
-	MaxValueBytes           int             // bytes of a value; more is never sent. 0: no limit
-	MaxCompletionChunkBytes int             // of a done set's chunk, until the service refuses it
-	OnThrottled             func(time.Time) // is told of writes refused for their rate
-	OnSizeRejected          func()          // is told of a size that is refused
-	JobCountWarning         int             // known jobs beyond which a warning is logged, once. 0: none is
+	WriteInterval           time.Duration   // time for one write at the store's rate
+	MaxValueBytes           int             // larger values are never sent. 0: no limit
+	MaxCompletionChunkBytes int             // the same for completion chunks, until the store rejects the size
+	OnThrottled             func(time.Time) // is told of writes rejected for their rate
+	OnSizeRejected          func()          // is told of a commit rejected as invalid, as it is for its size
+	JobCountWarning         int             // number of known jobs beyond which a warning is logged, once. 0: none is
 }
 
-// FinishedJobBytes is what a controller holds for a job that is over, as measured.
+// FinishedJobBytes is the memory that a controller holds for a finished job, as measured.
 const FinishedJobBytes = 210
 
 // Cache is the actor that owns the watched view.
 type Cache struct {
 	*actor.Actor
-	ctx     context.Context
-	store   Store
-	options Options
+	ctx         context.Context // ends the watch, the retries and the calls of the store
+	store       Store
+	options     Options
+	subscribers []func(Update)
 
 	view           *View
-	revision       uint64
-	freshAsOf      time.Time
-	loaded         bool
-	jobCountWarned bool              // of many jobs
-	ownDeletions   map[string]uint64 // keys deleted by own commits, until the watch passes them
 	dependencies   *dependencyGraph
-	subscribers    []func(Update)
+	progress       progress
+	ownDeletions   ownDeletions
+	refreshes      refreshQueue
+	jobCountWarned bool
+}
+
+// progress is how far the view has followed the store.
+type progress struct {
+	loaded    bool
+	revision  uint64
+	freshAsOf time.Time
+	published atomic.Pointer[time.Time] // freshAsOf, for readers outside the actor
+}
+
+// ownDeletions is the revisions of the deletions by own commits, by key, until the watch has
+// passed them.
+type ownDeletions map[string]uint64
 
-	publishedFreshAsOf atomic.Pointer[time.Time] // fresh, for those who only look
-	refreshWaiters     []func(error)             // of the next refresh
-	refreshing         bool
-	lastRefresh        time.Time
+// forget drops the deletions that the watch has passed.
+func (d ownDeletions) forget(passed uint64) {
+	for key, revision := range d {
+		if revision <= passed {
+			delete(d, key)
+		}
+	}
 }
 
-// Start runs a ledger. Subscribers must be added before Run.
-func Start(ctx context.Context, store Store, opt Options) *Cache {
-	view := NewView(opt.ChunkTasks)
+// Start starts a cache's actor until the context ends. Subscribers must be added before Run.
+func Start(ctx context.Context, store Store, options Options) *Cache {
+	view := NewView(options.ChunkTasks)
 	return &Cache{
-		Actor: actor.Start(ctx, "ledger", 1024), ctx: ctx, store: store, options: opt,
-		view: view, ownDeletions: map[string]uint64{}, dependencies: newDependencyGraph(view),
+		Actor: actor.Start(ctx, "statecache", 1024), ctx: ctx, store: store, options: options,
+		view: view, dependencies: newDependencyGraph(view), ownDeletions: ownDeletions{},
 	}
 }
 
-// FreshAsOf is the time from which the view is; zero before it is loaded.
-func (l *Cache) FreshAsOf() time.Time {
-	if t := l.publishedFreshAsOf.Load(); t != nil {
+// FreshAsOf returns the time as of which the view is; zero before it is loaded.
+func (c *Cache) FreshAsOf() time.Time {
+	if t := c.progress.published.Load(); t != nil {
 		return *t
 	}
 	return time.Time{}
 }
 
-// Subscribe registers a receiver of deltas; it must not wait for the ledger.
-func (l *Cache) Subscribe(f func(Update)) { l.subscribers = append(l.subscribers, f) }
+// Subscribe registers a receiver of updates. It is called in the cache's actor and must not
+// wait for it.
+func (c *Cache) Subscribe(f func(Update)) { c.subscribers = append(c.subscribers, f) }
 
-// Run loads the view and follows it until the context ends.
-func (l *Cache) Run() {
-	go l.watchLoop()
-	l.Every(l.options.MaxViewAge/2, func() {
-		if l.loaded && time.Since(l.freshAsOf) > l.options.MaxViewAge/2 {
-			l.refresh(func(error) {})
+// Run loads the view and follows the store until the context ends.
+func (c *Cache) Run() {
+	go c.watchLoop()
+	c.Every(c.options.MaxViewAge/2, func() {
+		if c.progress.loaded && time.Since(c.progress.freshAsOf) > c.options.MaxViewAge/2 {
+			c.refresh(func(error) {})
 		}
 	})
 }
 
-// backOff waits longer each time.
-func (l *Cache) backOff(n int) { l.sleep(l.options.Backoff << min(n, 5)) }
+// backOff pauses longer after each failure.
+func (c *Cache) backOff(failures int) { c.sleep(c.options.Backoff << min(failures, 5)) }
 
-// sleep waits for d to 2d.
-func (l *Cache) sleep(d time.Duration) {
+// sleep waits for d to 2d, or until the context ends.
+func (c *Cache) sleep(d time.Duration) {
 	d += time.Duration(rand.Int64N(int64(d) + 1))
 	select {
 	case <-time.After(d):
-	case <-l.ctx.Done():
+	case <-c.ctx.Done():
 	}
 }
 
-// publish applies what is newer than the view and tells the subscribers.
-func (l *Cache) publish(chs []Change) {
-	news := make([]Change, 0, len(chs)) // a job may change others besides
-	for _, c := range chs {
-		// What the view has already, as an own commit repeated by the watch, is
-		// not told twice: what a record says of ended tasks would count twice.
-		if c.ModRevision <= l.view.modRevision(c.Kind, c.Name) || c.ModRevision < l.ownDeletions[c.Key] {
-			continue
-		}
-		j, isJob := c.Record.(*Job)
-		if isJob {
-			c.Record = l.dependencies.derive(wire.JobID(c.Name), j)
-		}
-		l.view.Apply(c)
-		news = append(news, c)
-		if isJob {
-			l.dependencies.propagate(wire.JobID(c.Name), func(id wire.JobID, j *Job) {
-				more := Change{Key: Key(KindJob, string(id)), Kind: KindJob, Name: string(id), Record: j, ModRevision: j.ModRevision}
-				l.view.Apply(more)
-				news = append(news, more)
-			})
+// publish applies the changes that are newer than the view, and tells the subscribers.
+func (c *Cache) publish(changes []Change) {
+	applied := make([]Change, 0, len(changes)) // a job may change others besides
+	for _, change := range changes {
+		if !c.isKnown(change) {
+			applied = c.apply(change, applied)
 		}
 	}
-	l.warnOfManyJobs()
-	fresh := l.freshAsOf
-	l.publishedFreshAsOf.Store(&fresh)
-	d := Update{Revision: l.revision, FreshAsOf: l.freshAsOf, Changes: news}
-	for _, f := range l.subscribers {
-		f(d)
+	c.warnOfJobCount()
+	freshAsOf := c.progress.freshAsOf
+	c.progress.published.Store(&freshAsOf)
+	update := Update{Revision: c.progress.revision, FreshAsOf: freshAsOf, Changes: applied}
+	for _, f := range c.subscribers {
+		f(update)
 	}
 }
 
-// warnOfManyJobs says once, long before it is too late, that the jobs that are kept for
-// ever take much of the memory.
-func (l *Cache) warnOfManyJobs() {
-	if l.jobCountWarned || l.options.JobCountWarning <= 0 || len(l.view.Jobs) <= l.options.JobCountWarning {
-		return
-	}
-	l.jobCountWarned = true
-	slog.Warn("finished jobs take much of the memory", "jobs", len(l.view.Jobs), "bytes_each", FinishedJobBytes)
-}
-
-// Refresh reads all changes up to now; reply runs in the ledger's actor once
-// a read begun after this call has been applied, or has failed. Requests that
-// come together share a read.
-func (l *Cache) Refresh(reply func(error)) {
-	if !l.Post(func() { l.refresh(reply) }) {
-		reply(errors.New("ledger is overloaded"))
-	}
+// isKnown tells whether the view reflects a change already, as an own commit that the watch
+// repeats. Subscribers must not be told twice: they would count a record's terminations twice.
+func (c *Cache) isKnown(change Change) bool {
+	return change.ModRevision <= c.view.modRevisionOf(change.Kind, change.Name) || change.ModRevision < c.ownDeletions[change.Key]
 }
 
-func (l *Cache) refresh(reply func(error)) {
-	if !l.loaded {
-		reply(errors.New("state not loaded yet"))
-		return
+// apply applies a change, and what follows from it for other jobs, and appends both to applied.
+func (c *Cache) apply(change Change, applied []Change) []Change {
+	job, isJob := change.Record.(*Job)
+	if !isJob {
+		c.view.Apply(change)
+		return append(applied, change)
 	}
-	l.refreshWaiters = append(l.refreshWaiters, reply)
-	l.startRefresh()
+	id := wire.JobID(change.Name)
+	change.Record = c.dependencies.derive(id, job)
+	c.view.Apply(change)
+	applied = append(applied, change)
+	c.dependencies.propagate(id, func(id wire.JobID, j *Job) {
+		derived := changeTo(string(id), j)
+		c.view.Apply(derived)
+		applied = append(applied, derived)
+	})
+	return applied
 }
 
-func (l *Cache) startRefresh() {
-	if l.refreshing || len(l.refreshWaiters) == 0 {
+// warnOfJobCount warns once, long before it is too late, that the jobs, which are kept for good,
+// take much of the memory.
+func (c *Cache) warnOfJobCount() {
+	if c.jobCountWarned || c.options.JobCountWarning <= 0 || len(c.view.Jobs) <= c.options.JobCountWarning {
 		return
 	}
-	l.refreshing = true
-	wait := max(0, l.options.MinRefreshInterval-time.Since(l.lastRefresh))
-	l.After(wait, func() {
-		waiters := l.refreshWaiters
-		l.refreshWaiters = nil
-		l.lastRefresh = time.Now()
-		begun, epoch := l.lastRefresh, l.revision
-		go func() {
-			ev, err := l.store.Watch(l.ctx, KeyPrefix, epoch, 0)
-			l.Send(func() {
-				l.refreshing = false
-				if err == nil {
-					l.applyWatchResponse(ev, begun)
-				}
-				for _, w := range waiters {
-					w(err)
-				}
-				l.startRefresh()
-			})
-		}()
-	})
+	c.jobCountWarned = true
+	slog.Warn("finished jobs warning threshold exceeded", "jobs", len(c.view.Jobs), "bytes_per_job", FinishedJobBytes)
 }
--- a/internal/statecache/cache_test.go
+++ b/internal/statecache/cache_test.go
@@ -24,7 +24,7 @@
 )
 
 func genGroup(t *rapid.T) *MachineGroup {
-	g := NewMachineGroup("g", "t", "z", rapid.Bool().Draw(t, "spot"), 5, nil, 0)
+	g := NewMachineGroup(GroupOptions{Name: "g", MachineType: "t", Zone: "z", Spot: rapid.Bool().Draw(t, "spot"), ProvisionedAt: 5})
 	for i := range rapid.IntRange(0, 6).Draw(t, "machines") {
 		b := &Machine{
 			Name: wire.MachineID(fmt.Sprintf("i-%06d", i)), Group: "g", MachineType: "t", Zone: "z", Spot: g.Spot, ProvisionedAt: 5,
@@ -53,7 +53,7 @@
 		g.Completions[wire.JobID(rapid.StringMatching(`req-[0-9]{6}`).Draw(t, "marked"))] = ns
 	}
 	for i := range rapid.IntRange(0, 3).Draw(t, "gone") {
-		g.Terminations = append(g.Terminations, Termination{Machine: "i-000001", Job: "req-000001", TaskIndex: i, Reason: wire.ReasonCompleted, Runtime: float64(i) * 1.5})
+		g.Terminations = append(g.Terminations, Termination{Machine: "i-000001", Job: "req-000001", TaskIndex: i, Reason: wire.ReasonCompleted, Runtime: wire.Seconds(i) * 1.5})
 	}
 	return g
 }
@@ -166,7 +166,7 @@
 			if float64(len(raw)) > valueKB*1024 {
 				t.Fatalf("%d bytes for a limit of %v KiB", len(raw), valueKB)
 			}
-			got, err := decodeKind(KindCompletionChunk, raw, 1)
+			got, err := schemas[KindCompletionChunk].decode(v, "", raw, 1)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -187,7 +187,7 @@
 // the watch: it bound its tasks to a machine that was gone, and when the
 // deletion followed, they looked unbound though they were bound elsewhere.
 func TestOwnDeleteIsNotUndone(t *testing.T) {
-	l := &Cache{view: NewView(8), revision: 8, ownDeletions: map[string]uint64{Key(KindMachineGroup, "m2"): 11}}
+	l := &Cache{view: NewView(8), progress: progress{revision: 8}, ownDeletions: ownDeletions{Key(KindMachineGroup, "m2"): 11}}
 	task := TaskBinding{Job: "req-000001", Attempt: 1}
 	l.view.Apply(Change{Key: Key(KindMachineGroup, "m1"), Kind: KindMachineGroup, Name: "m1", Record: &MachineGroup{Name: "m1", Machines: []*Machine{{Name: "m1", Bindings: []TaskBinding{task}}}, ModRevision: 12}, ModRevision: 12})
 	old, _ := json.Marshal(&MachineGroup{Machines: []*Machine{{Name: "m2", Bindings: []TaskBinding{task}}}})
@@ -339,7 +339,7 @@
 		defer cancel()
 		conn := &simulation.StoreConn{Store: simulation.NewStore(), Net: simulation.NewNetwork(1, time.Millisecond), Node: "n0", Timeout: time.Second}
 		write := func(key string, machines ...wire.MachineID) wire.Write {
-			raw, err := json.Marshal(NewMachineGroup("", "t", "z", false, 5, machines, 9))
+			raw, err := json.Marshal(NewMachineGroup(GroupOptions{MachineType: "t", Zone: "z", ProvisionedAt: 5, Machines: machines, FencingToken: 9}))
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/statecache/commit.go
+++ b/internal/statecache/commit.go
@@ -1,183 +1,142 @@
 package statecache
 
 import (
-	"encoding/json"
 	"errors"
+	"fmt"
 	"log/slog"
-	"strings"
 	"time"
 
 	"lynxledge/internal/kvstore"
 	"lynxledge/wire"
 )
 
-// Outcome of a commit.
+// Outcome is what a commit came to.
 type Outcome int
 
-// Outcomes. Committed and Conflicted are certain, and the view has caught up
-// with them. Refused is certain too: nothing was changed. Unknown: the change
-// may have been made, or may be yet.
+// Outcomes of a commit.
 const (
-	Committed Outcome = iota
-	Conflicted
-	Rejected
-	OutcomeUnknown
+	Committed      Outcome = iota // it was executed, and the view reflects it
+	Conflicted                    // a precondition failed; the view has caught up with the conflict if the store can be read
+	Rejected                      // it was certainly not executed
+	OutcomeUnknown                // it may have been executed, or may be yet
 )
 
-// Commit is a change to make.
-type Commit struct {
-	Preconditions []wire.Precondition
-	Puts          []Put
-	Deletes       []string
-	// Settle repeats the same transaction until the outcome is certain. Since
-	// its writes change what it guards, an answered repeat means that no
-	// earlier copy can be applied any more.
-	RetryUntilCertain bool
-	// Patience is how long refusals are tried again.
-	RetryFor time.Duration
+// String returns the outcome's name.
+func (o Outcome) String() string {
+	switch o {
+	case Committed:
+		return "committed"
+	case Conflicted:
+		return "conflicted"
+	case Rejected:
+		return "rejected"
+	case OutcomeUnknown:
+		return "outcome unknown"
+	}
+	return fmt.Sprintf("Outcome(%d)", int(o))
 }
 
-// Put sets a key. Rec is the record that Value encodes.
-type Put struct {
-	Key     string
-	Record  any
-	LeaseID uint64
+// Commit executes a commit and replies in the cache's actor, after the subscribers were told
+// of what changed. A commit beyond the store's limits is not sent.
+func (c *Cache) Commit(commit Commit, reply func(Outcome)) {
+	txn, err := c.options.encodeTxn(&commit)
+	if err != nil {
+		slog.Error("commit not sent", "error", err)
+		c.Send(func() { reply(Rejected) })
+		return
+	}
+	go c.commitWithRetries(commit, txn, reply)
 }
 
-// Ops is the number of writes.
-func (c *Commit) Ops() int { return len(c.Puts) + len(c.Deletes) }
-
-// Commit makes the change and replies from the ledger's actor, after the
-// subscribers were told of it.
-func (l *Cache) Commit(c Commit, reply func(Outcome)) {
-	txn := &wire.Txn{Preconditions: c.Preconditions}
-	for _, p := range c.Puts {
-		raw, err := json.Marshal(p.Record)
-		if err != nil {
-			slog.Error("record not encoded", "key", p.Key, "err", err)
-			l.Send(func() { reply(Rejected) })
+// commitWithRetries sends a transaction until its outcome is final, or the commit's time for
+// retries is over.
+func (c *Cache) commitWithRetries(commit Commit, txn *wire.Txn, reply func(Outcome)) {
+	deadline := time.Now().Add(commit.RetryFor)
+	giveUpAs := Rejected
+	for failures := 0; ; failures++ {
+		revision, err := c.store.Commit(c.ctx, txn)
+		if finish := c.finalOutcome(txn, revision, err, reply); finish != nil {
+			c.Send(finish)
 			return
 		}
-		limit := l.options.MaxValueBytes
-		if strings.HasPrefix(p.Key, Key(KindCompletionChunk, "")) {
-			limit = max(limit, l.options.MaxCompletionChunkBytes)
+		if errors.Is(err, kvstore.ErrRejected) {
+			slog.Debug("commit rejected", "error", err, "writes", len(txn.Writes))
+		} else {
+			slog.Debug("commit outcome unknown", "error", err)
+			giveUpAs = OutcomeUnknown
 		}
-		if limit > 0 && len(raw) > limit {
-			slog.Error("record too large; nothing is written", "key", p.Key, "bytes", len(raw))
-			l.Send(func() { reply(Rejected) })
+		if c.ctx.Err() != nil {
 			return
 		}
-		txn.Writes = append(txn.Writes, wire.Write{PutKey: p.Key, Value: raw, LeaseID: p.LeaseID})
-	}
-	for _, k := range c.Deletes {
-		txn.Writes = append(txn.Writes, wire.Write{DeleteKey: k})
-	}
-	if n := txnBytes(txn); n > wire.MaxBodyBytes {
-		slog.Error("transaction too large; nothing is written", "bytes", n, "writes", len(txn.Writes), "guards", len(txn.Preconditions))
-		l.Send(func() { reply(Rejected) })
-		return
+		mustSettle := giveUpAs == OutcomeUnknown && commit.RetryUntilCertain
+		if !mustSettle && time.Now().After(deadline) {
+			c.Send(func() { reply(giveUpAs) })
+			return
+		}
+		c.pauseBeforeRetry(err, txn, failures)
 	}
-	go l.commitWithRetries(c, txn, reply)
 }
 
-// WriteOverheadBytes is what a write or a guard takes of a transaction at most, besides
-// its value.
-const WriteOverheadBytes = 120
-
-// MaxTxnRecordBytes is what the records of one transaction may take; the rest of the body's
-// limit is for guards, and for what the parts of a record that is split repeat.
-const MaxTxnRecordBytes = wire.MaxBodyBytes * 9 / 10
-
-// txnBytes is at most the size of a transaction's body.
-func txnBytes(txn *wire.Txn) int {
-	n := WriteOverheadBytes
-	for i := range txn.Preconditions {
-		n += len(txn.Preconditions[i].Key) + 40
-	}
-	for i := range txn.Writes {
-		w := &txn.Writes[i]
-		n += len(w.Key()) + len(w.Value) + 60
+// finalOutcome returns what the actor does about the answer to an attempt; nil if the
+// transaction may be tried again.
+func (c *Cache) finalOutcome(txn *wire.Txn, revision uint64, err error, reply func(Outcome)) func() {
+	var conflict *kvstore.ConflictError
+	switch {
+	case err == nil:
+		return func() {
+			c.applyOwnCommit(txn, revision)
+			reply(Committed)
+		}
+	case errors.As(err, &conflict):
+		slog.Debug("commit conflicted", "keys", conflict.FailedKeys, "revision", conflict.Revision)
+		return func() { c.catchUp(conflict.Revision, func() { reply(Conflicted) }) }
+	case errors.Is(err, kvstore.ErrLeaseNotFound):
+		return func() { reply(Rejected) }
+	case errors.Is(err, kvstore.ErrInvalidRequest):
+		slog.Error("commit rejected as invalid", "error", err, "writes", len(txn.Writes))
+		if c.options.OnSizeRejected != nil {
+			c.options.OnSizeRejected()
+		}
+		return func() { reply(Rejected) }
 	}
-	return n
+	return nil
 }
 
-func (l *Cache) commitWithRetries(c Commit, txn *wire.Txn, reply func(Outcome)) {
-	deadline := time.Now().Add(c.RetryFor)
-	unknown := false
-	for n := 0; ; n++ {
-		rev, err := l.store.Commit(l.ctx, txn)
-		var conflict *kvstore.ConflictError
-		switch {
-		case err == nil:
-			l.Send(func() {
-				l.applyOwnCommit(txn, rev)
-				reply(Committed)
-			})
-			return
-		case errors.As(err, &conflict):
-			slog.Debug("guards failed", "keys", conflict.FailedKeys)
-			l.Send(func() { l.catchUp(conflict.Revision, func() { reply(Conflicted) }) })
-			return
-		case errors.Is(err, kvstore.ErrLeaseNotFound), errors.Is(err, kvstore.ErrInvalidRequest):
-			if errors.Is(err, kvstore.ErrInvalidRequest) {
-				slog.Error("commit refused", "err", err, "writes", len(txn.Writes))
-				if l.options.OnSizeRejected != nil {
-					l.options.OnSizeRejected()
-				}
-			}
-			l.Send(func() { reply(Rejected) })
-			return
-		case errors.Is(err, kvstore.ErrRejected):
-			slog.Debug("commit refused", "err", err, "writes", len(txn.Writes))
-		default:
-			slog.Debug("commit unanswered", "err", err)
-			unknown = true
-		}
-		if l.ctx.Err() != nil {
-			return
-		}
-		if !(unknown && c.RetryUntilCertain) && time.Now().After(deadline) {
-			out := Rejected
-			if unknown {
-				out = OutcomeUnknown
-			}
-			l.Send(func() { reply(out) })
-			return
-		}
-		if errors.Is(err, kvstore.ErrThrottled) {
-			if l.options.OnThrottled != nil {
-				l.options.OnThrottled(time.Now())
-			}
-			// The service counts by the second: there is room for this before long,
-			// and whoever waits for it holds up all that comes behind.
-			l.sleep(time.Duration(len(txn.Writes)) * l.options.WriteInterval)
-			continue
-		}
-		l.backOff(n)
+// pauseBeforeRetry waits before the next attempt. After throttling that is as long as the store
+// takes for the writes at its rate: it counts by the second, so there is room before long, and
+// whoever waits for this commit holds up all that comes behind.
+func (c *Cache) pauseBeforeRetry(err error, txn *wire.Txn, failures int) {
+	if !errors.Is(err, kvstore.ErrThrottled) {
+		c.backOff(failures)
+		return
+	}
+	if c.options.OnThrottled != nil {
+		c.options.OnThrottled(time.Now())
 	}
+	c.sleep(time.Duration(len(txn.Writes)) * c.options.WriteInterval)
 }
 
-// applyOwnCommit takes an own commit over at once; the watch will repeat it.
-func (l *Cache) applyOwnCommit(txn *wire.Txn, rev uint64) {
-	var chs []Change
-	for _, w := range txn.Writes {
-		c, ok := l.decodeChange(w.Key(), w.Value, rev)
+// applyOwnCommit applies an own commit at once; the watch will repeat it.
+func (c *Cache) applyOwnCommit(txn *wire.Txn, revision uint64) {
+	var changes []Change
+	for _, write := range txn.Writes {
+		change, ok := c.decodeChange(write.Key(), write.Value, revision)
 		if !ok {
 			continue
 		}
-		if w.PutKey == "" {
-			l.ownDeletions[c.Key] = rev
+		if write.PutKey == "" {
+			c.ownDeletions[change.Key] = revision
 		}
-		chs = append(chs, c)
+		changes = append(changes, change)
 	}
-	l.publish(chs)
+	c.publish(changes)
 }
 
-// catchUp runs f once the view has reached a revision, or cannot for now.
-func (l *Cache) catchUp(rev uint64, f func()) {
-	if l.revision >= rev || !l.loaded {
+// catchUp calls f once the view has reached a revision, or can't for now.
+func (c *Cache) catchUp(revision uint64, f func()) {
+	if c.progress.revision >= revision || !c.progress.loaded {
 		f()
 		return
 	}
-	l.refresh(func(error) { f() })
+	c.refresh(func(error) { f() })
 }
--- a/internal/statecache/upgrade_test.go
+++ b/internal/statecache/compatibility_test.go
@@ -167,7 +167,7 @@
 			}
 			return c
 		}
-		whole := NewMachineGroup("g", "t", "z", false, 5, nil, 0)
+		whole := NewMachineGroup(GroupOptions{Name: "g", MachineType: "t", Zone: "z", ProvisionedAt: 5})
 		for i := range 9 {
 			whole.Machines = append(whole.Machines, &Machine{Name: wire.MachineID(fmt.Sprintf("i-%06d", i)), Address: "x:1", Incarnation: 1, FencingToken: 8, Bindings: []TaskBinding{{Job: "req-000001", TaskIndex: i, Attempt: 7}}})
 		}
--- a/internal/statecache/dependencies_test.go
+++ b/internal/statecache/dependencies_test.go
@@ -57,8 +57,8 @@
 
 // latestEnd is the time by which a job must be done so that each job that needs it, and
 // is not over, can be done by its own deadline; 0 if none of them has one.
-func (s *story) latestEnd(id wire.JobID) int64 {
-	least := int64(0)
+func (s *story) latestEnd(id wire.JobID) Timestamp {
+	least := Timestamp(0)
 	for _, after := range s.ids {
 		j := s.jobs[after]
 		if !slices.Contains(j.Spec.Dependencies, id) || j.State != "" || s.doomed(after) {
@@ -66,14 +66,14 @@
 		}
 		end := s.latestEnd(after)
 		if j.Spec.Deadline != nil {
-			if own := j.SubmittedAt + int64(1000*float64(*j.Spec.Deadline)); end == 0 || own < end {
+			if own := j.SubmittedAt + Timestamp(1000*float64(*j.Spec.Deadline)); end == 0 || own < end {
 				end = own
 			}
 		}
 		if end == 0 {
 			continue
 		}
-		end -= int64(1000 * float64(j.Spec.EstimatedRuntime))
+		end -= Timestamp(1000 * float64(j.Spec.EstimatedRuntime))
 		if least == 0 || end < least {
 			least = end
 		}
@@ -104,7 +104,7 @@
 				t.Fatalf("%s: due by %d, not %d", id, latestCompletion(got.InheritedDeadline, got.DownstreamRuntime), s.latestEnd(id))
 			}
 			if s.ready(id) {
-				last := int64(0)
+				last := Timestamp(0)
 				for _, before := range stored.Spec.Dependencies {
 					last = max(last, s.jobs[before].FinishedAt)
 				}
@@ -163,7 +163,7 @@
 					spec.Deadline = &due
 				}
 				s.ids = append(s.ids, id)
-				s.jobs[id] = &Job{Spec: spec, TaskCount: 1, SubmittedAt: int64(100_000 + rev)}
+				s.jobs[id] = &Job{Spec: spec, TaskCount: 1, SubmittedAt: Timestamp(100_000 + rev)}
 				step(id, func(*Job) {})
 			} else {
 				id := rapid.SampledFrom(s.ids).Draw(t, "job")
@@ -172,11 +172,11 @@
 				}
 				if rapid.Bool().Draw(t, "done") {
 					if s.ready(id) && !s.doomed(id) {
-						step(id, func(j *Job) { j.State, j.FinishedAt = wire.JobDone, int64(100+rev) })
+						step(id, func(j *Job) { j.State, j.FinishedAt = wire.JobDone, Timestamp(100+rev) })
 					}
 				} else if !s.doomed(id) {
 					cancels = true
-					step(id, func(j *Job) { j.State, j.FinishedAt = wire.JobCancelled, int64(100+rev) })
+					step(id, func(j *Job) { j.State, j.FinishedAt = wire.JobCancelled, Timestamp(100+rev) })
 				}
 			}
 			s.check(t, l, !cancels) // a priority may outlive the job that lent it
@@ -186,7 +186,7 @@
 			put(fresh, s.ids[i])
 		}
 		s.check(t, fresh, false)
-		if n := len(l.dependencies.successors); n > len(s.ids) {
+		if n := len(l.dependencies.dependents); n > len(s.ids) {
 			t.Fatalf("%d jobs in the index", n)
 		}
 	})
@@ -231,7 +231,7 @@
 			t.Fatalf("%s stands", id(i))
 		}
 	}
-	if len(l.dependencies.successors)+len(l.dependencies.waiting) > 0 {
-		t.Errorf("%d and %d entries are kept", len(l.dependencies.successors), len(l.dependencies.waiting))
+	if len(l.dependencies.dependents)+len(l.dependencies.waiting) > 0 {
+		t.Errorf("%d and %d entries are kept", len(l.dependencies.dependents), len(l.dependencies.waiting))
 	}
 }
--- /dev/null
+++ b/internal/statecache/errors.go
@@ -0,0 +1,49 @@
+package statecache
+
+import (
+	"errors"
+	"fmt"
+)
+
+// Errors of reads. ErrNotLoaded and ErrOverloaded are temporary: trying again helps.
+// ErrUnknownLayout and ErrMalformedRecord last until the record has been written again.
+var (
+	ErrNotLoaded       = errors.New("state not loaded yet")
+	ErrOverloaded      = errors.New("state cache overloaded")
+	ErrUnknownLayout   = errors.New("a machine's record is in the layout of another version of lynxledge")
+	ErrMalformedRecord = errors.New("malformed record")
+	ErrUnknownKind     = errors.New("unknown kind of record")
+)
+
+// RecordTooLargeError says that a value exceeds the store's limit. The commit was not sent, and
+// trying it again does not help.
+type RecordTooLargeError struct {
+	Key   string
+	Bytes int
+	Limit int
+}
+
+func (e *RecordTooLargeError) Error() string {
+	return fmt.Sprintf("record %s too large: %d bytes, limit %d", e.Key, e.Bytes, e.Limit)
+}
+
+// TransactionTooLargeError says that a transaction exceeds the store's limit of a request body.
+// It was not sent, and trying it again does not help.
+type TransactionTooLargeError struct {
+	Bytes         int
+	Limit         int
+	Writes        int
+	Preconditions int
+}
+
+func (e *TransactionTooLargeError) Error() string {
+	return fmt.Sprintf("transaction too large: %d bytes, limit %d, with %d writes and %d preconditions", e.Bytes, e.Limit, e.Writes, e.Preconditions)
+}
+
+// malformed says which part of a record could not be parsed, and why if that is known.
+func malformed(part, text string, cause error) error {
+	if cause == nil {
+		return fmt.Errorf("%w: %s %.80q", ErrMalformedRecord, part, text)
+	}
+	return fmt.Errorf("%w: %s %.80q: %w", ErrMalformedRecord, part, text, cause)
+}
--- a/internal/statecache/group_update.go
+++ b/internal/statecache/group_update.go
@@ -7,132 +7,134 @@
 	"lynxledge/wire"
 )
 
-// successor copies the row for a rewrite, with a higher token.
-func (b *Machine) successor(term uint64) *Machine {
-	n := *b
-	n.Bindings = append([]TaskBinding(nil), b.Bindings...)
-	n.FencingToken = max(b.FencingToken+1, FirstToken(term))
-	n.encoded = ""
-	return &n
-}
-
-// GroupUpdate is the next record of a group in the making.
+// GroupUpdate builds the next record of a group.
 type GroupUpdate struct {
 	MachineGroup
 	term    uint64
-	updated map[wire.MachineID]*Machine // rows rewritten
+	updated map[wire.MachineID]*Machine // entries that differ from the former record
 }
 
-// UpdateGroup begins the next record of a group.
+// UpdateGroup begins the next record of a group: without the terminations of the former one, and
+// without the completions of jobs that have ended.
 func (v *View) UpdateGroup(name string) *GroupUpdate {
-	d := &GroupUpdate{MachineGroup: *v.Groups[name], term: v.CurrentTerm(), updated: map[wire.MachineID]*Machine{}}
-	d.Machines = slices.Clone(d.Machines)
-	d.Terminations = nil
-	d.Completions = make(map[wire.JobID][]int, len(d.Completions))
-	for job, ns := range v.Groups[name].Completions {
+	former := v.Groups[name]
+	u := &GroupUpdate{MachineGroup: *former, term: v.CurrentTerm(), updated: map[wire.MachineID]*Machine{}}
+	u.Machines = slices.Clone(former.Machines)
+	u.Terminations = nil
+	u.Completions = make(map[wire.JobID][]int, len(former.Completions))
+	for job, tasks := range former.Completions {
 		if v.Active(job) {
-			d.Completions[job] = ns
+			u.Completions[job] = tasks
 		}
 	}
-	return d
+	return u
 }
 
-// UpdateMachine is a machine's row, to be changed: its token is higher than before.
-func (d *GroupUpdate) UpdateMachine(machine wire.MachineID) *Machine {
-	if b := d.updated[machine]; b != nil {
-		return b
+// UpdateMachine returns a machine's entry to be changed, with a higher fencing token than before;
+// nil if the group does not have the machine.
+func (u *GroupUpdate) UpdateMachine(machine wire.MachineID) *Machine {
+	if next := u.updated[machine]; next != nil {
+		return next
 	}
-	i, ok := d.machineIndex(machine)
+	i, ok := u.machineIndex(machine)
 	if !ok {
 		return nil
 	}
-	b := d.Machines[i].successor(d.term)
-	d.Machines[i], d.updated[machine] = b, b
-	return b
+	next := u.Machines[i].successor(u.term)
+	u.Machines[i], u.updated[machine] = next, next
+	return next
 }
 
-// RemoveMachine takes a machine out that is gone.
-func (d *GroupUpdate) RemoveMachine(machine wire.MachineID) {
-	if i, ok := d.machineIndex(machine); ok {
-		d.Machines = slices.Delete(d.Machines, i, i+1)
+// RemoveMachine removes a machine that no longer exists.
+func (u *GroupUpdate) RemoveMachine(machine wire.MachineID) {
+	if i, ok := u.machineIndex(machine); ok {
+		u.Machines = slices.Delete(u.Machines, i, i+1)
 	}
 }
 
-// AdoptedGroupName names the group of a machine that was found, not rented. A late
-// copy of the commit that made it must find it still there: only what is rented
-// is guarded on an intent besides, so an adopted machine's group is not absorbed.
-func AdoptedGroupName(machine wire.MachineID) string { return adoptedGroupPrefix + string(machine) }
-
 const adoptedGroupPrefix = "a."
 
+// AdoptedGroupName returns the name of the group of a machine that was found, not provisioned. A
+// late copy of the commit that created the group must find it still there: only what is
+// provisioned is conditional on an intent besides, so an adopted machine's group is not merged
+// into another.
+func AdoptedGroupName(machine wire.MachineID) string { return adoptedGroupPrefix + string(machine) }
+
 // MustKeepKey tells whether the group must keep its key while it has machines.
-func (d *GroupUpdate) MustKeepKey() bool { return strings.HasPrefix(d.Name, adoptedGroupPrefix) }
+func (u *GroupUpdate) MustKeepKey() bool { return strings.HasPrefix(u.Name, adoptedGroupPrefix) }
 
-// AllMachinesStarted tells whether all machines of the group have been up: from then on
-// nothing but the billing of idle ones asks when they were rented.
-func (d *GroupUpdate) AllMachinesStarted() bool {
-	return !slices.ContainsFunc(d.Machines, func(b *Machine) bool { return b.Incarnation == 0 })
+// AllMachinesStarted tells whether all machines of the group have been up: from then on nothing
+// but the billing of idle ones depends on when they were provisioned.
+func (u *GroupUpdate) AllMachinesStarted() bool {
+	return !slices.ContainsFunc(u.Machines, func(m *Machine) bool { return m.Incarnation == 0 })
 }
 
-// Merge takes over everything of another group of the same pool, whose record
-// is to go with the same commit. Every group costs writes of its own, and what
-// is rented in place of lost machines would stay in groups of one.
-func (d *GroupUpdate) Merge(o *GroupUpdate) {
-	for _, b := range o.Machines {
-		n := *b
-		n.encoded = "" // leaves out what the other group's rows had in common
-		i, _ := d.machineIndex(n.Name)
-		d.Machines = slices.Insert(d.Machines, i, &n)
+// Merge takes over the contents of another group of the same pool, which the same commit is to
+// delete. Every group costs writes of its own, and replacements of lost machines would stay in
+// groups of one.
+func (u *GroupUpdate) Merge(other *GroupUpdate) {
+	for _, m := range other.Machines {
+		moved := *m
+		moved.encoded = "" // with other affixes
+		i, _ := u.machineIndex(moved.Name)
+		u.Machines = slices.Insert(u.Machines, i, &moved)
 	}
-	for job, ns := range o.Completions {
-		for _, n := range ns {
-			d.MarkCompleted(job, n)
+	for job, tasks := range other.Completions {
+		for _, task := range tasks {
+			u.MarkCompleted(job, task)
 		}
 	}
-	d.Terminations = append(d.Terminations, o.Terminations...)
-	d.ProvisionedAt = min(d.ProvisionedAt, o.ProvisionedAt)
+	u.Terminations = append(u.Terminations, other.Terminations...)
+	u.ProvisionedAt = min(u.ProvisionedAt, other.ProvisionedAt)
 }
 
-// MarkCompleted notes a completed task.
-func (d *GroupUpdate) MarkCompleted(job wire.JobID, n int) {
-	ns := d.Completions[job]
-	if i, ok := slices.BinarySearch(ns, n); !ok {
-		d.Completions[job] = slices.Insert(slices.Clone(ns), i, n)
+// MarkCompleted adds a completed task.
+func (u *GroupUpdate) MarkCompleted(job wire.JobID, task int) {
+	tasks := u.Completions[job]
+	if i, ok := slices.BinarySearch(tasks, task); !ok {
+		u.Completions[job] = slices.Insert(slices.Clone(tasks), i, task)
 	}
 }
 
-func (d *GroupUpdate) machineIndex(machine wire.MachineID) (int, bool) {
-	return slices.BinarySearchFunc(d.Machines, machine, func(b *Machine, m wire.MachineID) int { return strings.Compare(string(b.Name), string(m)) })
+func (u *GroupUpdate) machineIndex(machine wire.MachineID) (int, bool) {
+	return slices.BinarySearchFunc(u.Machines, machine, func(m *Machine, name wire.MachineID) int {
+		return strings.Compare(string(m.Name), string(name))
+	})
 }
 
-// TrimToFit drops what is only worth knowing until the record is within limit
-// bytes; false when it can't be made to fit.
-func (d *GroupUpdate) TrimToFit(limit int) bool {
-	size := d.EncodedSize()
-	for size > limit && len(d.Terminations) > 0 {
-		size -= TerminationBytes(&d.Terminations[len(d.Terminations)-1])
-		d.Terminations = d.Terminations[:len(d.Terminations)-1]
+// TrimToFit drops terminations until the record is within limit bytes. It returns false if
+// that is not enough.
+func (u *GroupUpdate) TrimToFit(limit int) bool {
+	size := u.EncodedSize()
+	for size > limit && len(u.Terminations) > 0 {
+		last := len(u.Terminations) - 1
+		size -= TerminationBytes(&u.Terminations[last])
+		u.Terminations = u.Terminations[:last]
 	}
 	return size <= limit
 }
 
 // Empty tells whether nothing is left that has to be kept.
-func (d *GroupUpdate) Empty() bool { return len(d.Machines) == 0 && len(d.Completions) == 0 }
+func (u *GroupUpdate) Empty() bool { return len(u.Machines) == 0 && len(u.Completions) == 0 }
 
-// AddDeletionTo makes the removal of an absorbed group part of a commit.
-func (d *GroupUpdate) AddDeletionTo(c *Commit) {
-	key := Key(KindMachineGroup, d.Name)
-	c.Preconditions = append(c.Preconditions, wire.Precondition{Key: key, ModRevision: d.ModRevision})
-	c.Deletes = append(c.Deletes, key)
-}
-
-// AddTo makes the rewrite part of a commit, guarded on the group as it was.
-func (d *GroupUpdate) AddTo(c *Commit) {
-	if d.Empty() {
-		d.AddDeletionTo(c)
+// AddTo adds the group's new record to a commit, or its deletion if it is empty, conditional on
+// the former record.
+func (u *GroupUpdate) AddTo(c *Commit) {
+	if u.Empty() {
+		u.AddDeletionTo(c)
 		return
 	}
-	key := Key(KindMachineGroup, d.Name)
-	c.Preconditions = append(c.Preconditions, wire.Precondition{Key: key, ModRevision: d.ModRevision})
-	c.Puts = append(c.Puts, Put{Key: key, Record: &d.MachineGroup})
+	c.Puts = append(c.Puts, Put{Key: u.addPreconditionTo(c), Record: &u.MachineGroup})
+}
+
+// AddDeletionTo adds the deletion of the group to a commit, conditional on the former record.
+func (u *GroupUpdate) AddDeletionTo(c *Commit) {
+	c.Deletes = append(c.Deletes, u.addPreconditionTo(c))
+}
+
+// addPreconditionTo makes a commit conditional on the former record, and returns its key.
+func (u *GroupUpdate) addPreconditionTo(c *Commit) string {
+	key := Key(KindMachineGroup, u.Name)
+	c.Preconditions = append(c.Preconditions, wire.Precondition{Key: key, ModRevision: u.ModRevision})
+	return key
 }
--- a/internal/statecache/machine_codec.go
+++ b/internal/statecache/machine_codec.go
@@ -2,113 +2,138 @@
 
 import (
 	"errors"
-	"fmt"
 	"strconv"
 	"strings"
 
 	"lynxledge/wire"
 )
 
-// Jobs stand in rows without what all their names begin with.
+// jobPrefix is what all job IDs begin with. Entries leave it out.
 const jobPrefix = "req-"
 
-const noAddress = "-"
+// none stands for a field without a value.
+const none = "-"
 
-// encode writes a row, without what all have in common: name, address, session, token, flags and drain, then
-// the tasks, each with its attempt and perhaps its stop. Tokens are written in
-// base 36; attempts and stops as what they lie below the row's token.
-func (b *Machine) encode(a affixes) string {
-	s := make([]byte, 0, 64+24*len(b.Bindings))
-	s = append(s, string(b.Name)[len(a.Name):]...)
+// Flags of a machine's entry.
+const (
+	suspectedFlag   = 'q'
+	terminatingFlag = 'c'
+)
+
+// machineFields is the number of fields of an entry before its bindings.
+const machineFields = 5
+
+// encode encodes the machine's entry in its group's record, without what the affixes say: name,
+// address, incarnation, fencing token, flags and drain reason, and the bindings. Tokens are
+// written in base 36.
+func (m *Machine) encode(a affixes) string {
+	s := make([]byte, 0, 64+24*len(m.Bindings))
+	s = append(s, string(m.Name)[len(a.Name):]...)
 	s = append(s, ' ')
-	if b.Address == "" {
-		s = append(s, noAddress...)
+	if m.Address == "" {
+		s = append(s, none...)
 	} else {
-		s = append(s, b.Address[len(a.Address):len(b.Address)-len(a.Port)]...)
+		s = append(s, m.Address[len(a.Address):len(m.Address)-len(a.Port)]...)
 	}
 	s = append(s, ' ')
-	s = strconv.AppendUint(s, b.Incarnation, 10)
+	s = strconv.AppendUint(s, m.Incarnation, 10)
 	s = append(s, ' ')
-	s = strconv.AppendUint(s, b.FencingToken-a.TokenBase, 36)
+	s = strconv.AppendUint(s, m.FencingToken-a.TokenBase, 36)
 	s = append(s, ' ')
-	at := len(s)
-	if b.Suspected {
-		s = append(s, 'q')
+	s = m.appendStatus(s)
+	for i := range m.Bindings {
+		s = append(s, ' ')
+		s = m.Bindings[i].appendTo(s, m.FencingToken)
 	}
-	if b.Terminating {
-		s = append(s, 'c')
+	return string(s)
+}
+
+// appendStatus appends the flags and the drain reason.
+func (m *Machine) appendStatus(s []byte) []byte {
+	empty := len(s)
+	if m.Suspected {
+		s = append(s, suspectedFlag)
+	}
+	if m.Terminating {
+		s = append(s, terminatingFlag)
 	}
-	if b.DrainReason != "" {
+	if m.DrainReason != "" {
 		s = append(s, ':')
-		s = append(s, strings.ReplaceAll(b.DrainReason, " ", "-")...)
+		s = append(s, strings.ReplaceAll(m.DrainReason, " ", "-")...)
 	}
-	if len(s) == at {
-		s = append(s, noAddress...)
+	if len(s) == empty {
+		s = append(s, none...)
 	}
-	for i := range b.Bindings {
-		t := &b.Bindings[i]
-		s = append(s, ' ')
-		s = append(s, string(t.Job)[len(jobPrefix):]...)
-		s = append(s, '/')
-		s = strconv.AppendInt(s, int64(t.TaskIndex), 10)
-		s = append(s, '.')
-		s = strconv.AppendUint(s, b.FencingToken-t.Attempt, 36)
-		if t.StopToken > 0 {
-			s = append(s, '!')
-			s = strconv.AppendUint(s, b.FencingToken-t.StopToken, 36)
-			s = append(s, ',')
-			s = strconv.AppendInt(s, int64(t.GraceSeconds), 10)
-		}
+	return s
+}
+
+// appendTo appends the binding: its task, its attempt, and its stop if it has one. Attempt and
+// stop token are written as their distance from the machine's token.
+func (b *TaskBinding) appendTo(s []byte, machineToken uint64) []byte {
+	s = append(s, string(b.Job)[len(jobPrefix):]...)
+	s = append(s, '/')
+	s = strconv.AppendInt(s, int64(b.TaskIndex), 10)
+	s = append(s, '.')
+	s = strconv.AppendUint(s, machineToken-b.Attempt, 36)
+	if b.StopToken > 0 {
+		s = append(s, '!')
+		s = strconv.AppendUint(s, machineToken-b.StopToken, 36)
+		s = append(s, ',')
+		s = strconv.AppendInt(s, int64(b.GraceSeconds), 10)
 	}
-	return string(s)
+	return s
 }
 
-func decodeMachine(row string, a affixes) (*Machine, error) {
-	f := strings.Split(row, " ")
-	if len(f) < 5 {
-		return nil, fmt.Errorf("row %.80q", row)
-	}
-	b := &Machine{Name: wire.MachineID(a.Name + f[0]), encoded: row}
-	if f[1] != noAddress {
-		b.Address = a.Address + f[1] + a.Port
-	}
-	var err, err2 error
-	b.Incarnation, err = strconv.ParseUint(f[2], 10, 64)
-	b.FencingToken, err2 = strconv.ParseUint(f[3], 36, 64)
-	if err = errors.Join(err, err2); err != nil {
-		return nil, err
-	}
-	b.FencingToken += a.TokenBase
-	if f[4] != noAddress {
-		flags, drain, _ := strings.Cut(f[4], ":")
-		b.Suspected, b.Terminating, b.DrainReason = strings.Contains(flags, "q"), strings.Contains(flags, "c"), drain
-	}
-	if len(f) > 5 {
-		b.Bindings = make([]TaskBinding, len(f)-5)
-	}
-	for i, s := range f[5:] {
-		if b.Bindings[i], err = decodeBinding(s, b.FencingToken); err != nil {
+// decodeMachine decodes a machine's entry.
+func decodeMachine(entry string, a affixes) (*Machine, error) {
+	fields := strings.Split(entry, " ")
+	if len(fields) < machineFields {
+		return nil, malformed("machine", entry, nil)
+	}
+	m := &Machine{Name: wire.MachineID(a.Name + fields[0]), encoded: entry}
+	if fields[1] != none {
+		m.Address = a.Address + fields[1] + a.Port
+	}
+	var err, tokenErr error
+	m.Incarnation, err = strconv.ParseUint(fields[2], 10, 64)
+	m.FencingToken, tokenErr = strconv.ParseUint(fields[3], 36, 64)
+	if err = errors.Join(err, tokenErr); err != nil {
+		return nil, malformed("machine", entry, err)
+	}
+	m.FencingToken += a.TokenBase
+	if fields[4] != none {
+		flags, drain, _ := strings.Cut(fields[4], ":")
+		m.Suspected, m.Terminating, m.DrainReason = strings.ContainsRune(flags, suspectedFlag), strings.ContainsRune(flags, terminatingFlag), drain
+	}
+	if len(fields) > machineFields {
+		m.Bindings = make([]TaskBinding, len(fields)-machineFields)
+	}
+	for i, field := range fields[machineFields:] {
+		if m.Bindings[i], err = decodeBinding(field, m.FencingToken); err != nil {
 			return nil, err
 		}
 	}
-	return b, nil
+	return m, nil
 }
 
-func decodeBinding(s string, token uint64) (TaskBinding, error) {
-	name, rest, _ := strings.Cut(s, ".")
-	job, n, ok := wire.ParseTaskID(wire.TaskID(jobPrefix + name))
+func decodeBinding(field string, machineToken uint64) (TaskBinding, error) {
+	task, rest, _ := strings.Cut(field, ".")
+	job, index, ok := wire.ParseTaskID(wire.TaskID(jobPrefix + task))
 	if !ok {
-		return TaskBinding{}, fmt.Errorf("task %.40q", s)
+		return TaskBinding{}, malformed("binding", field, nil)
 	}
 	attempt, stop, stopped := strings.Cut(rest, "!")
-	d, err := strconv.ParseUint(attempt, 36, 64)
-	t := TaskBinding{Job: job, TaskIndex: n, Attempt: token - d}
+	distance, err := strconv.ParseUint(attempt, 36, 64)
+	b := TaskBinding{Job: job, TaskIndex: index, Attempt: machineToken - distance}
 	if stopped && err == nil {
-		at, grace, _ := strings.Cut(stop, ",")
-		if d, err = strconv.ParseUint(at, 36, 64); err == nil {
-			t.StopToken = token - d
-			t.GraceSeconds, err = strconv.Atoi(grace)
+		token, grace, _ := strings.Cut(stop, ",")
+		if distance, err = strconv.ParseUint(token, 36, 64); err == nil {
+			b.StopToken = machineToken - distance
+			b.GraceSeconds, err = strconv.Atoi(grace)
 		}
 	}
-	return t, err
+	if err != nil {
+		return b, malformed("binding", field, err)
+	}
+	return b, nil
 }
--- a/internal/zonecontrol/controller_test.go
+++ b/internal/zonecontrol/controller_test.go
@@ -68,11 +68,11 @@
 }
 
 func (m *member) lead(term uint64) {
-	m.put(statecache.Put{Key: statecache.LeaderKey, Record: statecache.Leader{Member: m.name, Incarnation: m.boot, Term: term}}, statecache.Put{Key: statecache.TermKey, Record: statecache.Term{Number: term}})
+	m.put(statecache.Put{Key: statecache.LeaderKey, Record: &statecache.Leader{Member: m.name, Incarnation: m.boot, Term: term}}, statecache.Put{Key: statecache.TermKey, Record: &statecache.Term{Number: term}})
 }
 
 func announce(name string, boot uint64, capabilities ...string) statecache.Put {
-	return statecache.Put{Key: statecache.Key(statecache.KindMember, name), Record: statecache.Member{Incarnation: boot, Capabilities: capabilities}}
+	return statecache.Put{Key: statecache.Key(statecache.KindMember, name), Record: &statecache.Member{Incarnation: boot, Capabilities: capabilities}}
 }
 
 func machines(zone wire.Zone, n int) (statecache.Put, []wire.MachineID) {
@@ -150,6 +150,15 @@
 	})
 }
 
+// recordOfLaterVersion is a record in a layout that this version does not know.
+type recordOfLaterVersion struct {
+	statecache.Record
+	value map[string]any
+}
+
+// MarshalJSON writes the value.
+func (r recordOfLaterVersion) MarshalJSON() ([]byte, error) { return json.Marshal(r.value) }
+
 // A record of another layout is left alone, and nothing follows from it.
 func TestUnreadableRecordIsLeftAlone(t *testing.T) {
 	in(t, func(b *bench) {
@@ -157,7 +166,7 @@
 		groupA, _ := machines("a", 8)
 		groupB, heard := machines("b", 8)
 		later := map[string]any{"v": 2, "zones": map[string]string{"a": "lost"}}
-		m.put(groupA, groupB, announce("n0", 1, statecache.CapabilityZoneRecovery), statecache.Put{Key: statecache.ZoneRecoveryKey, Record: later})
+		m.put(groupA, groupB, announce("n0", 1, statecache.CapabilityZoneRecovery), statecache.Put{Key: statecache.ZoneRecoveryKey, Record: recordOfLaterVersion{value: later}})
 		m.lead(1)
 		hear(30, m, heard)
 		if got, _ := json.Marshal(later); string(b.state.Value(statecache.ZoneRecoveryKey)) != string(got) {
@@ -212,7 +221,7 @@
 		m := b.member("n0", 1)
 		groupB, heard := machines("b", 8)
 		lost := &statecache.ZoneRecoveries{LayoutVersion: statecache.ZoneRecoveryLayoutVersion, Term: 1, Serial: 4, Zones: []statecache.ZoneRecovery{
-			{Zone: "a", Phase: "lost", Since: time.Now().UnixMilli(), Losses: 1},
+			{Zone: "a", Phase: "lost", Since: statecache.TimestampOf(time.Now()), Losses: 1},
 		}}
 		m.put(groupB, announce("n0", 1, statecache.CapabilityZoneRecovery), statecache.Put{Key: statecache.ZoneRecoveryKey, Record: lost})
 		m.lead(2)
--- a/internal/zonecontrol/record.go
+++ b/internal/zonecontrol/record.go
@@ -125,7 +125,7 @@
 	return statecache.ZoneRecovery{
 		Zone:      name,
 		Phase:     status.Phase.String(),
-		Since:     status.Since.UnixMilli(),
+		Since:     statecache.TimestampOf(status.Since),
 		Losses:    status.Losses,
 		HoldUntil: milliseconds(status.HoldUntil),
 		Step:      status.Step,
@@ -147,7 +147,7 @@
 		}
 		statuses[z.Zone] = zonehealth.Status{
 			Phase:     phase,
-			Since:     time.UnixMilli(z.Since),
+			Since:     z.Since.Time(),
 			Losses:    z.Losses,
 			HoldUntil: timeOf(z.HoldUntil),
 			Step:      z.Step,
@@ -164,16 +164,16 @@
 		a.HoldUntil == b.HoldUntil && a.Step == b.Step
 }
 
-func milliseconds(t time.Time) int64 {
+func milliseconds(t time.Time) statecache.Timestamp {
 	if t.IsZero() {
 		return 0
 	}
-	return t.UnixMilli()
+	return statecache.TimestampOf(t)
 }
 
-func timeOf(ms int64) time.Time {
+func timeOf(ms statecache.Timestamp) time.Time {
 	if ms == 0 {
 		return time.Time{}
 	}
-	return time.UnixMilli(ms)
+	return ms.Time()
 }
