--- a/internal/actor/actor.go
+++ b/internal/actor/actor.go
@@ -1,5 +1,5 @@
-// Package actor runs goroutines that own their state and are spoken to by
-// messages. A message is a function run by the owner, one at a time.
+// Package actor runs goroutines that own their state and communicate by messages. A message is a
+// function that the owner runs, one at a time.
 package actor
 
 import (
@@ -9,14 +9,14 @@
 	"time"
 )
 
-// Actor is one mailbox with one owner.
+// Actor is a goroutine with a mailbox.
 type Actor struct {
 	name    string
 	mailbox chan func()
 	done    <-chan struct{}
 }
 
-// Start runs an actor with a mailbox of the given size until ctx ends.
+// Start starts an actor with a mailbox of the given size. It runs until ctx ends.
 func Start(ctx context.Context, name string, size int) *Actor {
 	a := &Actor{name: name, mailbox: make(chan func(), size), done: ctx.Done()}
 	go a.loop()
@@ -28,65 +28,66 @@
 		select {
 		case <-a.done:
 			return
-		case f := <-a.mailbox:
-			a.handle(f)
+		case message := <-a.mailbox:
+			a.handle(message)
 		}
 	}
 }
 
-// handle keeps one bad message from ending the process.
-func (a *Actor) handle(f func()) {
+// handle runs a message. One that panics is logged and does not end the process.
+func (a *Actor) handle(message func()) {
 	defer func() {
 		if p := recover(); p != nil {
 			slog.Error("message failed", "actor", a.name, "panic", p, "stack", string(debug.Stack()))
 		}
 	}()
-	f()
+	message()
 }
 
-// Post leaves a message if the mailbox has room.
-func (a *Actor) Post(f func()) bool {
+// Post sends a message if the mailbox has room, and tells whether it had.
+func (a *Actor) Post(message func()) bool {
 	select {
-	case a.mailbox <- f:
+	case a.mailbox <- message:
 		return true
 	default:
 		return false
 	}
 }
 
-// Send leaves a message, waiting for room.
-func (a *Actor) Send(f func()) {
+// Send sends a message. It waits until the mailbox has room or the actor has ended.
+func (a *Actor) Send(message func()) {
 	select {
-	case a.mailbox <- f:
+	case a.mailbox <- message:
 	case <-a.done:
 	}
 }
 
-// After leaves a message once d has passed.
-func (a *Actor) After(d time.Duration, f func()) { time.AfterFunc(d, func() { a.Send(f) }) }
+// After sends a message once d has passed.
+func (a *Actor) After(d time.Duration, message func()) {
+	time.AfterFunc(d, func() { a.Send(message) })
+}
 
-// Every leaves a message now and then every d, skipping beats while an
-// earlier one is still waiting.
-func (a *Actor) Every(d time.Duration, f func()) {
-	var tick func()
-	tick = func() {
+// Every sends a message now, and again d after each time it has run.
+func (a *Actor) Every(d time.Duration, message func()) {
+	var next func()
+	next = func() {
 		a.Send(func() {
-			f()
-			time.AfterFunc(d, tick)
+			message()
+			time.AfterFunc(d, next)
 		})
 	}
-	tick()
+	next()
 }
 
-// Ask runs f inside the actor and waits for its result; ok is false when the
-// mailbox is full or the actor has ended.
+// Ask runs f in the actor and waits for its reply. ok is false if the mailbox is full or the
+// actor has ended.
 func Ask[T any](a *Actor, f func(reply func(T))) (v T, ok bool) {
-	ch := make(chan T, 1)
-	if !a.Post(func() { f(func(v T) { ch <- v }) }) {
+	replies := make(chan T, 1)
+	if !a.Post(func() { f(func(v T) { replies <- v }) }) {
 		return v, false
 	}
 	select {
-	case v = <-ch:
+	case v = <-replies:
 		return v, true
 	case <-a.done:
 		return v, false
--- a/internal/cloud/catalog.go
+++ b/internal/cloud/catalog.go
@@ -21,32 +21,41 @@
 	subscribers []func([]wire.MachineType)
 }
 
-// NewCatalog makes a catalog; Subscribe before Run.
-func NewCatalog(ctx context.Context, c MachineTypeLister) *Catalog {
-	return &Catalog{Actor: actor.Start(ctx, "catalog", 16), client: c}
+// NewCatalog starts a catalog's actor until the context ends. Subscribe before Run.
+func NewCatalog(ctx context.Context, client MachineTypeLister) *Catalog {
+	return &Catalog{Actor: actor.Start(ctx, "catalog", 16), client: client}
 }
 
-// Subscribe registers a receiver of the types.
+// Subscribe registers a receiver of the machine types. All receivers share the slice.
 func (c *Catalog) Subscribe(f func([]wire.MachineType)) { c.subscribers = append(c.subscribers, f) }
 
-// Run reads the types every period, and oftener until it has them.
+// Run reads the machine types every period, and after a failure every retry, until the actor
+// ends.
 func (c *Catalog) Run(ctx context.Context, period, retry time.Duration) {
-	types, err := c.client.MachineTypes(ctx)
 	next := period
-	if err != nil || len(types) == 0 {
-		slog.Info("machine types not read", "err", err, "types", len(types))
+	if types, err := c.client.MachineTypes(ctx); err != nil || len(types) == 0 {
+		slog.Info("machine types not read", "error", err, "count", len(types))
 		next = retry
 	} else {
-		// A slice of its own: the lister may keep, and hand out again, the one it returned.
-		valid := make([]wire.MachineType, 0, len(types))
-		for _, t := range types {
-			if t.Name != "" && t.CPUs > 0 && t.MemoryGB >= 0 && t.HourlyPrice >= 0 && len(t.Zones) > 0 {
-				valid = append(valid, t)
-			}
-		}
-		for _, f := range c.subscribers {
-			f(valid)
-		}
+		c.publish(validTypes(types))
 	}
 	c.After(next, func() { go c.Run(ctx, period, retry) })
 }
+
+func (c *Catalog) publish(types []wire.MachineType) {
+	for _, f := range c.subscribers {
+		f(types)
+	}
+}
+
+// validTypes returns the valid types in a slice of their own: the lister may keep the one that it
+// returned, and return it again.
+func validTypes(types []wire.MachineType) []wire.MachineType {
+	valid := make([]wire.MachineType, 0, len(types))
+	for _, t := range types {
+		if t.Name != "" && t.CPUs > 0 && t.MemoryGB >= 0 && t.HourlyPrice >= 0 && len(t.Zones) > 0 {
+			valid = append(valid, t)
+		}
+	}
+	return valid
+}
--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -1,10 +1,7 @@
 package kvstore
 
 import (
-	"bytes"
 	"context"
-	"encoding/json"
-	"errors"
 	"fmt"
 	"net/http"
 	"net/url"
@@ -17,100 +14,45 @@
 	"lynxledge/wire"
 )
 
-// Errors that callers tell apart. ErrRefused: certainly not executed.
-// Any other error of a change: it may have been executed, or may be yet.
-var (
-	ErrRejected          = errors.New("state service refused the request")
-	ErrThrottled         = fmt.Errorf("%w: its rate is used up", ErrRejected)
-	ErrNotFound          = errors.New("not found")
-	ErrRevisionCompacted = errors.New("revision too old to follow")
-	ErrLeaseNotFound     = errors.New("no such lease")
-	ErrInvalidRequest    = errors.New("state service calls the request malformed")
-)
-
-// ConflictError says that guards failed.
-type ConflictError struct {
-	FailedKeys []string
-	Revision   uint64
-}
+// idleConns is the number of idle connections to the store that are kept open.
+const idleConns = 8
 
-func (c *ConflictError) Error() string { return fmt.Sprintf("guards failed: %v", c.FailedKeys) }
-
-// Client talks to the state service.
+// Client is the client of the key-value store.
 type Client struct {
-	baseURL        string
-	httpClient     *http.Client
-	requestLimiter *rate.Limiter
-	writeLimiter   *rate.Limiter
-	timeout        time.Duration
+	service      *httpjson.Service
+	writeLimiter *rate.Limiter
+	timeout      time.Duration
 }
 
-// New makes a client that never asks for more than the service's rates. That
-// the controllers together keep to them is the callers' concern.
-func New(addr string, rps, writeRPS float64, maxOps int, timeout time.Duration) *Client {
+// New returns a client that never exceeds the store's rates of requests and writes. That the
+// controllers together keep to them is the callers' concern.
+func New(addr string, requestRate, writeRate float64, maxTxnOps int, timeout time.Duration) *Client {
 	return &Client{
-		baseURL: "http://" + addr, httpClient: httpjson.Client(timeout, 8, 0), timeout: timeout,
-		requestLimiter: rate.NewLimiter(rate.Limit(rps), max(1, int(rps))),
-		writeLimiter:   rate.NewLimiter(rate.Limit(writeRPS), max(maxOps, int(writeRPS))),
+		service:      httpjson.NewService(addr, requestRate, timeout, idleConns),
+		writeLimiter: rate.NewLimiter(rate.Limit(writeRate), max(maxTxnOps, int(writeRate))),
+		timeout:      timeout,
 	}
 }
 
 func (c *Client) call(ctx context.Context, timeout time.Duration, method, path string, in, out any) error {
-	if err := c.requestLimiter.Wait(ctx); err != nil {
-		return fmt.Errorf("%w: %v", ErrRejected, err)
-	}
-	status, b, err := httpjson.Call(ctx, c.httpClient, timeout, method, c.baseURL+path, in)
-	if errors.Is(err, httpjson.ErrNotSent) {
-		return fmt.Errorf("%w: %v", ErrInvalidRequest, err)
-	}
-	if err != nil {
-		return err
-	}
-	switch status {
-	case http.StatusOK:
-		if out == nil {
-			return nil
-		}
-		return json.Unmarshal(b, out)
-	case http.StatusNotFound:
-		return ErrNotFound
-	case http.StatusGone:
-		return ErrRevisionCompacted
-	case http.StatusConflict:
-		var r wire.TxnResponse
-		if err := json.Unmarshal(b, &r); err != nil {
-			return err
-		}
-		return &ConflictError{FailedKeys: r.FailedKeys, Revision: r.Revision}
-	case http.StatusTooManyRequests:
-		return ErrThrottled
-	case http.StatusServiceUnavailable:
-		return fmt.Errorf("%w: %d", ErrRejected, status)
-	case http.StatusBadRequest:
-		if bytes.Contains(b, []byte("no such lease")) {
-			return ErrLeaseNotFound
-		}
-		return fmt.Errorf("%w: %.200s", ErrInvalidRequest, b)
-	default:
-		return fmt.Errorf("status %d", status)
-	}
+	return translate(c.service.Call(ctx, timeout, method, path, in, out))
 }
 
-// List reads a page of keys.
+// List reads a page of the keys with a prefix, in order, after a key.
 func (c *Client) List(ctx context.Context, prefix, after string, limit int) (*wire.RangeResponse, error) {
-	q := url.Values{"prefix": {prefix}, "most": {strconv.Itoa(limit)}}
+	query := url.Values{"prefix": {prefix}, "most": {strconv.Itoa(limit)}}
 	if after != "" {
-		q.Set("after", after)
+		query.Set("after", after)
 	}
 	var out wire.RangeResponse
-	return &out, c.call(ctx, 2*c.timeout, http.MethodGet, "/kv?"+q.Encode(), nil, &out)
+	return &out, c.call(ctx, 2*c.timeout, http.MethodGet, "/kv?"+query.Encode(), nil, &out)
 }
 
-// Commit applies a transaction.
+// Commit executes a transaction if all its preconditions hold, and returns its revision.
 func (c *Client) Commit(ctx context.Context, txn *wire.Txn) (uint64, error) {
 	if n := len(txn.Writes); n > 0 {
-		if err := c.writeLimiter.WaitN(ctx, min(n, c.writeLimiter.Burst())); err != nil {
-			return 0, fmt.Errorf("%w: %v", ErrRejected, err)
+		if err := httpjson.Wait(ctx, c.writeLimiter, min(n, c.writeLimiter.Burst())); err != nil {
+			return 0, translate(err)
 		}
 	}
 	if txn.Preconditions == nil {
@@ -121,21 +63,21 @@
 	return out.Revision, err
 }
 
-// Watch waits up to hold for changes after a revision.
+// Watch returns the changes after a revision to keys with a prefix. It waits up to hold for one.
 func (c *Client) Watch(ctx context.Context, prefix string, after uint64, hold time.Duration) (*wire.WatchResponse, error) {
-	p := fmt.Sprintf("/follow?prefix=%s&after=%d&holdMs=%d", url.QueryEscape(prefix), after, hold.Milliseconds())
+	path := fmt.Sprintf("/follow?prefix=%s&after=%d&holdMs=%d", url.QueryEscape(prefix), after, hold.Milliseconds())
 	var out wire.WatchResponse
-	return &out, c.call(ctx, hold+c.timeout, http.MethodGet, p, nil, &out)
+	return &out, c.call(ctx, hold+c.timeout, http.MethodGet, path, nil, &out)
 }
 
-// GrantLease makes a lease.
+// GrantLease grants a lease and returns its ID.
 func (c *Client) GrantLease(ctx context.Context, ttl time.Duration) (uint64, error) {
 	var out wire.LeaseGrantResponse
 	err := c.call(ctx, c.timeout, http.MethodPost, "/leases", wire.LeaseGrantRequest{TTLMillis: ttl.Milliseconds()}, &out)
 	return out.LeaseID, err
 }
 
-// RenewLease keeps a lease alive; ErrNotFound means that it has ended.
+// RenewLease keeps a lease alive; ErrNotFound means that it has expired.
 func (c *Client) RenewLease(ctx context.Context, lease uint64) error {
 	return c.call(ctx, c.timeout, http.MethodPost, fmt.Sprintf("/leases/%d/touch", lease), nil, nil)
 }
