--- /dev/null
+++ b/internal/election/assignment.go
@@ -0,0 +1,77 @@
+package election
+
+import (
+	"log/slog"
+
+	"lynxledge/internal/statecache"
+	"lynxledge/wire"
+)
+
+// assignTeams assigns the teams without a live controller to one, as many as a transaction has
+// room for.
+func (e *Election) assignTeams() {
+	c := statecache.Commit{Preconditions: []wire.Precondition{e.leaderPrecondition()}}
+	for team, member := range Assign(e.teams.list(), e.view.Assignments, e.view.Members, e.view.Leader.Member) {
+		if len(c.Puts) == e.options.MaxTxnOps {
+			break
+		}
+		e.addAssignment(&c, team, member)
+		slog.Info("team assigned", "team", team, "member", member)
+	}
+	if len(c.Puts) > 0 {
+		e.commit(c, nil)
+	}
+}
+
+func (e *Election) addAssignment(c *statecache.Commit, team wire.TeamName, member string) {
+	var revision uint64
+	if former := e.view.Assignments[team]; former != nil {
+		revision = former.ModRevision
+	}
+	key := statecache.Key(statecache.KindAssignment, string(team))
+	c.Preconditions = append(c.Preconditions, wire.Precondition{Key: key, ModRevision: revision})
+	c.Puts = append(c.Puts, statecache.Put{Key: key, Record: &statecache.Assignment{
+		Member: member, Incarnation: e.view.Members[member].Incarnation,
+	}})
+}
+
+// Assign returns the teams that need another controller, and which. All are assigned to one, since
+// a group of machines is best written by one controller alone; it keeps them while it lives.
+func Assign(teams []wire.TeamName, assignments map[wire.TeamName]*statecache.Assignment, members map[string]*statecache.Member, leader string) map[wire.TeamName]string {
+	moves := map[wire.TeamName]string{}
+	if len(members) == 0 {
+		return moves
+	}
+	isLive := func(a *statecache.Assignment) bool {
+		return a != nil && members[a.Member] != nil && members[a.Member].Incarnation == a.Incarnation
+	}
+	assigned := map[string]int{} // teams that a live controller has
+	for _, team := range teams {
+		if a := assignments[team]; isLive(a) {
+			assigned[a.Member]++
+		}
+	}
+	scheduler := chooseScheduler(members, assigned, leader)
+	for _, team := range teams {
+		if a := assignments[team]; !isLive(a) || a.Member != scheduler {
+			moves[team] = scheduler
+		}
+	}
+	return moves
+}
+
+// chooseScheduler returns the member with the most teams assigned. Of equal ones that is rather
+// another than the leader, which has work enough, and the first by name.
+func chooseScheduler(members map[string]*statecache.Member, assigned map[string]int, leader string) string {
+	best := ""
+	for member := range members {
+		switch {
+		case best == "" || assigned[member] > assigned[best]:
+			best = member
+		case assigned[member] < assigned[best]:
+		case member != leader && (best == leader || member < best):
+			best = member
+		}
+	}
+	return best
+}
--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -13,54 +13,54 @@
 	"lynxledge/wire"
 )
 
-// After an assignment all teams are with one live controller, one that had
-// some already if any did, and a second assignment changes nothing.
+// After an assignment one live controller has all teams, one that had some
+// already if any did, and a second assignment changes nothing.
 func TestAssign(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		members := map[string]*statecache.Member{}
 		for i := range rapid.IntRange(1, 5).Draw(t, "members") {
-			members[fmt.Sprint("m", i)] = &statecache.Member{Incarnation: uint64(i + rapid.IntRange(0, 1).Draw(t, "boot")*10)}
+			members[fmt.Sprint("m", i)] = &statecache.Member{Incarnation: uint64(i + rapid.IntRange(0, 1).Draw(t, "incarnation")*10)}
 		}
-		hands := map[wire.TeamName]*statecache.Assignment{}
+		assignments := map[wire.TeamName]*statecache.Assignment{}
 		var teams []wire.TeamName
 		for i := range rapid.IntRange(1, 8).Draw(t, "teams") {
 			team := wire.TeamName(fmt.Sprint("t", i))
 			teams = append(teams, team)
-			if m := rapid.IntRange(0, 6).Draw(t, "holder"); m < 6 {
-				hands[team] = &statecache.Assignment{Member: fmt.Sprint("m", m), Incarnation: uint64(m)}
+			if m := rapid.IntRange(0, 6).Draw(t, "assigned to"); m < 6 {
+				assignments[team] = &statecache.Assignment{Member: fmt.Sprint("m", m), Incarnation: uint64(m)}
 			}
 		}
 		live := map[string]bool{}
-		for _, h := range hands {
-			if m := members[h.Member]; m != nil && m.Incarnation == h.Incarnation {
-				live[h.Member] = true
+		for _, a := range assignments {
+			if m := members[a.Member]; m != nil && m.Incarnation == a.Incarnation {
+				live[a.Member] = true
 			}
 		}
-		for team, m := range Assign(teams, hands, members, "m0") {
-			hands[team] = &statecache.Assignment{Member: m, Incarnation: members[m].Incarnation}
+		for team, m := range Assign(teams, assignments, members, "m0") {
+			assignments[team] = &statecache.Assignment{Member: m, Incarnation: members[m].Incarnation}
 		}
 		for _, team := range teams {
-			h := hands[team]
-			if members[h.Member] == nil || members[h.Member].Incarnation != h.Incarnation {
-				t.Fatalf("%s is with %+v", team, h)
+			a := assignments[team]
+			if members[a.Member] == nil || members[a.Member].Incarnation != a.Incarnation {
+				t.Fatalf("%s is assigned to %+v", team, a)
 			}
-			if h.Member != hands[teams[0]].Member {
-				t.Fatalf("two controllers place: %v", hands)
+			if a.Member != assignments[teams[0]].Member {
+				t.Fatalf("two controllers schedule: %v", assignments)
 			}
-			if len(live) > 0 && !live[h.Member] {
+			if len(live) > 0 && !live[a.Member] {
 				t.Fatalf("taken from %v for no reason", live)
 			}
-			if len(live) == 0 && h.Member == "m0" && len(members) > 1 {
-				t.Fatal("the leader places, though another could")
+			if len(live) == 0 && a.Member == "m0" && len(members) > 1 {
+				t.Fatal("the leader schedules, though another could")
 			}
 		}
-		if again := Assign(teams, hands, members, "m0"); len(again) > 0 {
+		if again := Assign(teams, assignments, members, "m0"); len(again) > 0 {
 			t.Fatalf("moves again: %v", again)
 		}
 	})
 }
 
-// A team that left the settings keeps its running jobs placed, until the last is over.
+// A team that left the settings keeps its jobs scheduled, until the last is over.
 func TestTeamsOfRunningJobs(t *testing.T) {
 	job := func(team wire.TeamName, state wire.JobState) *statecache.Job {
 		return &statecache.Job{Spec: &wire.Job{Team: team}, State: state}
--- a/internal/election/handover.go
+++ b/internal/election/handover.go
@@ -7,59 +7,59 @@
 	"lynxledge/wire"
 )
 
-// ClaimLeadership runs for the lead although the leader's lease has not ended. That is safe, since
-// the claim is guarded on the leader's record as it stands at this version: from its
-// commit on, every write of the old leader is refused, and its launches carry older
-// tokens. A leader that is alive has lost the lead, no more.
-func (e *Election) ClaimLeadership(version uint64) {
+// ClaimLeadership campaigns although the leader's lease has not expired. That is safe, since the
+// claim is conditional on the leader's record at a revision: from its commit on, every write of
+// the former leader fails, and its launches carry older fencing tokens. A leader that is alive
+// has lost leadership, no more.
+func (e *Election) ClaimLeadership(revision uint64) {
 	e.Post(func() {
-		if e.requestInFlight || e.resigned || e.leaseID == 0 || e.view.Leader == nil || e.view.Leader.ModRevision != version {
+		if e.isBusy() || e.lease.id == 0 || e.view.Leader == nil || e.view.Leader.ModRevision != revision {
 			return
 		}
 		e.campaign()
 	})
 }
 
-// EvictMember ends a member's membership before its lease has ended, if this process leads:
-// its teams are handed to others. The member's record is guarded as it was judged. A
-// member that is alive writes its record again, and may be handed teams again.
-func (e *Election) EvictMember(member string, boot uint64) {
+// EvictMember ends a member's membership before its lease has expired, if this process leads: its
+// teams are assigned to others. That is conditional on the member's record as it was judged. A
+// member that is alive registers again, and may be assigned teams again.
+func (e *Election) EvictMember(name string, incarnation uint64) {
 	e.Post(func() {
-		m := e.view.Members[member]
-		if e.requestInFlight || e.resigned || !IsLeader(e.view, e.options.Incarnation) || m == nil || m.Incarnation != boot {
+		member := e.view.Members[name]
+		if e.isBusy() || !e.isLeader() || member == nil || member.Incarnation != incarnation {
 			return
 		}
-		key := statecache.Key(statecache.KindMember, member)
-		e.commit(statecache.Commit{
-			Preconditions: []wire.Precondition{{Key: statecache.LeaderKey, ModRevision: e.view.Leader.ModRevision}, {Key: key, ModRevision: m.ModRevision}},
-			Deletes:       []string{key},
-		}, func() { slog.Info("member evicted", "member", member, "boot", boot) })
+		c := statecache.Commit{Preconditions: []wire.Precondition{e.leaderPrecondition()}}
+		addDeletion(&c, statecache.Key(statecache.KindMember, name), member.ModRevision)
+		e.commit(c, func() { slog.Info("member evicted", "member", name, "incarnation", incarnation) })
 	})
 }
 
-// Resign gives up the lead and the membership at once, in one write, and claims nothing any
-// more. done is called when that is answered, or need not be written.
+// Resign gives up leadership and membership at once, in one transaction, and claims nothing any
+// more. done is called when that has an outcome, or there is nothing to give up.
 func (e *Election) Resign(done func()) {
 	e.Send(func() {
 		e.resigned = true
 		var c statecache.Commit
-		drop := func(key string, version uint64) {
-			c.Preconditions = append(c.Preconditions, wire.Precondition{Key: key, ModRevision: version})
-			c.Deletes = append(c.Deletes, key)
+		if e.isLeader() {
+			addDeletion(&c, statecache.LeaderKey, e.view.Leader.ModRevision)
 		}
-		if IsLeader(e.view, e.options.Incarnation) {
-			drop(statecache.LeaderKey, e.view.Leader.ModRevision)
-		}
-		if me := e.view.Members[e.options.MemberName]; me != nil && me.Incarnation == e.options.Incarnation {
-			drop(statecache.Key(statecache.KindMember, e.options.MemberName), me.ModRevision)
+		if e.isMember() {
+			addDeletion(&c, statecache.Key(statecache.KindMember, e.options.MemberName), e.view.Members[e.options.MemberName].ModRevision)
 		}
 		if len(c.Deletes) == 0 {
 			done()
 			return
 		}
-		e.cache.Commit(c, func(out statecache.Outcome) {
-			slog.Info("resigned", "records", len(c.Deletes), "stands", out == statecache.Committed)
+		e.cache.Commit(c, func(outcome statecache.Outcome) {
+			slog.Info("membership resigned", "records", len(c.Deletes), "committed", outcome == statecache.Committed)
 			done()
 		})
 	})
 }
+
+// addDeletion adds the deletion of a key to a commit, conditional on its revision.
+func addDeletion(c *statecache.Commit, key string, revision uint64) {
+	c.Preconditions = append(c.Preconditions, wire.Precondition{Key: key, ModRevision: revision})
+	c.Deletes = append(c.Deletes, key)
+}
--- a/internal/election/teams.go
+++ b/internal/election/teams.go
@@ -8,36 +8,37 @@
 	"lynxledge/wire"
 )
 
-// teamList is the teams that need a controller: those of the settings, and those that
-// left them while jobs of theirs run on. It follows the jobs, so nobody has to look
-// through all of them.
+// teamList is the teams that need a controller: those of the settings, and those that left the
+// settings while jobs of theirs are active. It follows the jobs' changes, so that nobody has to
+// look through all jobs.
 type teamList struct {
 	configured []wire.TeamName
-	teamOfJob  map[wire.JobID]wire.TeamName // job that is not over: its team
-	activeJobs map[wire.TeamName]int        // number of such jobs, by team
-	names      []wire.TeamName              // the list as it is, nil once it may have changed
+	teamOfJob  map[wire.JobID]wire.TeamName // of active jobs
+	activeJobs map[wire.TeamName]int
+	names      []wire.TeamName // the list, nil once it may have changed
 }
 
-func newTeamList(settings []wire.TeamName) *teamList {
-	return &teamList{configured: settings, teamOfJob: map[wire.JobID]wire.TeamName{}, activeJobs: map[wire.TeamName]int{}}
+func newTeamList(configured []wire.TeamName) *teamList {
+	return &teamList{configured: configured, teamOfJob: map[wire.JobID]wire.TeamName{}, activeJobs: map[wire.TeamName]int{}}
 }
 
-// apply takes a job's new record over; nil if there is none any more.
+// apply applies a job's new record; nil if it was deleted.
 func (t *teamList) apply(id wire.JobID, j *statecache.Job) {
 	if team, ok := t.teamOfJob[id]; ok {
 		delete(t.teamOfJob, id)
-		t.count(team, -1)
+		t.addJobs(team, -1)
 	}
 	if j != nil && j.Active() && j.Spec != nil {
 		t.teamOfJob[id] = j.Spec.Team
-		t.count(j.Spec.Team, 1)
+		t.addJobs(j.Spec.Team, 1)
 	}
 }
 
-// count adds to a team's jobs. Only the first job and the last may change the list.
-func (t *teamList) count(team wire.TeamName, more int) {
+// addJobs adds to the count of a team's active jobs. Only the first job and the last may change
+// the list.
+func (t *teamList) addJobs(team wire.TeamName, n int) {
 	before := t.activeJobs[team]
-	t.activeJobs[team] += more
+	t.activeJobs[team] += n
 	if t.activeJobs[team] == 0 {
 		delete(t.activeJobs, team)
 	}
@@ -46,7 +47,7 @@
 	}
 }
 
-// list names the teams. The caller leaves the list as it is.
+// list returns the teams. The caller must not change the slice.
 func (t *teamList) list() []wire.TeamName {
 	if t.names != nil {
 		return t.names
