--- a/internal/httpjson/service.go
+++ b/internal/httpjson/service.go
@@ -21,6 +21,7 @@
 	Body       []byte
 }
 
+// Error implements the error interface.
 func (e *StatusError) Error() string { return fmt.Sprintf("status %d: %.200s", e.StatusCode, e.Body) }
 
 // Service is the client of a JSON service that never calls it more often than a rate.
--- a/internal/kvstore/errors.go
+++ b/internal/kvstore/errors.go
@@ -31,6 +31,7 @@
 	Revision   uint64
 }
 
+// Error implements the error interface.
 func (c *ConflictError) Error() string {
 	return fmt.Sprintf("preconditions failed at revision %d: %v", c.Revision, c.FailedKeys)
 }
--- a/internal/statecache/commit_test.go
+++ b/internal/statecache/commit_test.go
@@ -2,78 +2,169 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
+	"strings"
 	"testing"
 	"testing/synctest"
 	"time"
 
 	"lynxledge/internal/kvstore"
+	"lynxledge/internal/simulation"
 	"lynxledge/wire"
 )
 
-// refusingStore answers transactions with the errors given, one after another, and then
-// carries them out.
-type refusingStore struct {
+// rejectingStore answers transactions with the errors given, one after another, and then
+// executes them.
+type rejectingStore struct {
 	Store
-	refusals []error
+	rejections []error
 }
 
-func (s *refusingStore) Commit(context.Context, *wire.Txn) (uint64, error) {
-	if len(s.refusals) == 0 {
+func (s *rejectingStore) Commit(context.Context, *wire.Txn) (uint64, error) {
+	if len(s.rejections) == 0 {
 		return 1, nil
 	}
-	err := s.refusals[0]
-	s.refusals = s.refusals[1:]
+	err := s.rejections[0]
+	s.rejections = s.rejections[1:]
 	return 0, err
 }
 
-// The ledger passes on what refusals say of the limits in force: a size says that the
-// limits to come are there, a rate may say so. Others say nothing.
+// commitAndWait commits, and returns the outcome and how long it took.
+func commitAndWait(cache *Cache, c Commit) (Outcome, time.Duration) {
+	begun := time.Now()
+	replied := make(chan Outcome, 1)
+	cache.Commit(c, func(outcome Outcome) { replied <- outcome })
+	return <-replied, time.Since(begun)
+}
+
+// The cache passes on what rejections say of the limits in force: a size says that the upcoming
+// limits are, a rate may say so. Others say nothing.
 func TestRefusalsTellOfLimits(t *testing.T) {
 	tooLarge := fmt.Errorf("%w: value too large", kvstore.ErrInvalidRequest)
 	for _, test := range []struct {
-		name             string
-		refusals         []error
-		tooLarge, busy   int
-		want             Outcome
-		atLeast, atMost  time.Duration
-		patience         time.Duration
-		pauseForOneWrite time.Duration
+		name                    string
+		rejections              []error
+		sizeRejected, throttled int
+		want                    Outcome
+		atLeast, atMost         time.Duration
+		retryFor                time.Duration
+		writeInterval           time.Duration
 	}{
 		{name: "none", want: Committed},
-		{name: "size", refusals: []error{tooLarge}, tooLarge: 1, want: Rejected},
-		{name: "rate, then carried out", refusals: []error{kvstore.ErrThrottled, kvstore.ErrThrottled}, busy: 2, want: Committed,
-			patience: time.Minute, pauseForOneWrite: time.Second, atLeast: 2 * time.Second, atMost: 4 * time.Second},
-		{name: "lease", refusals: []error{kvstore.ErrLeaseNotFound}, want: Rejected},
-		{name: "outage", refusals: []error{kvstore.ErrRejected, kvstore.ErrRejected}, want: Committed, patience: time.Minute, atMost: time.Minute},
+		{name: "size", rejections: []error{tooLarge}, sizeRejected: 1, want: Rejected},
+		{name: "rate, then executed", rejections: []error{kvstore.ErrThrottled, kvstore.ErrThrottled}, throttled: 2, want: Committed,
+			retryFor: time.Minute, writeInterval: time.Second, atLeast: 2 * time.Second, atMost: 4 * time.Second},
+		{name: "lease", rejections: []error{kvstore.ErrLeaseNotFound}, want: Rejected},
+		{name: "outage", rejections: []error{kvstore.ErrRejected, kvstore.ErrRejected}, want: Committed, retryFor: time.Minute, atMost: time.Minute},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
-			large, busy := 0, 0
-			l := Start(ctx, &refusingStore{refusals: test.refusals}, Options{
+			sizeRejected, throttled := 0, 0
+			cache := Start(ctx, &rejectingStore{rejections: test.rejections}, Options{
 				ChunkTasks:     ChunkTasks(4),
 				Backoff:        100 * time.Millisecond,
-				WriteInterval:  test.pauseForOneWrite,
-				OnThrottled:    func(time.Time) { busy++ },
-				OnSizeRejected: func() { large++ },
+				WriteInterval:  test.writeInterval,
+				OnThrottled:    func(time.Time) { throttled++ },
+				OnSizeRejected: func() { sizeRejected++ },
 			})
-			begun := time.Now()
-			replied := make(chan Outcome, 1)
-			l.Commit(Commit{
+			outcome, took := commitAndWait(cache, Commit{
 				Puts:     []Put{{Key: Key(KindJob, "req-000001"), Record: &Job{TaskCount: 1}}},
-				RetryFor: test.patience,
-			}, func(out Outcome) { replied <- out })
-			if out := <-replied; out != test.want {
-				t.Errorf("%s: outcome %v, want %v", test.name, out, test.want)
+				RetryFor: test.retryFor,
+			})
+			if outcome != test.want {
+				t.Errorf("%s: outcome %v, want %v", test.name, outcome, test.want)
 			}
-			if took := time.Since(begun); took < test.atLeast || took > test.atMost {
+			if took < test.atLeast || took > test.atMost {
 				t.Errorf("%s: took %v", test.name, took)
 			}
-			if large != test.tooLarge || busy != test.busy {
-				t.Errorf("%s: told of %d sizes and %d rates, want %d and %d", test.name, large, busy, test.tooLarge, test.busy)
+			if sizeRejected != test.sizeRejected || throttled != test.throttled {
+				t.Errorf("%s: told of %d sizes and %d rates, want %d and %d", test.name, sizeRejected, throttled, test.sizeRejected, test.throttled)
 			}
 			cancel()
 			time.Sleep(time.Minute)
 		})
 	}
 }
+
+// An attempt without an answer makes the outcome unknown, whatever later attempts are rejected
+// with, until one is answered for certain; with RetryUntilCertain that is awaited.
+func TestUnansweredCommit(t *testing.T) {
+	unanswered := errors.New("connection reset")
+	for _, test := range []struct {
+		name         string
+		errs         []error
+		untilCertain bool
+		want         Outcome
+	}{
+		{"given up", []error{unanswered, kvstore.ErrRejected}, false, OutcomeUnknown},
+		{"given up after rejections", []error{kvstore.ErrRejected, kvstore.ErrRejected}, false, Rejected},
+		{"settled", []error{unanswered, kvstore.ErrRejected}, true, Committed},
+		{"settled by a conflict", []error{unanswered, &kvstore.ConflictError{Revision: 1}}, true, Conflicted},
+	} {
+		synctest.Test(t, func(t *testing.T) {
+			ctx, cancel := context.WithCancel(t.Context())
+			cache := Start(ctx, &rejectingStore{rejections: test.errs}, Options{ChunkTasks: ChunkTasks(4), Backoff: 100 * time.Millisecond})
+			outcome, _ := commitAndWait(cache, Commit{
+				Puts:              []Put{{Key: Key(KindJob, "req-000001"), Record: &Job{TaskCount: 1}}},
+				RetryUntilCertain: test.untilCertain, RetryFor: 50 * time.Millisecond,
+			})
+			if outcome != test.want {
+				t.Errorf("%s: %v, want %v", test.name, outcome, test.want)
+			}
+			cancel()
+			time.Sleep(time.Minute)
+		})
+	}
+}
+
+// What is larger than a request's body may be is rejected here and not sent: the store would
+// reject it as invalid, whatever it has.
+func TestLargeTransactionIsNotSent(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		ctx, cancel := context.WithCancel(context.Background())
+		defer cancel()
+		store := simulation.NewStore()
+		cache := newTestCache(ctx, newTestConn(store), 8<<10)
+		cache.Run()
+		time.Sleep(time.Second)
+		commit := func(writes int) Outcome {
+			var c Commit
+			for i := range writes {
+				c.Puts = append(c.Puts, Put{Key: Key(KindCompletionChunk, fmt.Sprintf("req-000001/%04d", i)), Record: &CompletionChunk{Bits: make([]byte, 6000)}})
+			}
+			outcome, _ := commitAndWait(cache, c)
+			return outcome
+		}
+		if outcome := commit(7); outcome != Committed {
+			t.Errorf("56 KB: %v", outcome)
+		}
+		if outcome := commit(9); outcome != Rejected || strings.Contains(store.Dump(), "/0008") {
+			t.Errorf("72 KB: %v", outcome)
+		}
+	})
+}
+
+// The errors of what is too large say what, and by how much.
+func TestTooLargeErrors(t *testing.T) {
+	options := Options{MaxValueBytes: 100, MaxCompletionChunkBytes: 1000}
+	chunk := func(bytes int) *CompletionChunk { return &CompletionChunk{Bits: make([]byte, bytes)} }
+	key := CompletionChunkKey("req-000001", CompletionChunkID{0, WholeChunk})
+	if _, err := options.encodeTxn(&Commit{Puts: []Put{{Key: key, Record: chunk(300)}}}); err != nil {
+		t.Errorf("within the limit of chunks: %v", err)
+	}
+	var record *RecordTooLargeError
+	_, err := options.encodeTxn(&Commit{Puts: []Put{{Key: key, Record: chunk(3000)}}})
+	if !errors.As(err, &record) || *record != (RecordTooLargeError{Key: key, Bytes: 4002, Limit: 1000}) {
+		t.Errorf("beyond it: %v", err)
+	}
+	_, err = options.encodeTxn(&Commit{Puts: []Put{{Key: Key(KindJob, "req-000001"), Record: chunk(300)}}})
+	if !errors.As(err, &record) || record.Limit != 100 {
+		t.Errorf("beyond the limit of others: %v", err)
+	}
+	var txn *TransactionTooLargeError
+	_, err = options.encodeTxn(&Commit{Deletes: make([]string, 2000)})
+	if !errors.As(err, &txn) || txn.Writes != 2000 || txn.Limit != wire.MaxBodyBytes || txn.Bytes <= txn.Limit {
+		t.Errorf("a transaction: %v", err)
+	}
+}
--- a/internal/statecache/dependencies_test.go
+++ b/internal/statecache/dependencies_test.go
@@ -12,59 +12,59 @@
 	"lynxledge/wire"
 )
 
-// story is what became of jobs that wait for one another, as stored.
-type story struct {
+// jobHistory is what became of jobs that depend on one another, as stored.
+type jobHistory struct {
 	ids  []wire.JobID
 	jobs map[wire.JobID]*Job
 }
 
-// doomed tells whether a job is cancelled, by its own record or one before it.
-func (s *story) doomed(id wire.JobID) bool {
+// cancelled tells whether a job is, by its own record or by that of a dependency.
+func (s *jobHistory) cancelled(id wire.JobID) bool {
 	j := s.jobs[id]
 	if j.State == wire.JobCancelled {
 		return true
 	}
-	for _, before := range j.Spec.Dependencies {
-		if s.doomed(before) {
+	for _, dependency := range j.Spec.Dependencies {
+		if s.cancelled(dependency) {
 			return true
 		}
 	}
 	return false
 }
 
-// ready tells whether all jobs before one are done.
-func (s *story) ready(id wire.JobID) bool {
-	for _, before := range s.jobs[id].Spec.Dependencies {
-		if s.jobs[before].State != wire.JobDone {
+// ready tells whether all dependencies of a job are done.
+func (s *jobHistory) ready(id wire.JobID) bool {
+	for _, dependency := range s.jobs[id].Spec.Dependencies {
+		if s.jobs[dependency].State != wire.JobDone {
 			return false
 		}
 	}
 	return true
 }
 
-// rank is the highest of a job and of those that need it and are not over.
-func (s *story) rank(id wire.JobID) wire.Priority {
+// priority is the highest of a job and of its active dependents.
+func (s *jobHistory) priority(id wire.JobID) wire.Priority {
 	r := s.jobs[id].Spec.Priority
-	for _, after := range s.ids {
-		for _, before := range s.jobs[after].Spec.Dependencies {
-			if before == id && s.jobs[after].State == "" && !s.doomed(after) {
-				r = max(r, s.rank(after))
+	for _, dependent := range s.ids {
+		for _, dependency := range s.jobs[dependent].Spec.Dependencies {
+			if dependency == id && s.jobs[dependent].State == "" && !s.cancelled(dependent) {
+				r = max(r, s.priority(dependent))
 			}
 		}
 	}
 	return r
 }
 
-// latestEnd is the time by which a job must be done so that each job that needs it, and
-// is not over, can be done by its own deadline; 0 if none of them has one.
-func (s *story) latestEnd(id wire.JobID) Timestamp {
+// latestEnd is the time by which a job must be done so that each active dependent can be done
+// by its own deadline; 0 if none of them has one.
+func (s *jobHistory) latestEnd(id wire.JobID) Timestamp {
 	least := Timestamp(0)
-	for _, after := range s.ids {
-		j := s.jobs[after]
-		if !slices.Contains(j.Spec.Dependencies, id) || j.State != "" || s.doomed(after) {
+	for _, dependent := range s.ids {
+		j := s.jobs[dependent]
+		if !slices.Contains(j.Spec.Dependencies, id) || j.State != "" || s.cancelled(dependent) {
 			continue
 		}
-		end := s.latestEnd(after)
+		end := s.latestEnd(dependent)
 		if j.Spec.Deadline != nil {
 			if own := j.SubmittedAt + Timestamp(1000*float64(*j.Spec.Deadline)); end == 0 || own < end {
 				end = own
@@ -81,32 +81,32 @@
 	return least
 }
 
-func (s *story) check(t *rapid.T, l *Cache, ranks bool) {
+func (s *jobHistory) check(t *rapid.T, cache *Cache, checkUrgency bool) {
 	for _, id := range s.ids {
-		stored, got := s.jobs[id], l.view.Jobs[id]
+		stored, got := s.jobs[id], cache.view.Jobs[id]
 		switch {
 		case stored.State == wire.JobDone:
 			if got.State != wire.JobDone {
 				t.Fatalf("%s is done, and called %q", id, got.State)
 			}
-		case s.doomed(id):
+		case s.cancelled(id):
 			if got.State != wire.JobCancelled || got.FinishedAt == 0 || got.CancelledByDependency != (stored.State == "") {
-				t.Fatalf("%s falls with a job before it, and is %+v", id, got)
+				t.Fatalf("%s is cancelled with a dependency, and is %+v", id, got)
 			}
 		default:
 			if got.State != "" || got.Blocked == s.ready(id) {
 				t.Fatalf("%s: ready %v, and is %+v", id, s.ready(id), got)
 			}
-			if ranks && got.Spec.Priority != s.rank(id) {
-				t.Fatalf("%s: rank %v, not %v", id, got.Spec.Priority, s.rank(id))
+			if checkUrgency && got.Spec.Priority != s.priority(id) {
+				t.Fatalf("%s: priority %v, not %v", id, got.Spec.Priority, s.priority(id))
 			}
-			if ranks && s.latestEnd(id) != 0 && latestCompletion(got.InheritedDeadline, got.DownstreamRuntime) != s.latestEnd(id) {
+			if checkUrgency && s.latestEnd(id) != 0 && latestCompletion(got.InheritedDeadline, got.DownstreamRuntime) != s.latestEnd(id) {
 				t.Fatalf("%s: due by %d, not %d", id, latestCompletion(got.InheritedDeadline, got.DownstreamRuntime), s.latestEnd(id))
 			}
 			if s.ready(id) {
 				last := Timestamp(0)
-				for _, before := range stored.Spec.Dependencies {
-					last = max(last, s.jobs[before].FinishedAt)
+				for _, dependency := range stored.Spec.Dependencies {
+					last = max(last, s.jobs[dependency].FinishedAt)
 				}
 				if got.DependenciesDoneAt != last {
 					t.Fatalf("%s: ready at %d, not %d", id, got.DependenciesDoneAt, last)
@@ -116,97 +116,127 @@
 	}
 }
 
-// For any graph, in whatever order its jobs are accepted, done and cancelled, and
-// in whatever order a new process reads them, what is derived is what the stored
-// records say: blocked until all before are done, cancelled with any before.
+// jobRun plays a history of jobs against a cache.
+type jobRun struct {
+	*jobHistory
+	cache    *Cache
+	revision uint64
+}
+
+// publish has a cache read a job's record.
+func (r *jobRun) publish(cache *Cache, id wire.JobID) {
+	j := *r.jobs[id]
+	cache.publish([]Change{changeTo(string(id), &j)})
+}
+
+// change stores a job's next record.
+func (r *jobRun) change(id wire.JobID, change func(j *Job)) {
+	r.revision++
+	j := *r.jobs[id]
+	change(&j)
+	j.ModRevision = r.revision
+	r.jobs[id] = &j
+	r.publish(r.cache, id)
+}
+
+// accept accepts a job that depends on any of those before it.
+func (r *jobRun) accept(t *rapid.T) {
+	id := wire.JobID(fmt.Sprintf("req-%06d", len(r.ids)))
+	spec := &wire.Job{ID: id, Priority: wire.Priority(rapid.IntRange(0, 3).Draw(t, "priority")), EstimatedRuntime: 1}
+	for _, dependency := range r.ids {
+		if rapid.IntRange(0, 3).Draw(t, "needs") == 0 {
+			spec.Dependencies = append(spec.Dependencies, dependency)
+		}
+	}
+	if rapid.Bool().Draw(t, "has a deadline") {
+		due := wire.Seconds(rapid.IntRange(1, 99).Draw(t, "due"))
+		spec.Deadline = &due
+	}
+	r.ids = append(r.ids, id)
+	r.jobs[id] = &Job{Spec: spec, TaskCount: 1, SubmittedAt: Timestamp(100_000 + r.revision)}
+	r.change(id, func(*Job) {})
+}
+
+// end ends a job if it is active and may end so. It tells whether it was cancelled.
+func (r *jobRun) end(t *rapid.T, id wire.JobID) (cancelled bool) {
+	if rapid.Bool().Draw(t, "done") {
+		if r.ready(id) && !r.cancelled(id) {
+			r.change(id, func(j *Job) { j.State, j.FinishedAt = wire.JobDone, Timestamp(100+r.revision) })
+		}
+		return false
+	}
+	if r.cancelled(id) {
+		return false
+	}
+	r.change(id, func(j *Job) { j.State, j.FinishedAt = wire.JobCancelled, Timestamp(100+r.revision) })
+	return true
+}
+
+// newJobRun returns a run without jobs. Its cache must never take back a cancellation.
+func newJobRun(ctx context.Context, t *rapid.T) *jobRun {
+	run := &jobRun{jobHistory: &jobHistory{jobs: map[wire.JobID]*Job{}}, cache: Start(ctx, nil, Options{ChunkTasks: 8})}
+	wasCancelled := map[string]bool{}
+	run.cache.Subscribe(func(update Update) {
+		for _, c := range update.Changes {
+			j := c.Record.(*Job)
+			if wasCancelled[c.Name] && j.State != wire.JobCancelled {
+				t.Fatalf("%s was cancelled, and is %q", c.Name, j.State)
+			}
+			wasCancelled[c.Name] = j.State == wire.JobCancelled
+		}
+	})
+	return run
+}
+
+// For any graph, in whatever order its jobs are accepted, done and cancelled, and in whatever
+// order a new process reads them, what is derived is what the stored records say: blocked until
+// all dependencies are done, cancelled with any of them.
 func TestPipelinesFollowTheirRecords(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		s := &story{jobs: map[wire.JobID]*Job{}}
-		l := Start(ctx, nil, Options{ChunkTasks: 8})
-		fallen := map[string]bool{}
-		l.Subscribe(func(d Update) {
-			for _, c := range d.Changes {
-				j := c.Record.(*Job)
-				if fallen[c.Name] && j.State != wire.JobCancelled {
-					t.Fatalf("%s was cancelled, and is %q", c.Name, j.State)
-				}
-				fallen[c.Name] = j.State == wire.JobCancelled
-			}
-		})
-		rev := uint64(0)
-		put := func(l *Cache, id wire.JobID) {
-			j := *s.jobs[id]
-			l.publish([]Change{{Key: Key(KindJob, string(id)), Kind: KindJob, Name: string(id), Record: &j, ModRevision: j.ModRevision}})
-		}
-		step := func(id wire.JobID, change func(j *Job)) {
-			rev++
-			j := *s.jobs[id]
-			change(&j)
-			j.ModRevision = rev
-			s.jobs[id] = &j
-			put(l, id)
-		}
-		cancels := false
+		run := newJobRun(ctx, t)
+		anyCancelled := false
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
-			if len(s.ids) == 0 || rapid.IntRange(0, 2).Draw(t, "what") == 0 {
-				id := wire.JobID(fmt.Sprintf("req-%06d", len(s.ids)))
-				spec := &wire.Job{ID: id, Priority: wire.Priority(rapid.IntRange(0, 3).Draw(t, "rank")), EstimatedRuntime: 1}
-				for _, before := range s.ids {
-					if rapid.IntRange(0, 3).Draw(t, "needs") == 0 {
-						spec.Dependencies = append(spec.Dependencies, before)
-					}
-				}
-				if rapid.Bool().Draw(t, "has a deadline") {
-					due := wire.Seconds(rapid.IntRange(1, 99).Draw(t, "due"))
-					spec.Deadline = &due
-				}
-				s.ids = append(s.ids, id)
-				s.jobs[id] = &Job{Spec: spec, TaskCount: 1, SubmittedAt: Timestamp(100_000 + rev)}
-				step(id, func(*Job) {})
+			if len(run.ids) == 0 || rapid.IntRange(0, 2).Draw(t, "what") == 0 {
+				run.accept(t)
 			} else {
-				id := rapid.SampledFrom(s.ids).Draw(t, "job")
-				if s.jobs[id].State != "" {
+				id := rapid.SampledFrom(run.ids).Draw(t, "job")
+				if run.jobs[id].State != "" {
 					continue
 				}
-				if rapid.Bool().Draw(t, "done") {
-					if s.ready(id) && !s.doomed(id) {
-						step(id, func(j *Job) { j.State, j.FinishedAt = wire.JobDone, Timestamp(100+rev) })
-					}
-				} else if !s.doomed(id) {
-					cancels = true
-					step(id, func(j *Job) { j.State, j.FinishedAt = wire.JobCancelled, Timestamp(100+rev) })
+				if run.end(t, id) {
+					anyCancelled = true
 				}
 			}
-			s.check(t, l, !cancels) // a priority may outlive the job that lent it
+			run.check(t, run.cache, !anyCancelled) // an inherited priority may outlive the dependent
 		}
 		fresh := Start(ctx, nil, Options{ChunkTasks: 8})
-		for _, i := range rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "order"), 1)).Perm(len(s.ids)) {
-			put(fresh, s.ids[i])
+		for _, i := range rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "order"), 1)).Perm(len(run.ids)) {
+			run.publish(fresh, run.ids[i])
 		}
-		s.check(t, fresh, false)
-		if n := len(l.dependencies.dependents); n > len(s.ids) {
+		run.check(t, fresh, false)
+		if n := len(run.cache.dependencies.dependents); n > len(run.ids) {
 			t.Fatalf("%d jobs in the index", n)
 		}
 	})
 }
 
-// A chain of thousands of jobs costs as much for each as a short one, and falls
-// as a whole with its first; nothing is kept of jobs that are over.
+// A chain of thousands of jobs costs as much for each as a short one, and is cancelled as a
+// whole with its first; nothing is kept of jobs that have ended.
 func TestLongChainAndWideFan(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	const n = 5000
-	l := Start(ctx, nil, Options{ChunkTasks: 8})
-	told := 0
-	l.Subscribe(func(d Update) { told += len(d.Changes) })
+	cache := Start(ctx, nil, Options{ChunkTasks: 8})
+	published := 0
+	cache.Subscribe(func(update Update) { published += len(update.Changes) })
 	id := func(i int) wire.JobID { return wire.JobID(fmt.Sprintf("req-%06d", i)) }
-	rev := uint64(0)
+	revision := uint64(0)
 	put := func(i int, j *Job) {
-		rev++
-		j.TaskCount, j.ModRevision = 1, rev
-		l.publish([]Change{{Key: Key(KindJob, string(id(i))), Kind: KindJob, Name: string(id(i)), Record: j, ModRevision: j.ModRevision}})
+		revision++
+		j.TaskCount, j.ModRevision = 1, revision
+		cache.publish([]Change{changeTo(string(id(i)), j)})
 	}
 	for i := range n {
 		spec := &wire.Job{ID: id(i), EstimatedRuntime: 1}
@@ -215,23 +245,23 @@
 		}
 		put(i, &Job{Spec: spec})
 	}
-	for i := range n { // all behind the chain's first
+	for i := range n { // all depend on the chain's first
 		put(n+i, &Job{Spec: &wire.Job{ID: id(n + i), Dependencies: []wire.JobID{id(0)}}})
 	}
-	if told != 2*n {
-		t.Errorf("%d changes told for %d jobs", told, 2*n)
+	if published != 2*n {
+		t.Errorf("%d changes published for %d jobs", published, 2*n)
 	}
-	told = 0
+	published = 0
 	put(0, &Job{State: wire.JobCancelled, FinishedAt: 9, Spec: &wire.Job{ID: id(0)}})
-	if told != 2*n {
-		t.Errorf("%d changes told for the fall of %d jobs", told, 2*n)
+	if published != 2*n {
+		t.Errorf("%d changes published for the end of %d jobs", published, 2*n)
 	}
 	for i := range 2 * n {
-		if l.view.Jobs[id(i)].State != wire.JobCancelled {
-			t.Fatalf("%s stands", id(i))
+		if cache.view.Jobs[id(i)].State != wire.JobCancelled {
+			t.Fatalf("%s is not cancelled", id(i))
 		}
 	}
-	if len(l.dependencies.dependents)+len(l.dependencies.waiting) > 0 {
-		t.Errorf("%d and %d entries are kept", len(l.dependencies.dependents), len(l.dependencies.waiting))
+	if len(cache.dependencies.dependents)+len(cache.dependencies.waiting) > 0 {
+		t.Errorf("%d and %d entries are kept", len(cache.dependencies.dependents), len(cache.dependencies.waiting))
 	}
 }
--- a/internal/statecache/errors.go
+++ b/internal/statecache/errors.go
@@ -23,6 +23,7 @@
 	Limit int
 }
 
+// Error implements the error interface.
 func (e *RecordTooLargeError) Error() string {
 	return fmt.Sprintf("record %s too large: %d bytes, limit %d", e.Key, e.Bytes, e.Limit)
 }
@@ -36,6 +37,7 @@
 	Preconditions int
 }
 
+// Error implements the error interface.
 func (e *TransactionTooLargeError) Error() string {
 	return fmt.Sprintf("transaction too large: %d bytes, limit %d, with %d writes and %d preconditions", e.Bytes, e.Limit, e.Writes, e.Preconditions)
 }
--- /dev/null
+++ b/internal/statecache/group_split_test.go
@@ -0,0 +1,152 @@
+package statecache
+
+import (
+	"cmp"
+	"encoding/json"
+	"fmt"
+	"slices"
+	"testing"
+
+	"pgregory.net/rapid"
+
+	"lynxledge/wire"
+)
+
+// A split loses no machine, binding or completion, and doubles none; every record fits what it
+// was to be filled to unless one machine or one chunk of completions is larger; no two names
+// are alike.
+func TestGroupsSplit(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		g := genGroup(t)
+		addCompletions(t, g)
+		g.ModRevision, g.Terminations = 9, nil
+		fill := rapid.IntRange(300, 1500).Draw(t, "fill")
+		update := &GroupUpdate{MachineGroup: *g, updated: map[wire.MachineID]*Machine{}}
+		parts := append([]*GroupUpdate{update}, update.splitToFill(fill)...)
+		machines, completions := map[wire.MachineID]*Machine{}, map[wire.JobID][]int{}
+		checkPartSizes(t, parts, fill)
+		for _, part := range parts {
+			for job, tasks := range part.Completions {
+				completions[job] = append(completions[job], tasks...)
+			}
+			for _, m := range decodePart(t, part).Machines {
+				if machines[m.Name] != nil {
+					t.Fatalf("%s twice", m.Name)
+				}
+				machines[m.Name] = m
+			}
+		}
+		checkSplit(t, g, machines, completions)
+	})
+}
+
+// addCompletions adds as many completions as the record of a former version may hold.
+func addCompletions(t *rapid.T, g *MachineGroup) {
+	for job, tasks := range g.Completions {
+		for n := range rapid.IntRange(0, 200).Draw(t, "more") {
+			if next := tasks[len(tasks)-1] + 2 + n%2; next < wire.MaxTasksPerJob {
+				tasks = append(tasks, next)
+			}
+		}
+		g.Completions[job] = tasks
+	}
+}
+
+func checkPartSizes(t *rapid.T, parts []*GroupUpdate, fill int) {
+	names := map[string]bool{}
+	for _, part := range parts {
+		if names[part.Name] {
+			t.Fatalf("%s twice", part.Name)
+		}
+		names[part.Name] = true
+		if len(parts) > 1 && len(part.Machines)+len(part.Completions) == 0 {
+			t.Fatal("an empty record")
+		}
+		pieces := len(part.Machines)
+		for _, tasks := range part.Completions {
+			pieces += (len(tasks) + completionsPerPart - 1) / completionsPerPart
+		}
+		if part.RetainedSize() > fill && pieces > 1 {
+			t.Fatalf("%d bytes of %d in a record of %d pieces", part.RetainedSize(), fill, pieces)
+		}
+	}
+}
+
+// decodePart encodes and decodes a part. Its machines must be sorted.
+func decodePart(t *rapid.T, part *GroupUpdate) *MachineGroup {
+	raw, err := json.Marshal(&part.MachineGroup)
+	if err != nil {
+		t.Fatal(err)
+	}
+	g, err := decodeGroup(part.Name, raw, 9, nil)
+	if err != nil || !slices.IsSortedFunc(g.Machines, func(a, b *Machine) int { return cmp.Compare(a.Name, b.Name) }) {
+		t.Fatalf("%s: %v", raw, err)
+	}
+	return g
+}
+
+// checkSplit checks that the parts of a group have what it had.
+func checkSplit(t *rapid.T, g *MachineGroup, machines map[wire.MachineID]*Machine, completions map[wire.JobID][]int) {
+	for _, m := range g.Machines {
+		got := machines[m.Name]
+		if got == nil || got.FencingToken != m.FencingToken || got.Incarnation != m.Incarnation || got.Address != m.Address || got.DrainReason != m.DrainReason || got.Suspected != m.Suspected ||
+			!slices.Equal(got.Bindings, m.Bindings) {
+			t.Fatalf("%+v became %+v", m, got)
+		}
+	}
+	if len(machines) != len(g.Machines) || len(completions) != len(g.Completions) {
+		t.Fatalf("%d machines of %d, completions of %d jobs of %d", len(machines), len(g.Machines), len(completions), len(g.Completions))
+	}
+	for job, tasks := range g.Completions {
+		got := slices.Sorted(slices.Values(completions[job]))
+		if !slices.Equal(got, tasks) {
+			t.Fatalf("%s: completions %v became %v", job, tasks, got)
+		}
+	}
+}
+
+// Of one revision, a machine that a split moves is never missing in between, in whatever order
+// the store tells of the records.
+func TestSplitMachinesAreNeverGone(t *testing.T) {
+	for _, reversed := range []bool{false, true} {
+		cache := Start(t.Context(), nil, Options{ChunkTasks: 8})
+		view := NewUnfinishedView(8)
+		cache.Subscribe(func(update Update) {
+			for _, change := range update.Changes {
+				for _, m := range view.Apply(change) {
+					if m.New == nil {
+						t.Errorf("reversed %v: %s is missing", reversed, m.Machine)
+					}
+				}
+			}
+		})
+		put := func(g *MachineGroup, revision uint64) Change {
+			change, ok := cache.decodeChange(Key(KindMachineGroup, g.Name), mustMarshal(g), revision)
+			if !ok {
+				t.Fatal("not decoded")
+			}
+			return change
+		}
+		whole := NewMachineGroup(GroupOptions{Name: "g", MachineType: "t", Zone: "z", ProvisionedAt: 5})
+		for i := range 9 {
+			whole.Machines = append(whole.Machines, &Machine{Name: wire.MachineID(fmt.Sprintf("i-%06d", i)), Address: "x:1", Incarnation: 1, FencingToken: 8, Bindings: []TaskBinding{{Job: "req-000001", TaskIndex: i, Attempt: 7}}})
+		}
+		cache.publish([]Change{put(whole, 4)})
+		update := cache.view.UpdateGroup("g")
+		changes := []Change{}
+		for _, part := range update.splitToFill(300) {
+			changes = append(changes, put(&part.MachineGroup, 5))
+		}
+		if changes = append(changes, put(&update.MachineGroup, 5)); len(changes) < 2 {
+			t.Fatal("not split")
+		}
+		if reversed {
+			slices.Reverse(changes)
+		}
+		cache.sortChanges(changes)
+		cache.publish(changes)
+		if len(view.Machines) != 9 || len(view.Bindings["req-000001"]) != 9 || len(view.Groups["g"].Machines) == 9 {
+			t.Errorf("reversed %v: %d machines, %d bindings", reversed, len(view.Machines), len(view.Bindings["req-000001"]))
+		}
+	}
+}
