--- a/internal/apiserver/bench_test.go
+++ b/internal/apiserver/bench_test.go
@@ -62,7 +62,7 @@
 		time.Sleep(10 * time.Millisecond)
 	}
 	cache.Commit(statecache.Commit{Puts: []statecache.Put{
-		{Key: statecache.Key(statecache.KindJob, "req-000001"), Record: &statecache.Job{TaskCount: 80, SubmittedAt: time.Now().UnixMilli(), Spec: spec}},
+		{Key: statecache.Key(statecache.KindJob, "req-000001"), Record: &statecache.Job{TaskCount: 80, SubmittedAt: statecache.TimestampOf(time.Now()), Spec: spec}},
 		{Key: statecache.Key(statecache.KindMachineGroup, "g"), Record: &statecache.MachineGroup{MachineType: "s", Zone: "a", Machines: []*statecache.Machine{machine}}},
 	}}, func(outcome statecache.Outcome) { committed <- outcome })
 	if outcome := <-committed; outcome != statecache.Committed {
--- a/internal/apiserver/submit.go
+++ b/internal/apiserver/submit.go
@@ -92,7 +92,7 @@
 	key := statecache.Key(statecache.KindJob, string(job.ID))
 	outcome, ok := s.commit(ctx, statecache.Commit{
 		Preconditions: []wire.Precondition{{Key: key}},
-		Puts:          []statecache.Put{{Key: key, Record: &statecache.Job{Spec: job, TaskCount: job.TaskCount, SubmittedAt: time.Now().UnixMilli()}}},
+		Puts:          []statecache.Put{{Key: key, Record: &statecache.Job{Spec: job, TaskCount: job.TaskCount, SubmittedAt: statecache.TimestampOf(time.Now())}}},
 	})
 	switch {
 	case ok && outcome == statecache.Committed:
--- a/internal/heartbeat/receiver_test.go
+++ b/internal/heartbeat/receiver_test.go
@@ -102,7 +102,7 @@
 		defer cancel()
 		c := newController(ctx, t,
 			&statecache.Machine{Incarnation: 1, FencingToken: 9, Bindings: []statecache.TaskBinding{{Job: "req-000001", Attempt: 1}}},
-			&statecache.Job{State: wire.JobCancelled, TaskCount: 1, FinishedAt: time.Now().Add(-40 * time.Second).UnixMilli()})
+			&statecache.Job{State: wire.JobCancelled, TaskCount: 1, FinishedAt: statecache.TimestampOf(time.Now().Add(-40 * time.Second))})
 		running := []wire.TaskStatus{{Task: "req-000001/0", Attempt: 1, State: wire.TaskRunning}}
 		if r := c.sendAndSettle(wire.Heartbeat{Incarnation: 1, Sequence: 1, Tasks: running}); r.Outcome == Accepted {
 			t.Error("lease renewed for a job cancelled long ago")
@@ -123,8 +123,8 @@
 		defer cancel()
 		c := newController(ctx, t, &statecache.Machine{Incarnation: 1, FencingToken: 9, Bindings: []statecache.TaskBinding{{Job: "req-000001", Attempt: 1}}}, &statecache.Job{TaskCount: 9})
 		c.cache.Commit(statecache.Commit{Puts: []statecache.Put{
-			{Key: statecache.Key(statecache.KindAssignment, "red"), Record: statecache.Assignment{Member: "n1", Incarnation: 4}},
-			{Key: statecache.Key(statecache.KindMember, "n1"), Record: statecache.Member{Incarnation: 4}},
+			{Key: statecache.Key(statecache.KindAssignment, "red"), Record: &statecache.Assignment{Member: "n1", Incarnation: 4}},
+			{Key: statecache.Key(statecache.KindMember, "n1"), Record: &statecache.Member{Incarnation: 4}},
 		}}, func(statecache.Outcome) {})
 		time.Sleep(time.Second)
 		exited := []wire.TaskStatus{{Task: "req-000001/0", Attempt: 1, State: wire.TaskExited, ExitReason: wire.ReasonCompleted}}
--- a/internal/heartbeat/renewal.go
+++ b/internal/heartbeat/renewal.go
@@ -47,7 +47,7 @@
 func (r *Receiver) hasOverdueCancellation(machine *statecache.Machine, now time.Time) bool {
 	for i := range machine.Bindings {
 		job := r.view.Jobs[machine.Bindings[i].Job]
-		if job != nil && job.State == wire.JobCancelled && now.Sub(time.UnixMilli(job.FinishedAt)) > r.renewalWindow() {
+		if job != nil && job.State == wire.JobCancelled && now.Sub(job.FinishedAt.Time()) > r.renewalWindow() {
 			return true
 		}
 	}
