--- a/internal/autoscaler/provision.go
+++ b/internal/autoscaler/provision.go
@@ -11,9 +11,9 @@
 
 	"lynxledge/internal/cloud"
 	"lynxledge/internal/config"
+	"lynxledge/internal/estimate"
 	"lynxledge/internal/planner"
 	"lynxledge/internal/resources"
-	"lynxledge/internal/scheduler"
 	"lynxledge/internal/statecache"
 	"lynxledge/wire"
 )
@@ -139,7 +139,7 @@
 
 // isBootOverdue tells whether a machine has been starting for longer than is usual.
 func (r *Autoscaler) isBootOverdue(b *statecache.Machine, now time.Time) bool {
-	return b.Incarnation == 0 && now.Sub(time.UnixMilli(b.ProvisionedAt)) > config.Seconds(scheduler.UsualBootFactor*r.bootSeconds(b.MachineType))
+	return b.Incarnation == 0 && now.Sub(time.UnixMilli(b.ProvisionedAt)) > config.Seconds(estimate.UsualBootFactor*r.bootSeconds(b.MachineType))
 }
 
 // exhaustionCycles is for how many passes a pool that ran short is left alone.
--- a/internal/autoscaler/unreachable.go
+++ b/internal/autoscaler/unreachable.go
@@ -8,7 +8,6 @@
 	"lynxledge/internal/config"
 	"lynxledge/internal/placement"
 	"lynxledge/internal/resources"
-	"lynxledge/internal/scheduler"
 	"lynxledge/internal/statecache"
 	"lynxledge/wire"
 )
@@ -119,7 +118,7 @@
 
 // scaleInUnreachable returns machines that are silent, but for those that had better be kept.
 func (r *Autoscaler) scaleInUnreachable(now time.Time, h *livenessSurvey) {
-	var others []*scheduler.Node // made once, for there may be many silent machines
+	var others []*placement.Node // made once, for there may be many silent machines
 	for _, m := range h.unreachable {
 		row, known := r.view.Machines[m], r.livenessOf(m)
 		if !row.Suspected || now.Sub(known.suspectedAt) < r.config.Params.Workers.Heartbeats(suspicionHeartbeats) || r.mayRecover(row, now.Sub(known.lastReachable), h) {
@@ -165,17 +164,17 @@
 
 // schedulableNodes are the machines that take tasks, but for those of lost zones, as far as
 // replicas fill them: work of lower priority makes room.
-func (r *Autoscaler) schedulableNodes() []*scheduler.Node {
+func (r *Autoscaler) schedulableNodes() []*placement.Node {
 	types := map[string]*wire.MachineType{}
 	for i := range r.machineTypes {
 		types[r.machineTypes[i].Name] = &r.machineTypes[i]
 	}
-	nodes := make([]*scheduler.Node, 0, len(r.view.Machines))
+	nodes := make([]*placement.Node, 0, len(r.view.Machines))
 	for m, b := range r.view.Machines {
 		if types[b.MachineType] == nil || !b.Schedulable() || r.zoneRecovery.IsLost(r.view.ZoneRecoveries, b.Zone) {
 			continue
 		}
-		n := &scheduler.Node{Name: m, MachineType: types[b.MachineType], Zone: b.Zone, Spot: b.Spot}
+		n := &placement.Node{Name: m, MachineType: types[b.MachineType], Zone: b.Zone, Spot: b.Spot}
 		for i := range b.Bindings {
 			if j := r.view.Jobs[b.Bindings[i].Job]; j != nil && j.Spec != nil && j.Spec.Priority == wire.PriorityProduction {
 				n.Used = n.Used.Plus(resources.OfTask(j.Spec), 1)
@@ -189,8 +188,8 @@
 // canReplaceReplicas tells whether all replicas of a silent machine have room on other nodes.
 // If not, it is kept for as long as its lease may run: a machine that is cut off goes on
 // serving, a new one takes its time to boot, and the cloud may have none.
-func (r *Autoscaler) canReplaceReplicas(silent *statecache.Machine, nodes []*scheduler.Node) bool {
-	before := map[*scheduler.Node]resources.Vector{}
+func (r *Autoscaler) canReplaceReplicas(silent *statecache.Machine, nodes []*placement.Node) bool {
+	before := map[*placement.Node]resources.Vector{}
 	defer func() { // the next silent machine is judged for itself
 		for n, used := range before {
 			n.Used = used
@@ -204,7 +203,7 @@
 		zones := placement.ZoneCountsOf(r.view, t.Job)
 		zones[silent.Zone]--
 		need := resources.OfTask(j.Spec)
-		i := slices.IndexFunc(nodes, func(n *scheduler.Node) bool { return n.CanTake(j.Spec, need, zones) })
+		i := slices.IndexFunc(nodes, func(n *placement.Node) bool { return n.CanTake(j.Spec, need, zones) })
 		if i < 0 {
 			return false
 		}
--- a/internal/placement/constraints.go
+++ b/internal/placement/constraints.go
@@ -7,33 +7,33 @@
 	"lynxledge/wire"
 )
 
-// Allowed tells whether a job's tasks may run on a type, in a zone and on a
-// kind of machine at all.
-func Allowed(j *wire.Job, typ string, zone wire.Zone, spot bool) bool {
-	return (len(j.MachineTypes) == 0 || slices.Contains(j.MachineTypes, typ)) &&
-		(j.Zone == "" || j.Zone == zone) && (j.AllowSpot || !spot)
+// Allowed tells whether a job's tasks may run on a machine type, in a zone and on a spot
+// instance or an on-demand machine at all.
+func Allowed(job *wire.Job, machineType string, zone wire.Zone, spot bool) bool {
+	return (len(job.MachineTypes) == 0 || slices.Contains(job.MachineTypes, machineType)) &&
+		(job.Zone == "" || job.Zone == zone) && (job.AllowSpot || !spot)
 }
 
 // ZoneCounts counts a job's tasks by zone, those that are stopping included.
 type ZoneCounts map[wire.Zone]int
 
 // ZoneCountsOf counts a job's bound tasks by zone.
-func ZoneCountsOf(v *statecache.View, job wire.JobID) ZoneCounts {
-	z := ZoneCounts{}
-	for _, m := range v.Bindings[job] {
-		z[v.Machines[m].Zone]++
+func ZoneCountsOf(view *statecache.View, job wire.JobID) ZoneCounts {
+	counts := ZoneCounts{}
+	for _, machine := range view.Bindings[job] {
+		counts[view.Machines[machine].Zone]++
 	}
-	return z
+	return counts
 }
 
 // Allows tells whether one more task of the job may be in a zone now.
-func (z ZoneCounts) Allows(j *wire.Job, zone wire.Zone) bool {
-	if j.SingleZone {
+func (z ZoneCounts) Allows(job *wire.Job, zone wire.Zone) bool {
+	if job.SingleZone {
 		for other, n := range z {
 			if n > 0 && other != zone {
 				return false
 			}
 		}
 	}
-	return !j.SpreadZones || z[zone] < (j.TaskCount+1)/2
+	return !job.SpreadZones || z[zone] < (job.TaskCount+1)/2
 }
--- /dev/null
+++ b/internal/placement/node.go
@@ -0,0 +1,71 @@
+package placement
+
+import (
+	"time"
+
+	"lynxledge/internal/resources"
+	"lynxledge/wire"
+)
+
+// RunningTask is a task bound to a node, with what preemption has to know of it.
+type RunningTask struct {
+	Job             *wire.Job // nil when its job is unknown
+	TaskIndex       int
+	Stopping        bool          // a stop command has been decided
+	WithinGuarantee bool          // its job fits its team's guarantee with the team's earlier jobs
+	LastOfJob       bool          // its job has no pending task: stopping it delays the job
+	BoundSince      time.Time     // when it was first seen bound
+	RuntimeSoFar    time.Duration // since then
+}
+
+// Node is a machine that may take tasks.
+type Node struct {
+	Name        wire.MachineID
+	Group       string // of machines, whose record holds its bindings
+	MachineType *wire.MachineType
+	Zone        wire.Zone
+	Spot        bool
+	Schedulable bool             // tasks may be bound to it
+	Used        resources.Vector // by tasks that are to stay
+	Tasks       []RunningTask
+	HasImage    func(image string) bool
+	// Reserved is kept for replicas that are about to be placed anew: work that may wait
+	// leaves it alone.
+	Reserved resources.Vector
+	// NeedsOwnWrite means that no other change of the scheduling cycle writes its group: a
+	// transaction writes few groups.
+	NeedsOwnWrite bool
+	// Ordinal is the node's place among all nodes. Candidates are put into this order,
+	// whichever index they come from, so that equal scores are decided alike. It stands here
+	// since sorting candidates is on the scheduler's hot path.
+	Ordinal int
+}
+
+// HasCapacity tells whether the node has any of its processors and memory left.
+func (n *Node) HasCapacity() bool {
+	return n.Schedulable && n.Used.CPUs < n.MachineType.CPUs-resources.RoundingTolerance &&
+		(n.MachineType.MemoryGB == 0 || n.Used.MemoryGB < n.MachineType.MemoryGB-resources.RoundingTolerance)
+}
+
+// CanTake tells whether the node has capacity for one more task of a job, which needs that
+// much, and the job allows it, given the zones of its other tasks.
+func (n *Node) CanTake(job *wire.Job, need resources.Vector, zones ZoneCounts) bool {
+	return n.AllowedFor(job) && zones.Allows(job, n.Zone) && n.HasCapacityFor(job, need)
+}
+
+// AllowedFor tells whether a job's constraints allow the node, whatever runs on it.
+func (n *Node) AllowedFor(job *wire.Job) bool {
+	return Allowed(job, n.MachineType.Name, n.Zone, n.Spot)
+}
+
+// HasCapacityFor tells whether one more task of a job fits into what the node has free for it.
+func (n *Node) HasCapacityFor(job *wire.Job, need resources.Vector) bool {
+	used := n.Used
+	if !job.IsService() && job.Priority < wire.PriorityHigh {
+		used = used.Plus(n.Reserved, 1)
+	}
+	return used.Plus(need, 1).Fits(n.capacity())
+}
+
+// capacity is all that the node has.
+func (n *Node) capacity() resources.Vector { return resources.OfMachineType(n.MachineType) }
--- a/internal/recovery/admission.go
+++ b/internal/recovery/admission.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"lynxledge/internal/scheduler"
+	"lynxledge/internal/placement"
 	"lynxledge/internal/statecache"
 	"lynxledge/internal/zonehealth"
 	"lynxledge/wire"
@@ -43,7 +43,7 @@
 }
 
 // admissions works out the admission of every zone that is recovering.
-func admissions(now time.Time, record *statecache.ZoneRecoveries, policy *zonehealth.Policy, nodes []*scheduler.Node) map[wire.Zone]*Admission {
+func admissions(now time.Time, record *statecache.ZoneRecoveries, policy *zonehealth.Policy, nodes []*placement.Node) map[wire.Zone]*Admission {
 	out := map[wire.Zone]*Admission{}
 	for i := range record.Zones {
 		z := &record.Zones[i]
@@ -64,7 +64,7 @@
 }
 
 // orderNumbers are those of a zone's machines that take tasks, sorted.
-func orderNumbers(zone wire.Zone, nodes []*scheduler.Node) []uint64 {
+func orderNumbers(zone wire.Zone, nodes []*placement.Node) []uint64 {
 	var order []uint64
 	for _, n := range nodes {
 		if n.Zone == zone && n.Schedulable {
--- a/internal/recovery/advisor.go
+++ b/internal/recovery/advisor.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"lynxledge/internal/config"
+	"lynxledge/internal/placement"
 	"lynxledge/internal/resources"
 	"lynxledge/internal/scheduler"
 	"lynxledge/internal/statecache"
@@ -62,8 +63,8 @@
 func (a *Advisor) advise(now time.Time, cluster scheduler.ClusterState) *advice {
 	out := &advice{
 		zones:     admissions(now, cluster.View.ZoneRecoveries, &a.policy, cluster.Nodes),
-		preferred: map[wire.JobID][]*scheduler.Node{},
-		reserved:  map[*scheduler.Node]resources.Vector{},
+		preferred: map[wire.JobID][]*placement.Node{},
+		reserved:  map[*placement.Node]resources.Vector{},
 		positions: map[wire.JobID]int{},
 	}
 	services := Services(cluster.View, cluster.ActiveJobs)
@@ -103,27 +104,27 @@
 // advice is what an Advisor tells; it stays as it is.
 type advice struct {
 	zones     map[wire.Zone]*Admission
-	preferred map[wire.JobID][]*scheduler.Node
-	reserved  map[*scheduler.Node]resources.Vector
+	preferred map[wire.JobID][]*placement.Node
+	reserved  map[*placement.Node]resources.Vector
 	positions map[wire.JobID]int
 }
 
 // Admits tells whether a machine may take a task of a job.
-func (a *advice) Admits(n *scheduler.Node, j *wire.Job) bool { return a.admits(n, j.IsService()) }
+func (a *advice) Admits(n *placement.Node, j *wire.Job) bool { return a.admits(n, j.IsService()) }
 
-func (a *advice) admits(n *scheduler.Node, service bool) bool {
+func (a *advice) admits(n *placement.Node, service bool) bool {
 	zone := a.zones[n.Zone]
 	return zone == nil || zone.admits(n.Name, service)
 }
 
 // IsFallback tells whether a machine may take a replica that has no room elsewhere: any
 // machine that is heard, or the steps of a return would leave a service short.
-func (a *advice) IsFallback(n *scheduler.Node, j *wire.Job) bool {
+func (a *advice) IsFallback(n *placement.Node, j *wire.Job) bool {
 	return j.IsService() && !a.admits(n, true)
 }
 
 // PreferredNodes are machines with room for the waiting replicas of a service.
-func (a *advice) PreferredNodes(service wire.JobID) []*scheduler.Node { return a.preferred[service] }
+func (a *advice) PreferredNodes(service wire.JobID) []*placement.Node { return a.preferred[service] }
 
 // RecoveryOrder is a service's place in the order; one that was not known yet comes last.
 func (a *advice) RecoveryOrder(service wire.JobID) int {
@@ -134,4 +135,4 @@
 }
 
 // ReservedCapacity is the room kept for replicas that are about to be placed anew.
-func (a *advice) ReservedCapacity() map[*scheduler.Node]resources.Vector { return a.reserved }
+func (a *advice) ReservedCapacity() map[*placement.Node]resources.Vector { return a.reserved }
--- a/internal/recovery/plan.go
+++ b/internal/recovery/plan.go
@@ -2,8 +2,8 @@
 
 import (
 	"lynxledge/internal/config"
+	"lynxledge/internal/placement"
 	"lynxledge/internal/resources"
-	"lynxledge/internal/scheduler"
 	"lynxledge/wire"
 )
 
@@ -11,10 +11,10 @@
 type Input struct {
 	Services []*Service // in order
 	// Nodes are the machines that may take replicas.
-	Nodes []*scheduler.Node
+	Nodes []*placement.Node
 	// LastResort are machines of lost zones that are still heard. They take only what
 	// has no room on Nodes.
-	LastResort []*scheduler.Node
+	LastResort []*placement.Node
 	Usage      resources.Usage
 	TeamQuota  func(name wire.TeamName) config.TeamQuota
 }
@@ -22,7 +22,7 @@
 // Placement is one replica and a machine with room for it.
 type Placement struct {
 	Service *Service
-	Node    *scheduler.Node
+	Node    *placement.Node
 	// AtRisk: the replica is bound to a machine that nobody hears; the room is for the
 	// time at which it is proved gone.
 	AtRisk bool
--- a/internal/recovery/room.go
+++ b/internal/recovery/room.go
@@ -8,7 +8,6 @@
 
 	"lynxledge/internal/placement"
 	"lynxledge/internal/resources"
-	"lynxledge/internal/scheduler"
 	"lynxledge/wire"
 )
 
@@ -31,11 +30,11 @@
 }
 
 type slot struct {
-	node *scheduler.Node
+	node *placement.Node
 	used resources.Vector
 }
 
-func newRoom(nodes []*scheduler.Node) *room {
+func newRoom(nodes []*placement.Node) *room {
 	type kind struct {
 		name string
 		zone wire.Zone
--- a/internal/scheduler/advisor.go
+++ b/internal/scheduler/advisor.go
@@ -21,7 +21,7 @@
 type ClusterState struct {
 	View       *statecache.View
 	ActiveJobs map[wire.JobID]*statecache.Job
-	Nodes      []*Node
+	Nodes      []*placement.Node
 	Usage      resources.Usage
 	TeamQuota  func(name wire.TeamName) config.TeamQuota
 }
@@ -30,15 +30,15 @@
 // may be bound where is decided by the rules and the guards as ever.
 type Advice interface {
 	// Admits tells whether a machine may take a task of a job.
-	Admits(n *Node, j *wire.Job) bool
+	Admits(n *placement.Node, j *wire.Job) bool
 	// LastResort tells whether a machine may take a task that has no room elsewhere.
-	IsFallback(n *Node, j *wire.Job) bool
+	IsFallback(n *placement.Node, j *wire.Job) bool
 	// Preferred are machines with room for the waiting replicas of a service.
-	PreferredNodes(service wire.JobID) []*Node
+	PreferredNodes(service wire.JobID) []*placement.Node
 	// Position is a service's place in the order in which services are made whole.
 	RecoveryOrder(service wire.JobID) int
 	// Reserved is the room kept for replicas that are about to be placed anew.
-	ReservedCapacity() map[*Node]resources.Vector
+	ReservedCapacity() map[*placement.Node]resources.Vector
 }
 
 // SetAdvisor sets the advisor. To be called before the ledger runs.
@@ -64,22 +64,22 @@
 }
 
 // advisorAdmits tells whether a machine may take a task of a job as far as advice goes.
-func (p *Scheduler) advisorAdmits(n *Node, j *wire.Job) bool {
+func (p *Scheduler) advisorAdmits(n *placement.Node, j *wire.Job) bool {
 	return p.advice == nil || p.advice.Admits(n, j)
 }
 
 // withPreferred adds the machines that are preferred for a service to a sample.
-func (p *Scheduler) withPreferred(r *cycle, list []*Node, j *wire.Job, usable func(*Node) bool) []*Node {
+func (p *Scheduler) withPreferred(r *cycle, list []*placement.Node, j *wire.Job, usable func(*placement.Node) bool) []*placement.Node {
 	if p.advice == nil || !j.IsService() {
 		return list
 	}
-	known := make(map[*Node]bool, len(list))
+	known := make(map[*placement.Node]bool, len(list))
 	for _, n := range list {
 		known[n] = true
 	}
 	for _, n := range p.advice.PreferredNodes(j.ID) {
 		written := r.groupUpdates[n.Group] != nil
-		if known[n] || p.nodes[n.Name] != n || !usable(n) || r.isFull() && !written {
+		if known[n] || p.nodes.node(n.Name) != n || !usable(n) || r.isFull() && !written {
 			continue
 		}
 		known[n] = true
@@ -114,12 +114,12 @@
 }
 
 // fallbackNodes are machines for a task that has no room where it should go.
-func (p *Scheduler) fallbackNodes(r *cycle, j *wire.Job) []*Node {
+func (p *Scheduler) fallbackNodes(r *cycle, j *wire.Job) []*placement.Node {
 	if p.advice == nil || !j.IsService() {
 		return nil
 	}
-	var list []*Node
-	add := func(n *Node) {
+	var list []*placement.Node
+	add := func(n *placement.Node) {
 		if p.advice.IsFallback(n, j) && p.canHost(r, n, j) {
 			list = append(list, n)
 		}
@@ -130,12 +130,12 @@
 	if r.isFull() {
 		return list
 	}
-	for _, n := range p.nodesWithCapacity {
+	for _, n := range p.nodes.withCapacity {
 		if r.groupUpdates[n.Group] == nil {
 			add(n)
 		}
 	}
-	return Sample(list, p.rng)
+	return placement.Sample(list, p.rng)
 }
 
 // WithClusterState runs a function in the placer's actor that looks at all that is placed;
@@ -145,5 +145,5 @@
 }
 
 func (p *Scheduler) clusterState() ClusterState {
-	return ClusterState{View: p.view, ActiveJobs: p.activeJobs, Nodes: p.allNodes, Usage: p.usage, TeamQuota: p.teamQuota}
+	return ClusterState{View: p.view, ActiveJobs: p.activeJobs, Nodes: p.nodes.all, Usage: p.nodes.usage, TeamQuota: p.teamQuota}
 }
--- a/internal/scheduler/commit.go
+++ b/internal/scheduler/commit.go
@@ -5,6 +5,7 @@
 	"maps"
 	"time"
 
+	"lynxledge/internal/placement"
 	"lynxledge/internal/resources"
 	"lynxledge/internal/statecache"
 	"lynxledge/wire"
@@ -32,8 +33,8 @@
 	terminationBytes        int                                    // bytes of what the records say of them
 	launchedMachines        map[wire.MachineID]*statecache.Machine // of the machines with starts
 	onCommitted             []func()
-	victimFactsUpdated      map[*Node]bool            // brought up to date for choices of victims
-	updatedGroupNodes       []*Node                   // with room, in groups that are written anyhow
+	victimFactsUpdated      map[*placement.Node]bool  // brought up to date for choices of victims
+	updatedGroupNodes       []*placement.Node         // with room, in groups that are written anyhow
 	updatedGroupCount       int                       // number of those groups
 	victimSearchShare       map[wire.Priority]float64 // part of the jobs that may look for others' places
 }
@@ -56,7 +57,7 @@
 		launches:                map[wire.MachineID][]wire.Command{},
 		stops:                   map[wire.MachineID][]wire.Command{},
 		launchedMachines:        map[wire.MachineID]*statecache.Machine{},
-		victimFactsUpdated:      map[*Node]bool{},
+		victimFactsUpdated:      map[*placement.Node]bool{},
 	}
 }
 
@@ -134,7 +135,7 @@
 	}
 	r.groupUpdates[group] = d
 	for _, b := range d.Machines {
-		if n := p.nodes[b.Name]; n != nil {
+		if n := p.nodes.node(b.Name); n != nil {
 			n.NeedsOwnWrite = false
 		}
 	}
@@ -151,7 +152,7 @@
 		}
 	}
 	if !p.splitGroups(r, &c) {
-		p.resetNodes(touched)
+		p.nodes.reset(touched)
 		return
 	}
 	p.mergeGroups(r, &c)
@@ -187,7 +188,7 @@
 			// Rows grow when they are rewritten in a later term: the next round splits the
 			// record, or it would be tried in vain again and again.
 			p.oversizedGroups[d.Name] = true
-			p.resetNodes(touched)
+			p.nodes.reset(touched)
 			return
 		}
 		d.AddTo(&c)
@@ -213,7 +214,7 @@
 		p.Send(func() {
 			p.commitInFlight = false
 			p.pendingOwnWrites = 0 // told by now, or not made
-			p.resetNodes(touched)
+			p.nodes.reset(touched)
 			if out == statecache.Committed {
 				for _, f := range r.onCommitted {
 					f()
@@ -232,12 +233,3 @@
 	}
 	return n
 }
-
-// resetNodes makes nodes that a round has changed say again what their rows do.
-func (p *Scheduler) resetNodes(machines []wire.MachineID) {
-	for _, m := range machines {
-		if b := p.view.Machines[m]; b != nil {
-			p.refreshNode(m, b)
-		}
-	}
-}
--- a/internal/scheduler/cycle.go
+++ b/internal/scheduler/cycle.go
@@ -59,7 +59,7 @@
 func (p *Scheduler) planCycle(now time.Time, limit int) *cycle {
 	mine := p.ownAssignments()
 	places := len(mine) > 0
-	r := newCycle(now, limit, p.usage)
+	r := newCycle(now, limit, p.nodes.usage)
 	p.openOversizedGroups(r)
 	p.finishCompletedJobs(r, places)
 	if places {
@@ -99,17 +99,17 @@
 
 // candidates are nodes to choose among for a job: those of groups that are
 // written anyhow and, while the round has room, a sample of all.
-func (p *Scheduler) candidates(r *cycle, j *wire.Job) []*Node {
-	var list []*Node
-	usable := func(n *Node) bool { return p.canHost(r, n, j) && p.advisorAdmits(n, j) }
+func (p *Scheduler) candidates(r *cycle, j *wire.Job) []*placement.Node {
+	var list []*placement.Node
+	usable := func(n *placement.Node) bool { return p.canHost(r, n, j) && p.advisorAdmits(n, j) }
 	for _, n := range p.nodesInUpdatedGroups(r) {
 		if usable(n) {
 			list = append(list, n)
 		}
 	}
-	list = Sample(list, p.rng)
+	list = placement.Sample(list, p.rng)
 	if !r.isFull() {
-		for _, n := range Sample(p.nodesWithCapacity, p.rng) {
+		for _, n := range placement.Sample(p.nodes.withCapacity, p.rng) {
 			if r.groupUpdates[n.Group] == nil && usable(n) {
 				n.NeedsOwnWrite = true
 				list = append(list, n)
@@ -117,20 +117,20 @@
 		}
 	}
 	list = p.withPreferred(r, list, j, usable)
-	slices.SortFunc(list, func(a, b *Node) int { return a.nodeIndex - b.nodeIndex })
+	slices.SortFunc(list, func(a, b *placement.Node) int { return a.Ordinal - b.Ordinal })
 	return list
 }
 
 // nodesInUpdatedGroups are the nodes with room in groups that are written anyhow. Some of them have it
 // only by what is written, and are in no index yet.
-func (p *Scheduler) nodesInUpdatedGroups(r *cycle) []*Node {
+func (p *Scheduler) nodesInUpdatedGroups(r *cycle) []*placement.Node {
 	if r.updatedGroupCount == len(r.groupUpdates) {
 		return r.updatedGroupNodes
 	}
 	r.updatedGroupNodes, r.updatedGroupCount = r.updatedGroupNodes[:0], len(r.groupUpdates)
 	for g, d := range r.groupUpdates {
 		for _, b := range d.Machines {
-			if n := p.nodes[b.Name]; n != nil && n.Group == g && n.HasCapacity() {
+			if n := p.nodes.node(b.Name); n != nil && n.Group == g && n.HasCapacity() {
 				r.updatedGroupNodes = append(r.updatedGroupNodes, n)
 			}
 		}
@@ -139,12 +139,12 @@
 }
 
 // canHost tells whether a node could take a task of a job, wherever the job's others are.
-func (p *Scheduler) canHost(r *cycle, n *Node, j *wire.Job) bool {
-	return n.HasCapacity() && !r.now.Before(p.avoidUntil[n.Name]) && placement.Allowed(j, n.MachineType.Name, n.Zone, n.Spot) && n.hasCapacityFor(j, resources.OfTask(j))
+func (p *Scheduler) canHost(r *cycle, n *placement.Node, j *wire.Job) bool {
+	return n.HasCapacity() && !r.now.Before(p.avoidUntil[n.Name]) && placement.Allowed(j, n.MachineType.Name, n.Zone, n.Spot) && n.HasCapacityFor(j, resources.OfTask(j))
 }
 
 // bind puts a task into a machine's row; false when there is no room for that.
-func (p *Scheduler) bind(r *cycle, node *Node, w queuedJob, n int) bool {
+func (p *Scheduler) bind(r *cycle, node *placement.Node, w queuedJob, n int) bool {
 	d := p.openGroup(r, node.Group)
 	if d == nil {
 		return false
--- a/internal/scheduler/group_layout.go
+++ b/internal/scheduler/group_layout.go
@@ -113,7 +113,7 @@
 // been up, and none has room.
 func (p *Scheduler) fullyUsed(d *groupUpdate) bool {
 	return d.AllMachinesStarted() && !slices.ContainsFunc(d.Machines, func(b *statecache.Machine) bool {
-		n := p.nodes[b.Name]
+		n := p.nodes.node(b.Name)
 		return n != nil && n.HasCapacity()
 	})
 }
--- a/internal/scheduler/job_placement.go
+++ b/internal/scheduler/job_placement.go
@@ -23,9 +23,9 @@
 	mayPreempt      bool // other work may be stopped for a task
 	searchesVictims bool // it is this job's turn to look for places of other work
 
-	sample            []*Node // with room, drawn anew when it is used up
-	placedSinceSample int     // tasks placed since it was drawn
-	occupied          []*Node // to look for places of other work on; drawn when first needed
+	sample            []*placement.Node // with room, drawn anew when it is used up
+	placedSinceSample int               // tasks placed since it was drawn
+	occupied          []*placement.Node // to look for places of other work on; drawn when first needed
 }
 
 // placeJob places what it can of a job.
@@ -78,12 +78,12 @@
 }
 
 // withoutFailedNodes leaves out the machines on which the job has failed, while there are others.
-func (j *jobPlacement) withoutFailedNodes(nodes []*Node) []*Node {
+func (j *jobPlacement) withoutFailedNodes(nodes []*placement.Node) []*placement.Node {
 	f := j.failures[j.id]
 	if f == nil {
 		return nodes
 	}
-	rest := slices.DeleteFunc(slices.Clone(nodes), func(n *Node) bool { return f.machines[n.Name] })
+	rest := slices.DeleteFunc(slices.Clone(nodes), func(n *placement.Node) bool { return f.machines[n.Name] })
 	if len(rest) == 0 {
 		return nodes
 	}
@@ -116,7 +116,7 @@
 		node = victims.Node
 	case node == nil:
 		return false
-	case j.advice == nil && j.worthWaiting(j.spec, node, j.cycle.now):
+	case j.advice == nil && j.nodes.worthWaiting(j.spec, node, j.cycle.now):
 		return false
 	}
 	if !j.bind(j.cycle, node, j.queuedJob, n) {
@@ -125,32 +125,32 @@
 	j.placedSinceSample++
 	node.Used = node.Used.Plus(j.need, 1)
 	// Marked as stopping, so that nothing in this round preempts it.
-	node.Tasks = append(node.Tasks, RunningTask{Job: j.spec, TaskIndex: n, Stopping: true, BoundSince: j.cycle.now})
+	node.Tasks = append(node.Tasks, placement.RunningTask{Job: j.spec, TaskIndex: n, Stopping: true, BoundSince: j.cycle.now})
 	j.cycle.usage[j.team.Name] = j.cycle.usage[j.team.Name].Plus(j.need, 1)
 	j.zones[node.Zone]++
 	return true
 }
 
 // pickNode is a machine with room, or nil.
-func (j *jobPlacement) pickNode() *Node {
-	node := PickNode(j.spec, j.zones, j.zoneOffers, j.sample)
+func (j *jobPlacement) pickNode() *placement.Node {
+	node := placement.PickNode(j.spec, j.zones, j.nodes.offers, j.sample)
 	if node == nil && j.placedSinceSample > 0 {
 		j.sample, j.placedSinceSample = j.withoutFailedNodes(j.candidates(j.cycle, j.spec)), 0
-		node = PickNode(j.spec, j.zones, j.zoneOffers, j.sample)
+		node = placement.PickNode(j.spec, j.zones, j.nodes.offers, j.sample)
 	}
 	if node == nil {
-		node = PickNode(j.spec, j.zones, j.zoneOffers, j.fallbackNodes(j.cycle, j.spec))
+		node = placement.PickNode(j.spec, j.zones, j.nodes.offers, j.fallbackNodes(j.cycle, j.spec))
 	}
 	return node
 }
 
 // pickVictims is other work to stop or to move for a task, or nil. node is where the task
 // would go without; nil: nowhere.
-func (j *jobPlacement) pickVictims(node *Node) *PreemptionVictims {
+func (j *jobPlacement) pickVictims(node *placement.Node) *placement.Victims {
 	if !j.searchesVictims {
 		return nil
 	}
-	var v *PreemptionVictims
+	var v *placement.Victims
 	entitled := j.spec.Priority >= wire.PriorityHigh || j.cycle.usage.WithinGuarantee(j.team, j.need)
 	if j.mayPreempt && entitled && (node == nil || j.spec.Priority >= wire.PriorityHigh && j.fetchesTooLong(j.spec, node)) {
 		// Where its image is, other work makes room for it.
@@ -158,16 +158,16 @@
 		if node != nil {
 			where = withImage(where, j.spec.Image)
 		}
-		v = FindVictims(j.spec, j.zones, j.zoneOffers, where, j.cycle.usage, j.Scheduler.teamQuota)
+		v = placement.FindVictims(j.spec, j.zones, j.nodes.offers, where, placement.Quotas{Usage: j.cycle.usage, Of: j.teamQuota})
 	}
 	if node == nil && v == nil && j.spec.SpreadZones && j.spec.IsService() {
-		v = FindReplicaToMove(j.spec, j.zones, j.occupiedNodes())
+		v = placement.FindReplicaToMove(j.spec, j.zones, j.occupiedNodes())
 	}
 	return v
 }
 
 // occupiedNodes are machines to look for places of other work on.
-func (j *jobPlacement) occupiedNodes() []*Node {
+func (j *jobPlacement) occupiedNodes() []*placement.Node {
 	if j.occupied == nil {
 		j.occupied = j.withoutFailedNodes(j.preemptionCandidates(j.cycle, j.spec))
 	}
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -4,27 +4,28 @@
 	"log/slog"
 	"slices"
 
+	"lynxledge/internal/placement"
 	"lynxledge/internal/resources"
 	"lynxledge/wire"
 )
 
 // preemptionCandidates is a sample of all nodes that a job may use: to preempt on, or to move replicas
 // from.
-func (p *Scheduler) preemptionCandidates(r *cycle, j *wire.Job) []*Node {
-	var from []*Node
+func (p *Scheduler) preemptionCandidates(r *cycle, j *wire.Job) []*placement.Node {
+	var from []*placement.Node
 	if r.isFull() {
 		for _, d := range r.groupUpdates {
 			for _, b := range d.Machines {
-				if n := p.nodes[b.Name]; n != nil {
+				if n := p.nodes.node(b.Name); n != nil {
 					from = append(from, n)
 				}
 			}
 		}
-		slices.SortFunc(from, func(a, b *Node) int { return a.nodeIndex - b.nodeIndex })
+		slices.SortFunc(from, func(a, b *placement.Node) int { return a.Ordinal - b.Ordinal })
 	} else {
-		from = p.allNodes
+		from = p.nodes.all
 	}
-	list := slices.DeleteFunc(Sample(from, p.rng), func(n *Node) bool {
+	list := slices.DeleteFunc(placement.Sample(from, p.rng), func(n *placement.Node) bool {
 		return !n.Schedulable || r.now.Before(p.avoidUntil[n.Name]) || !p.advisorAdmits(n, j)
 	})
 	p.updateVictimFacts(r, list)
@@ -33,7 +34,7 @@
 
 // fetchesTooLong tells whether a task would start too late for the aims of its
 // class because the node lacks its image.
-func (p *Scheduler) fetchesTooLong(j *wire.Job, n *Node) bool {
+func (p *Scheduler) fetchesTooLong(j *wire.Job, n *placement.Node) bool {
 	within, ofClass := p.config.StartObjective(j.Class)
 	return ofClass && !n.HasImage(j.Image) && n.MachineType.ImageFetchGBps > 0 && j.ImageGB/n.MachineType.ImageFetchGBps > within.Seconds()*maxImageFetchShare
 }
@@ -51,7 +52,7 @@
 const stopOverheadBytes = 12
 
 // preempt orders victims stopped in the record that binds their successor.
-func (p *Scheduler) preempt(r *cycle, d *groupUpdate, v *PreemptionVictims) {
+func (p *Scheduler) preempt(r *cycle, d *groupUpdate, v *placement.Victims) {
 	rec := d.UpdateMachine(v.Node.Name)
 	for _, i := range v.Tasks {
 		task := &v.Node.Tasks[i]
@@ -64,12 +65,12 @@
 		t.StopToken = rec.FencingToken
 		// What gives way as soon as it is placed would take the next free place, and give
 		// way again: each time two writes and a launch for nothing.
-		if !task.Job.IsService() && task.RuntimeSoFar < p.config.Params.Workers.HeartbeatInterval.Seconds() {
+		if !task.Job.IsService() && task.RuntimeSoFar < p.config.Params.Workers.HeartbeatInterval {
 			p.preemptedUntil[t.Job] = r.now.Add(p.config.Params.Workers.Heartbeats(1))
 		}
 		d.size += stopOverheadBytes
 		grace := wire.Seconds(0)
 		r.stops[v.Node.Name] = append(r.stops[v.Node.Name], wire.Command{Op: wire.OpStop, Task: t.TaskID(), Attempt: t.Attempt, GracePeriod: &grace})
-		slog.Info("preempting", "task", t.TaskID(), "machine", v.Node.Name, "ran_s", int(task.RuntimeSoFar))
+		slog.Info("task preempted", "task", t.TaskID(), "machine", v.Node.Name, "runtime_seconds", int(task.RuntimeSoFar.Seconds()))
 	}
 }
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -1,13 +1,10 @@
 package scheduler
 
 import (
-	"math"
 	"time"
 
 	"lynxledge/internal/config"
 	"lynxledge/internal/estimate"
-	"lynxledge/internal/placement"
-	"lynxledge/internal/resources"
 	"lynxledge/internal/statecache"
 	"lynxledge/wire"
 )
@@ -79,7 +76,7 @@
 			q = append(q, w)
 			continue
 		}
-		w.candidate = deadlineCandidate{clusterTime: run * float64(left) / p.clusterSlots(j.Spec), runtime: run}
+		w.candidate = deadlineCandidate{clusterTime: run * float64(left) / p.nodes.slotsFor(j.Spec), runtime: run}
 		for _, d := range estimate.Deadlines(p.config, j, config.Seconds(run), age, age) {
 			w.candidate.deadlines = append(w.candidate.deadlines, (d - age).Seconds())
 		}
@@ -90,7 +87,7 @@
 	from := 0.0
 	for id, j := range p.activeJobs {
 		if n := len(p.view.Bindings[id]); n > 0 && !j.Spec.IsService() {
-			from += p.runtimes.Estimate(j.Spec) / 2 * float64(n) / p.clusterSlots(j.Spec)
+			from += p.runtimes.Estimate(j.Spec) / 2 * float64(n) / p.nodes.slotsFor(j.Spec)
 		}
 	}
 	for i := 0; i < len(q); {
@@ -131,42 +128,3 @@
 	}
 	return end
 }
-
-// clusterSlots is how many tasks of a job the machines that are up could run at once
-// if they had nothing else to do but to keep the replicas they hold.
-func (p *Scheduler) clusterSlots(j *wire.Job) float64 {
-	sum := 1.0
-	for k, s := range p.pools {
-		if s.schedulableNodes > 0 && placement.Allowed(j, k.typ, k.zone, k.spot) {
-			limit := resources.OfMachineType(p.machineTypes[k.typ])
-			whole := float64(s.schedulableNodes) * math.Floor(1/resources.OfTask(j).Share(limit)+resources.RoundingTolerance)
-			sum += whole * max(0, 1-s.serviceUsage.Share(limit)/float64(s.schedulableNodes))
-		}
-	}
-	return sum
-}
-
-// worthWaiting tells whether a job that could go elsewhere had better wait
-// for a machine that is coming up than take room in a zone where little can
-// be rented: that room is for jobs that must spread into it. Only a cluster
-// that begins waits: later a replica can be moved.
-func (p *Scheduler) worthWaiting(j *wire.Job, n *Node, now time.Time) bool {
-	if n.Spot || j.SpreadZones && j.TaskCount > 1 || j.Zone != "" {
-		return false
-	}
-	for k, s := range p.pools {
-		if s.schedulableNodes > 0 && !k.spot && p.zoneOffers[k.zone] > p.zoneOffers[n.Zone] {
-			return false
-		}
-	}
-	for m, s := range p.startingNodes {
-		if !s.Spot && p.zoneOffers[s.Zone] > p.zoneOffers[n.Zone] && placement.Allowed(j, s.MachineType.Name, s.Zone, s.Spot) && resources.OfTask(j).Fits(resources.OfMachineType(s.MachineType)) &&
-			now.Sub(time.UnixMilli(p.view.Machines[m].ProvisionedAt)) < config.Seconds(UsualBootFactor*float64(s.MachineType.BootTime)) {
-			return true
-		}
-	}
-	return false
-}
-
-// UsualBootFactor is how many times its boot time a machine usually takes at most.
-const UsualBootFactor = 1.6
--- a/internal/scheduler/quota.go
+++ b/internal/scheduler/quota.go
@@ -6,6 +6,7 @@
 	"strings"
 
 	"lynxledge/internal/config"
+	"lynxledge/internal/placement"
 	"lynxledge/internal/resources"
 	"lynxledge/internal/statecache"
 	"lynxledge/wire"
@@ -64,7 +65,7 @@
 }
 
 // updateVictimFacts brings up to date what a choice of victims looks at.
-func (p *Scheduler) updateVictimFacts(r *cycle, nodes []*Node) {
+func (p *Scheduler) updateVictimFacts(r *cycle, nodes []*placement.Node) {
 	if r.guaranteed == nil {
 		r.guaranteed = JobsWithinGuarantee(p.quotaClaims.current(p.activeJobs, p.view.CompletedCount), p.teamQuota)
 	}
@@ -82,7 +83,7 @@
 			t.Stopping = t.Stopping || j == nil
 			t.WithinGuarantee = r.guaranteed[t.Job.ID]
 			t.LastOfJob = j != nil && p.view.PendingTasks(t.Job.ID, j) <= 0
-			t.RuntimeSoFar = r.now.Sub(t.BoundSince).Seconds()
+			t.RuntimeSoFar = r.now.Sub(t.BoundSince)
 		}
 	}
 }
--- a/internal/scheduler/reconciliation.go
+++ b/internal/scheduler/reconciliation.go
@@ -163,8 +163,8 @@
 			r.onCommitted = append(r.onCommitted, func() { slog.Info("task left machine", "task", g.TaskID(), "machine", m, "why", g.Reason) })
 		}
 	}
-	if node := p.nodes[m]; node != nil {
-		p.loadNode(node, next)
+	if node := p.nodes.node(m); node != nil {
+		p.nodes.load(node, next)
 	}
 }
 
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -13,7 +13,7 @@
 	"lynxledge/internal/config"
 	"lynxledge/internal/estimate"
 	"lynxledge/internal/overload"
-	"lynxledge/internal/resources"
+	"lynxledge/internal/placement"
 	"lynxledge/internal/statecache"
 	"lynxledge/internal/storelimits"
 	"lynxledge/wire"
@@ -47,27 +47,20 @@
 	view                *statecache.View
 	revision            uint64
 	freshAsOf           time.Time
-	machineTypes        map[string]*wire.MachineType
-	zoneOffers          ZoneOffers
 	activeJobs          map[wire.JobID]*statecache.Job
 	quotaClaims         quotaClaimList // of the active jobs
 	runtimes            *estimate.RuntimeEstimator
-	firstIncompleteTask map[wire.JobID]int               // lowest task of a job that may not be done
-	imageCaches         map[wire.MachineID][]cachedImage // machine: images fetched there, newest first
-	failures            map[wire.JobID]*jobFailures      // job: what went wrong lately
-	avoidUntil          map[wire.MachineID]time.Time     // machine: not to be used until
-	preemptedUntil      map[wire.JobID]time.Time         // array: not to be placed until, since a task of it gave way as soon as it was
-
-	nodes             map[wire.MachineID]*Node
-	allNodes          []*Node
-	nodesWithCapacity []*Node // those with room
-	pools             map[nodePool]poolCapacity
-	startingNodes     map[wire.MachineID]*Node // machines that are coming up
-	usage             resources.Usage
-
-	advisor              Advisor // nil: zones that recover are treated like any other
-	advice               Advice  // of the last round; nil: no zone recovers
-	nodesWithReservation []*Node // those with reserved room
+	firstIncompleteTask map[wire.JobID]int           // lowest task of a job that may not be done
+	failures            map[wire.JobID]*jobFailures  // job: what went wrong lately
+	avoidUntil          map[wire.MachineID]time.Time // machine: not to be used until
+	preemptedUntil      map[wire.JobID]time.Time     // array: not to be placed until, since a task of it gave way as soon as it was
+
+	nodes  *nodeIndex
+	images *imageCaches
+
+	advisor              Advisor           // nil: zones that recover are treated like any other
+	advice               Advice            // of the last round; nil: no zone recovers
+	nodesWithReservation []*placement.Node // those with reserved room
 
 	pendingEvidence     map[string]map[wire.MachineID]*pendingEvidence // group, machine
 	lastTermination     time.Time                                      // when somebody last wrote what reports proved
@@ -115,24 +108,20 @@
 		rng:                 rand.New(rand.NewPCG(boot, 1)),
 		writeLimiter:        rate.NewLimiter(rate.Limit(s.WriteRate*cfg.Operator.SchedulerWriteShare), s.TxnOpsLimit()),
 		view:                statecache.NewUnfinishedView(statecache.ChunkTasks(s.MaxValueKB)),
-		machineTypes:        map[string]*wire.MachineType{},
 		activeJobs:          map[wire.JobID]*statecache.Job{},
 		runtimes:            estimate.NewRuntimeEstimator(),
 		firstIncompleteTask: map[wire.JobID]int{},
-		imageCaches:         map[wire.MachineID][]cachedImage{},
 		failures:            map[wire.JobID]*jobFailures{},
 		avoidUntil:          map[wire.MachineID]time.Time{},
 		preemptedUntil:      map[wire.JobID]time.Time{},
-		nodes:               map[wire.MachineID]*Node{},
-		pools:               map[nodePool]poolCapacity{},
-		startingNodes:       map[wire.MachineID]*Node{},
-		usage:               resources.Usage{},
 		pendingEvidence:     map[string]map[wire.MachineID]*pendingEvidence{},
 		fullyCompletedSince: map[wire.JobID]time.Time{},
 		oversizedGroups:     map[string]bool{},
 		crowdedGroups:       map[string]bool{},
 		cancelledDependents: map[wire.JobID]*statecache.Job{},
 	}
+	p.images = newImageCaches()
+	p.nodes = newNodeIndex(p.view, p.images)
 	p.otherWriters.window = p.config.Params.Workers.Heartbeats(writeMeterHeartbeats)
 	return p
 }
@@ -143,23 +132,35 @@
 // SetMachineTypes tells the placer of the machine types.
 func (p *Scheduler) SetMachineTypes(types []wire.MachineType) {
 	p.Send(func() {
-		p.zoneOffers = ZoneOffers{}
-		most := 0.0
-		for i := range types {
-			p.machineTypes[types[i].Name] = &types[i]
-			for _, z := range types[i].Zones {
-				p.zoneOffers[z]++
-				most = max(most, p.zoneOffers[z])
-			}
+		p.nodes.setMachineTypes(types)
+		p.schedule()
+	})
+}
+
+// applyMachineChange takes over a machine's new record: what is bound since when, and which
+// images it has fetched.
+func (p *Scheduler) applyMachineChange(c statecache.MachineChange, now time.Time) {
+	p.nodes.refresh(c.Machine, c.New)
+	if c.New == nil {
+		p.images.forget(c.Machine)
+		delete(p.avoidUntil, c.Machine)
+		return
+	}
+	if c.Old != nil && c.Old.Group != c.New.Group {
+		if n := p.pendingEvidence[c.Old.Group][c.Machine]; n != nil {
+			delete(p.pendingEvidence[c.Old.Group], c.Machine)
+			p.storeEvidence(c.New.Group, c.Machine, n)
 		}
-		for z := range p.zoneOffers {
-			p.zoneOffers[z] /= most
+	}
+	for i := range c.New.Bindings {
+		t := &c.New.Bindings[i]
+		if c.Old != nil && c.Old.FindBinding(t.Job, t.TaskIndex) != nil {
+			continue
 		}
-		for m, b := range p.view.Machines {
-			p.refreshNode(m, b)
+		if j := p.view.Jobs[t.Job]; j != nil && j.Spec != nil {
+			p.images.recordUse(c.Machine, p.nodes.machineTypes[c.New.MachineType], cachedImage{j.Spec.Image, j.Spec.ImageGB})
 		}
-		p.schedule()
-	})
+	}
 }
 
 func (p *Scheduler) apply(d statecache.Update) {
@@ -244,8 +245,8 @@
 // batchDelayHeartbeats is the pause before a round, in report intervals.
 const batchDelayHeartbeats = 1.0 / 100
 
-func withImage(nodes []*Node, image string) []*Node {
-	return slices.DeleteFunc(slices.Clone(nodes), func(n *Node) bool { return !n.HasImage(image) })
+func withImage(nodes []*placement.Node, image string) []*placement.Node {
+	return slices.DeleteFunc(slices.Clone(nodes), func(n *placement.Node) bool { return !n.HasImage(image) })
 }
 
 func (p *Scheduler) teamQuota(name wire.TeamName) config.TeamQuota {
--- a/internal/zonecontrol/status.go
+++ b/internal/zonecontrol/status.go
@@ -9,6 +9,7 @@
 	"slices"
 	"time"
 
+	"lynxledge/internal/placement"
 	"lynxledge/internal/recovery"
 	"lynxledge/internal/scheduler"
 	"lynxledge/internal/statecache"
@@ -134,7 +135,7 @@
 // serviceStatus says of each service that lacks replicas what it waits for.
 func serviceStatus(cluster scheduler.ClusterState) []ServiceStatus {
 	services := recovery.Services(cluster.View, cluster.ActiveJobs)
-	var nodes []*scheduler.Node
+	var nodes []*placement.Node
 	for _, n := range cluster.Nodes {
 		if n.Schedulable {
 			nodes = append(nodes, n)
