--- a/internal/autoscaler/planning_input.go
+++ b/internal/autoscaler/planning_input.go
@@ -68,7 +68,7 @@
 		}
 		// The first deadline that a machine rented now can still keep.
 		age, due := config.Milliseconds(now.UnixMilli()-j.RunnableSince()), time.Duration(0)
-		runSeconds := r.runtimes.Estimate(j.Spec)
+		runSeconds := r.runtimes.EstimateSeconds(j.Spec)
 		run := config.Seconds(runSeconds)
 		deadlines := estimate.Deadlines(r.config, j, run, age, age+wait)
 		for _, d := range deadlines {
@@ -116,7 +116,7 @@
 			}
 			left := math.Inf(1)
 			if !j.Spec.IsService() {
-				left = math.Max(0, r.runtimes.Estimate(j.Spec)-now.Sub(r.boundSince[t.TaskID()]).Seconds())
+				left = math.Max(0, r.runtimes.EstimateSeconds(j.Spec)-now.Sub(r.boundSince[t.TaskID()]).Seconds())
 			}
 			m.Tasks = append(m.Tasks, planner.RunningTask{Job: j.Spec, Remaining: left})
 		}
@@ -140,7 +140,7 @@
 	}
 	run := func(id wire.JobID) float64 {
 		if j := r.view.Jobs[id]; j != nil && j.Spec != nil {
-			return r.runtimes.Estimate(j.Spec)
+			return r.runtimes.EstimateSeconds(j.Spec)
 		}
 		return 0
 	}
@@ -168,7 +168,7 @@
 	if j.Spec.Deadline == nil {
 		return
 	}
-	end := float64(now.UnixMilli()-j.SubmittedAt)/1000 + h.Wait + r.runtimes.Estimate(j.Spec)
+	end := float64(now.UnixMilli()-j.SubmittedAt)/1000 + h.Wait + r.runtimes.EstimateSeconds(j.Spec)
 	late := end - float64(*j.Spec.Deadline)
 	by := wire.JobID("")
 	if late > 0 {
--- a/internal/estimate/runtime.go
+++ b/internal/estimate/runtime.go
@@ -49,8 +49,8 @@
 // Forget drops a job that is over.
 func (e *RuntimeEstimator) Forget(id wire.JobID) { delete(e.jobRuntimes, id) }
 
-// Estimate is the running time to expect of a task.
-func (e *RuntimeEstimator) Estimate(j *wire.Job) float64 {
+// EstimateSeconds is the running time to expect of a task.
+func (e *RuntimeEstimator) EstimateSeconds(j *wire.Job) float64 {
 	if m := e.jobRuntimes[j.ID]; m.n >= minSamples {
 		return m.sum / float64(m.n)
 	}
--- a/internal/estimate/runtime_test.go
+++ b/internal/estimate/runtime_test.go
@@ -31,17 +31,17 @@
 			}, jobs)
 		}
 		next := &wire.Job{ID: "req-000099", Class: "c", EstimatedRuntime: 10}
-		if got := e.Estimate(next); math.Abs(math.Log(got/(10*factor))) > 0.05 {
+		if got := e.EstimateSeconds(next); math.Abs(math.Log(got/(10*factor))) > 0.05 {
 			t.Fatalf("expects %v of 10, owners are off by %v", got, factor)
 		}
-		if got := e.Estimate(&wire.Job{ID: "req-000100", Class: "other", EstimatedRuntime: 10}); got != 10 {
+		if got := e.EstimateSeconds(&wire.Job{ID: "req-000100", Class: "other", EstimatedRuntime: 10}); got != 10 {
 			t.Fatalf("another class expects %v", got)
 		}
 		jobs[next.ID] = &statecache.Job{Spec: next}
 		for range minSamples {
 			e.Observe([]statecache.Termination{{Job: next.ID, Reason: wire.ReasonCompleted, Runtime: 77}}, jobs)
 		}
-		if got := e.Estimate(next); math.Abs(got-77) > 1e-9 {
+		if got := e.EstimateSeconds(next); math.Abs(got-77) > 1e-9 {
 			t.Fatalf("job's own tasks ran 77, expects %v", got)
 		}
 	})
--- a/internal/scheduler/advisor.go
+++ b/internal/scheduler/advisor.go
@@ -1,7 +1,6 @@
 package scheduler
 
 import (
-	"slices"
 	"time"
 
 	"lynxledge/internal/config"
@@ -11,13 +10,14 @@
 	"lynxledge/wire"
 )
 
-// Advisor is asked before each round how to place while zones recover.
+// Advisor is asked before each scheduling cycle how to place while zones recover.
 type Advisor interface {
 	// Advise returns nil when there is nothing to take care of.
 	Advise(now time.Time, cluster ClusterState) Advice
 }
 
-// ClusterState is what an advisor looks at. It belongs to the placer.
+// ClusterState is what an advisor looks at. It belongs to the scheduler's actor: it must
+// neither be changed nor kept.
 type ClusterState struct {
 	View       *statecache.View
 	ActiveJobs map[wire.JobID]*statecache.Job
@@ -26,124 +26,60 @@
 	TeamQuota  func(name wire.TeamName) config.TeamQuota
 }
 
-// Advice is what a recovery asks of placing. It only narrows or orders the choice: what
-// may be bound where is decided by the rules and the guards as ever.
+// Advice is what a recovery asks of placing. It only narrows or orders the choice: what may be
+// bound where is decided by the rules and the preconditions as ever.
 type Advice interface {
-	// Admits tells whether a machine may take a task of a job.
-	Admits(n *placement.Node, j *wire.Job) bool
-	// LastResort tells whether a machine may take a task that has no room elsewhere.
-	IsFallback(n *placement.Node, j *wire.Job) bool
-	// Preferred are machines with room for the waiting replicas of a service.
+	// Admits tells whether a node may take a task of a job.
+	Admits(n *placement.Node, job *wire.Job) bool
+	// IsFallback tells whether a node may take a task that finds no capacity elsewhere.
+	IsFallback(n *placement.Node, job *wire.Job) bool
+	// PreferredNodes are nodes with capacity for the pending replicas of a service.
 	PreferredNodes(service wire.JobID) []*placement.Node
-	// Position is a service's place in the order in which services are made whole.
+	// RecoveryOrder is a service's place in the order in which services are made whole.
 	RecoveryOrder(service wire.JobID) int
-	// Reserved is the room kept for replicas that are about to be placed anew.
+	// ReservedCapacity is what is kept for replicas that are about to be placed anew.
 	ReservedCapacity() map[*placement.Node]resources.Vector
 }
 
-// SetAdvisor sets the advisor. To be called before the ledger runs.
-func (p *Scheduler) SetAdvisor(a Advisor) { p.advisor = a }
+// advisory is the advice that a scheduling cycle follows.
+type advisory struct {
+	advisor       Advisor           // nil: zones that recover are treated like any other
+	current       Advice            // of the last cycle; nil: no zone recovers
+	reservedNodes []*placement.Node // those with reserved capacity
+}
 
-// consultAdvisor asks for advice, and marks the room that is reserved.
-func (p *Scheduler) consultAdvisor(now time.Time) {
-	if p.advisor == nil {
-		return
-	}
-	p.advice = p.advisor.Advise(now, p.clusterState())
-	for _, n := range p.nodesWithReservation {
+// consult asks the advisor, and reserves capacity on nodes by its advice.
+func (a *advisory) consult(now time.Time, cluster ClusterState) {
+	a.current = a.advisor.Advise(now, cluster)
+	for _, n := range a.reservedNodes {
 		n.Reserved = resources.Vector{}
 	}
-	p.nodesWithReservation = p.nodesWithReservation[:0]
-	if p.advice == nil {
+	a.reservedNodes = a.reservedNodes[:0]
+	if a.current == nil {
 		return
 	}
-	for n, room := range p.advice.ReservedCapacity() {
-		n.Reserved = room
-		p.nodesWithReservation = append(p.nodesWithReservation, n)
+	for n, reserved := range a.current.ReservedCapacity() {
+		n.Reserved = reserved
+		a.reservedNodes = append(a.reservedNodes, n)
 	}
 }
 
-// advisorAdmits tells whether a machine may take a task of a job as far as advice goes.
-func (p *Scheduler) advisorAdmits(n *placement.Node, j *wire.Job) bool {
-	return p.advice == nil || p.advice.Admits(n, j)
+// admits tells whether a node may take a task of a job as far as advice goes.
+func (a *advisory) admits(n *placement.Node, job *wire.Job) bool {
+	return a.current == nil || a.current.Admits(n, job)
 }
 
-// withPreferred adds the machines that are preferred for a service to a sample.
-func (p *Scheduler) withPreferred(r *cycle, list []*placement.Node, j *wire.Job, usable func(*placement.Node) bool) []*placement.Node {
-	if p.advice == nil || !j.IsService() {
-		return list
-	}
-	known := make(map[*placement.Node]bool, len(list))
-	for _, n := range list {
-		known[n] = true
-	}
-	for _, n := range p.advice.PreferredNodes(j.ID) {
-		written := r.groupUpdates[n.Group] != nil
-		if known[n] || p.nodes.node(n.Name) != n || !usable(n) || r.isFull() && !written {
-			continue
-		}
-		known[n] = true
-		n.NeedsOwnWrite = !written
-		list = append(list, n)
-	}
-	return list
-}
+// appliesTo tells whether advice concerns the placing of a job.
+func (a *advisory) appliesTo(job *wire.Job) bool { return a.current != nil && job.IsService() }
 
-// zoneCountsInCycle counts a job's bound tasks by zone. While zones recover, replicas that the
-// round proves gone count no more: the room that they leave is for the service itself
-// before it is for arrays.
-func (p *Scheduler) zoneCountsInCycle(r *cycle, job wire.JobID) placement.ZoneCounts {
-	zones := placement.ZoneCountsOf(p.view, job)
-	if j := p.activeJobs[job]; p.advice == nil || j == nil || !j.Spec.IsService() {
-		return zones
-	}
-	for n, name := range p.view.Bindings[job] {
-		row := p.view.Machines[name]
-		if d := r.groupUpdates[row.Group]; d != nil && !d.hasBinding(name, job, n) {
-			zones[row.Zone]--
-		}
-	}
-	return zones
+// clusterState is what an advisor looks at now.
+func (s *schedulingState) clusterState() ClusterState {
+	return ClusterState{View: s.view, ActiveJobs: s.jobs.active, Nodes: s.nodes.all, Usage: s.nodes.usage, TeamQuota: s.teamQuota}
 }
 
-// hasBinding tells whether the group's next record still binds a task to a machine.
-func (d *groupUpdate) hasBinding(machine wire.MachineID, job wire.JobID, n int) bool {
-	return slices.ContainsFunc(d.Machines, func(m *statecache.Machine) bool {
-		return m.Name == machine && m.FindBinding(job, n) != nil
-	})
-}
-
-// fallbackNodes are machines for a task that has no room where it should go.
-func (p *Scheduler) fallbackNodes(r *cycle, j *wire.Job) []*placement.Node {
-	if p.advice == nil || !j.IsService() {
-		return nil
-	}
-	var list []*placement.Node
-	add := func(n *placement.Node) {
-		if p.advice.IsFallback(n, j) && p.canHost(r, n, j) {
-			list = append(list, n)
-		}
-	}
-	for _, n := range p.nodesInUpdatedGroups(r) {
-		add(n)
-	}
-	if r.isFull() {
-		return list
-	}
-	for _, n := range p.nodes.withCapacity {
-		if r.groupUpdates[n.Group] == nil {
-			add(n)
-		}
+// consultAdvisor asks the advisor, if there is one, how to place in this scheduling cycle.
+func (s *schedulingState) consultAdvisor(now time.Time) {
+	if s.advice.advisor != nil {
+		s.advice.consult(now, s.clusterState())
 	}
-	return placement.Sample(list, p.rng)
-}
-
-// WithClusterState runs a function in the placer's actor that looks at all that is placed;
-// false if the placer is too busy.
-func (p *Scheduler) WithClusterState(f func(ClusterState)) bool {
-	return p.Post(func() { f(p.clusterState()) })
-}
-
-func (p *Scheduler) clusterState() ClusterState {
-	return ClusterState{View: p.view, ActiveJobs: p.activeJobs, Nodes: p.nodes.all, Usage: p.nodes.usage, TeamQuota: p.teamQuota}
 }
--- a/internal/scheduler/advisor_test.go
+++ b/internal/scheduler/advisor_test.go
@@ -44,8 +44,8 @@
 	cfg.Params.Workers = config.WorkerTimings{HeartbeatInterval: 3 * time.Second, LeaseDuration: 34 * time.Second, CancellationDeadline: 64 * time.Second}
 	cfg.Params.Store = config.StoreLimits{MaxValueKB: 8, MaxTxnOps: 24, RequestRate: 150, WriteRate: 50}
 	cfg.Params.Teams = []config.TeamQuota{{Name: "red"}}
-	p := newScheduler(cfg, 2)
-	p.advisor = advisor
+	p := newScheduler(Options{Config: cfg, Incarnation: 2})
+	p.advice.advisor = advisor
 	p.nodes.machineTypes["s"] = &wire.MachineType{Name: "s", CPUs: 4, MemoryGB: 16, Zones: []wire.Zone{"a", "b"}}
 	p.nodes.offers = placement.ZoneOffers{"a": 1, "b": 1}
 	now := time.Now()
@@ -59,7 +59,7 @@
 		"req-000002": job("req-000002", wire.KindService, wire.PriorityIdle, 6),
 	} {
 		p.view.Apply(statecache.Change{Kind: statecache.KindJob, Name: string(id), Record: j, ModRevision: 1})
-		p.activeJobs[id] = j
+		p.jobs.active[id] = j
 	}
 	p.view.Apply(statecache.Change{Kind: statecache.KindAssignment, Name: "red", Record: &statecache.Assignment{Member: "n0", Incarnation: 2, ModRevision: 1}, ModRevision: 1})
 	p.revision, p.freshAsOf = 9, now
@@ -79,7 +79,7 @@
 // starts counts what a round starts: by job and zone.
 func starts(p *Scheduler) map[string]int {
 	out := map[string]int{}
-	for machine, orders := range p.planCycle(time.Now(), 24).launches {
+	for machine, orders := range p.planCycle(time.Now(), 24, true).commands.launches {
 		for _, o := range orders {
 			id, _, _ := wire.ParseTaskID(o.Task)
 			out[fmt.Sprint(id, " ", p.nodes.node(machine).Zone)]++
@@ -114,7 +114,7 @@
 			reserved[n] = resources.Vector{CPUs: 3, MemoryGB: 3}
 		}
 	}
-	p.advisor = advice.with(reserved)
+	p.advice.advisor = advice.with(reserved)
 	if got := starts(p); got["req-000001 b"] > 3 {
 		t.Errorf("arrays in reserved room: %v", got)
 	}
@@ -135,16 +135,16 @@
 	p := advised(lastResortAdvice{})
 	p.consultAdvisor(time.Now())
 	p.nodes.withCapacity = nil
-	r := newCycle(time.Now(), 24, resources.Usage{})
-	service := p.activeJobs["req-000002"].Spec
-	if n := len(p.fallbackNodes(r, service)); n != 0 {
+	r := p.newCycle(time.Now(), 24, resources.Usage{})
+	service := p.jobs.active["req-000002"].Spec
+	if n := len(r.fallbackNodes(service)); n != 0 {
 		t.Errorf("%d machines before any is opened", n)
 	}
-	p.openGroup(r, "b")
-	if n := len(p.fallbackNodes(r, service)); n != 3 {
+	r.openGroup("b")
+	if n := len(r.fallbackNodes(service)); n != 3 {
 		t.Errorf("%d of the three machines that the round writes", n)
 	}
-	if n := len(p.fallbackNodes(r, p.activeJobs["req-000001"].Spec)); n != 0 {
+	if n := len(r.fallbackNodes(p.jobs.active["req-000001"].Spec)); n != 0 {
 		t.Errorf("%d machines for an array", n)
 	}
 }
@@ -160,17 +160,17 @@
 		m.Bindings, m.Group, m.Zone, m.MachineType = []statecache.TaskBinding{{Job: "req-000002", TaskIndex: i, Attempt: 1}}, "a", "a", "s"
 	}
 	p.view.Apply(statecache.Change{Kind: statecache.KindMachineGroup, Name: "a", Record: g, ModRevision: 2})
-	r := newCycle(time.Now(), 24, resources.Usage{})
-	if z := p.zoneCountsInCycle(r, "req-000002"); z["a"] != 3 {
+	r := p.newCycle(time.Now(), 24, resources.Usage{})
+	if z := r.zoneCounts("req-000002"); z["a"] != 3 {
 		t.Errorf("%v before anything has left", z)
 	}
-	row := p.openGroup(r, "a").UpdateMachine("i-a001")
+	row := r.openGroup("a").UpdateMachine("i-a001")
 	row.Bindings = nil
-	if z := p.zoneCountsInCycle(r, "req-000002"); z["a"] != 2 {
+	if z := r.zoneCounts("req-000002"); z["a"] != 2 {
 		t.Errorf("%v after one has left", z)
 	}
-	p.advice = nil // as without zone recovery
-	if z := p.zoneCountsInCycle(r, "req-000002"); z["a"] != 3 {
+	p.advice.current = nil // as without zone recovery
+	if z := r.zoneCounts("req-000002"); z["a"] != 3 {
 		t.Errorf("%v without advice", z)
 	}
 }
--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -32,7 +32,7 @@
 	cfg.Params.Workers = config.WorkerTimings{HeartbeatInterval: 8 * time.Second, LeaseDuration: 44 * time.Second, CancellationDeadline: 74 * time.Second}
 	cfg.Params.Store = config.StoreLimits{MaxValueKB: 4, MaxTxnOps: 8, RequestRate: 200, WriteRate: 20}
 	cfg.Params.Teams = []config.TeamQuota{{Name: "red"}}
-	p := newScheduler(cfg, 1)
+	p := newScheduler(Options{Config: cfg, Incarnation: 1})
 	p.nodes.machineTypes["s"] = &wire.MachineType{Name: "s", CPUs: 4, MemoryGB: 32, Zones: []wire.Zone{"a"}}
 	p.nodes.offers = placement.ZoneOffers{"a": 1}
 	p.cycleScheduled = true // rounds are begun by hand
@@ -70,7 +70,7 @@
 		for i := range b.Bindings {
 			report.Tasks = append(report.Tasks, wire.TaskStatus{Task: b.Bindings[i].TaskID(), Attempt: b.Bindings[i].Attempt, State: wire.TaskExited, ExitReason: wire.ReasonCompleted})
 		}
-		p.storeEvidence(group, b.Name, &pendingEvidence{reconcile.Evidence{Heartbeat: report}, now, 1})
+		p.evidence.put(group, b.Name, &pendingEvidence{reconcile.Evidence{Heartbeat: report}, now, 1})
 	}
 }
 
@@ -81,7 +81,7 @@
 	for i := range benchRoundLimit {
 		p.endOn(fmt.Sprintf("g%05d", i*benchGroupSize), benchGroupSize/4, now)
 	}
-	r := p.planCycle(now, benchRoundLimit)
+	r := p.planCycle(now, benchRoundLimit, true)
 	for _, d := range r.groupUpdates {
 		for _, b := range d.Machines {
 			p.nodes.refresh(b.Name, p.view.Machines[b.Name])
@@ -90,6 +90,15 @@
 	return r
 }
 
+// tasksPlaced is how many tasks a cycle binds.
+func tasksPlaced(c *cycle) int {
+	total := 0
+	for _, n := range c.placed {
+		total += n
+	}
+	return total
+}
+
 // BenchmarkRound is a placement round, up to its commit.
 func BenchmarkRound(b *testing.B) {
 	for _, machines := range benchFleets {
@@ -109,13 +118,13 @@
 	const fewJobs = 1000 / machinesPerJob
 	rounds := func(machines int) float64 {
 		p := busyPlacer(machines)
-		for id := range p.activeJobs {
+		for id := range p.jobs.active {
 			if string(id) >= fmt.Sprintf("req-%06d", fewJobs) {
-				delete(p.activeJobs, id)
+				delete(p.jobs.active, id)
 			}
 		}
 		// A quarter of the writes is left for groups with nothing to prove.
-		if placed := sum(p.benchRound().placed); placed != (benchRoundLimit-1)*benchGroupSize/4 {
+		if placed := tasksPlaced(p.benchRound()); placed != (benchRoundLimit-1)*benchGroupSize/4 {
 			t.Fatalf("%d tasks placed", placed)
 		}
 		return testing.AllocsPerRun(20, func() { p.benchRound() })
--- /dev/null
+++ b/internal/scheduler/candidates.go
@@ -0,0 +1,160 @@
+package scheduler
+
+import (
+	"slices"
+
+	"lynxledge/internal/placement"
+	"lynxledge/internal/resources"
+	"lynxledge/internal/statecache"
+	"lynxledge/wire"
+)
+
+// updatedGroupNodes is the nodes with capacity in groups that the cycle writes anyhow.
+type updatedGroupNodes struct {
+	nodes  []*placement.Node
+	groups int // number of those groups when the nodes were listed
+}
+
+// nodesInUpdatedGroups are the nodes with capacity in groups that are written anyhow. Some of
+// them have it only by what is written, and are not in the index of those yet.
+func (c *cycle) nodesInUpdatedGroups() []*placement.Node {
+	list := &c.updatedGroups
+	if list.groups == len(c.groupUpdates) {
+		return list.nodes
+	}
+	list.nodes, list.groups = list.nodes[:0], len(c.groupUpdates)
+	for group, update := range c.groupUpdates {
+		for _, rec := range update.Machines {
+			if n := c.nodes.node(rec.Name); n != nil && n.Group == group && n.HasCapacity() {
+				list.nodes = append(list.nodes, n)
+			}
+		}
+	}
+	return list.nodes
+}
+
+// candidates are nodes to choose among for a job: those of groups that are written anyhow and,
+// while the transaction has room, a sample of all.
+func (c *cycle) candidates(job *wire.Job) []*placement.Node {
+	var list []*placement.Node
+	usable := func(n *placement.Node) bool { return c.canHost(n, job) && c.advice.admits(n, job) }
+	for _, n := range c.nodesInUpdatedGroups() {
+		if usable(n) {
+			list = append(list, n)
+		}
+	}
+	list = placement.Sample(list, c.rng)
+	if !c.isFull() {
+		for _, n := range placement.Sample(c.nodes.withCapacity, c.rng) {
+			if c.groupUpdates[n.Group] == nil && usable(n) {
+				n.NeedsOwnWrite = true
+				list = append(list, n)
+			}
+		}
+	}
+	list = c.withPreferred(list, job, usable)
+	sortByOrdinal(list)
+	return list
+}
+
+// sortByOrdinal puts nodes into the order that they have among all nodes.
+func sortByOrdinal(nodes []*placement.Node) {
+	slices.SortFunc(nodes, func(a, b *placement.Node) int { return a.Ordinal - b.Ordinal })
+}
+
+// canHost tells whether a node could take a task of a job, wherever the job's others are.
+func (c *cycle) canHost(n *placement.Node, job *wire.Job) bool {
+	return n.HasCapacity() && !c.backoff.avoids(n.Name, c.now) && n.AllowedFor(job) && n.HasCapacityFor(job, resources.OfTask(job))
+}
+
+// withPreferred adds the nodes that are preferred for a service to a sample.
+func (c *cycle) withPreferred(list []*placement.Node, job *wire.Job, usable func(*placement.Node) bool) []*placement.Node {
+	if !c.advice.appliesTo(job) {
+		return list
+	}
+	listed := make(map[*placement.Node]bool, len(list))
+	for _, n := range list {
+		listed[n] = true
+	}
+	for _, n := range c.advice.current.PreferredNodes(job.ID) {
+		written := c.groupUpdates[n.Group] != nil
+		if listed[n] || c.nodes.node(n.Name) != n || !usable(n) || c.isFull() && !written {
+			continue
+		}
+		listed[n] = true
+		n.NeedsOwnWrite = !written
+		list = append(list, n)
+	}
+	return list
+}
+
+// fallbackNodes are nodes for a task that finds no capacity where it should go.
+func (c *cycle) fallbackNodes(job *wire.Job) []*placement.Node {
+	if !c.advice.appliesTo(job) {
+		return nil
+	}
+	var list []*placement.Node
+	add := func(n *placement.Node) {
+		if c.advice.current.IsFallback(n, job) && c.canHost(n, job) {
+			list = append(list, n)
+		}
+	}
+	for _, n := range c.nodesInUpdatedGroups() {
+		add(n)
+	}
+	if c.isFull() {
+		return list
+	}
+	for _, n := range c.nodes.withCapacity {
+		if c.groupUpdates[n.Group] == nil {
+			add(n)
+		}
+	}
+	return placement.Sample(list, c.rng)
+}
+
+// preemptionCandidates is a sample of all nodes that a job may use: to preempt on, or to move
+// replicas from.
+func (c *cycle) preemptionCandidates(job *wire.Job) []*placement.Node {
+	from := c.nodes.all
+	if c.isFull() {
+		from = nil
+		for _, update := range c.groupUpdates {
+			for _, rec := range update.Machines {
+				if n := c.nodes.node(rec.Name); n != nil {
+					from = append(from, n)
+				}
+			}
+		}
+		sortByOrdinal(from)
+	}
+	list := slices.DeleteFunc(placement.Sample(from, c.rng), func(n *placement.Node) bool {
+		return !n.Schedulable || c.backoff.avoids(n.Name, c.now) || !c.advice.admits(n, job)
+	})
+	c.updateVictimFacts(list)
+	return list
+}
+
+// zoneCounts counts a job's bound tasks by zone. While zones recover, replicas whose termination
+// the cycle writes count no more: the capacity that they leave is for the service itself before
+// it is for arrays.
+func (c *cycle) zoneCounts(id wire.JobID) placement.ZoneCounts {
+	counts := placement.ZoneCountsOf(c.view, id)
+	if job := c.jobs.active[id]; job == nil || !c.advice.appliesTo(job.Spec) {
+		return counts
+	}
+	for task, machine := range c.view.Bindings[id] {
+		rec := c.view.Machines[machine]
+		if update := c.groupUpdates[rec.Group]; update != nil && !update.hasBinding(machine, id, task) {
+			counts[rec.Zone]--
+		}
+	}
+	return counts
+}
+
+// hasBinding tells whether the group's next record still binds a task to a machine.
+func (u *groupUpdate) hasBinding(machine wire.MachineID, job wire.JobID, task int) bool {
+	return slices.ContainsFunc(u.Machines, func(rec *statecache.Machine) bool {
+		return rec.Name == machine && rec.FindBinding(job, task) != nil
+	})
+}
--- a/internal/scheduler/cycle_test.go
+++ b/internal/scheduler/cycle_test.go
@@ -110,13 +110,13 @@
 		pick := func(aWaits, bWaits time.Duration) (first []string) {
 			in(p, func() {
 				now := time.Now()
-				p.storeEvidence("a", "i-a000", &pendingEvidence{endedOn(groupOf("a", 1), 0), now.Add(-aWaits), 1})
+				p.evidence.put("a", "i-a000", &pendingEvidence{endedOn(groupOf("a", 1), 0), now.Add(-aWaits), 1})
 				for i := range 30 {
 					n := endedOn(groupOf("b", 30), i)
-					p.storeEvidence("b", n.Heartbeat.Machine, &pendingEvidence{n, now.Add(-bWaits), 1})
+					p.evidence.put("b", n.Heartbeat.Machine, &pendingEvidence{n, now.Add(-bWaits), 1})
 				}
-				r := newCycle(now, 1, resources.Usage{})
-				p.applyPendingEvidence(r, true, false)
+				r := p.newCycle(now, 1, resources.Usage{})
+				r.applyPendingEvidence(true, false)
 				for g := range r.groupUpdates {
 					first = append(first, g)
 				}
@@ -141,13 +141,13 @@
 	placing(t, map[string]int{"a": 30}, func(_ *statecache.Cache, p *Scheduler) {
 		fold := func(fill func(d *groupUpdate)) (n int) {
 			in(p, func() {
-				r := newCycle(time.Now(), 8, resources.Usage{})
-				d := p.openGroup(r, "a")
+				r := p.newCycle(time.Now(), 8, resources.Usage{})
+				d := r.openGroup("a")
 				fill(d)
-				if d.EncodedSize() <= p.valueSizeShare(compactionFillShare) {
+				if d.EncodedSize() <= p.limits.valueBytes(compactionFillShare) {
 					t.Error("the record has room")
 				}
-				p.compactCompletions(r, d)
+				r.compactCompletions(d)
 				n = len(r.completionChunks)
 			})
 			return n
@@ -183,11 +183,11 @@
 				for m, b := range p.view.Machines {
 					p.nodes.refresh(m, b)
 				}
-				r := newCycle(time.Now(), 8, resources.Usage{})
-				p.openGroup(r, "a")
-				p.openGroup(r, "b")
+				r := p.newCycle(time.Now(), 8, resources.Usage{})
+				r.openGroup("a")
+				r.openGroup("b")
 				var c statecache.Commit
-				p.mergeGroups(r, &c)
+				r.mergeGroups(&c)
 				if out = len(r.groupUpdates) == 1; out && (len(c.Deletes) != 1 || len(r.groupUpdates["a"].Machines) != 6 || r.assignmentPreconditions["red"] != p.view.Assignments["red"].ModRevision) {
 					t.Errorf("%+v, %d machines", c, len(r.groupUpdates["a"].Machines))
 				}
@@ -230,20 +230,20 @@
 			crowd(l, size.machines, size.jobs)
 			in(p, func() {
 				p.view.Assignments["red"] = &statecache.Assignment{Member: "n0", Incarnation: p.incarnation}
-				q := p.queue(p.ownAssignments(), time.Now())
+				q := p.jobs.pending(p.ownAssignments(), nil, time.Now())
 				share := victimSearchShares(q)[wire.PriorityProduction]
 				if want := min(1, float64(maxVictimSearches)/float64(size.jobs)); share != want {
 					t.Errorf("%v of %d jobs look, not %v", share, size.jobs, want)
 				}
-				r := newCycle(time.Now(), 8, resources.Usage{})
-				r.victimSearchShare = map[wire.Priority]float64{wire.PriorityProduction: 1}
-				p.placeJob(r, q[0])
-				if n := len(r.victimFactsUpdated); n != placement.MaxSample {
+				r := p.newCycle(time.Now(), 8, resources.Usage{})
+				r.victims.searchShares = map[wire.Priority]float64{wire.PriorityProduction: 1}
+				r.placeJob(q[0])
+				if n := len(r.victims.updated); n != placement.MaxSample {
 					t.Errorf("%d of %d machines looked at for one job", n, size.machines)
 				}
-				r.victimSearchShare[wire.PriorityProduction] = 0
-				r.victimFactsUpdated = map[*placement.Node]bool{}
-				if p.placeJob(r, q[0]); len(r.victimFactsUpdated) > 0 {
+				r.victims.searchShares[wire.PriorityProduction] = 0
+				r.victims.updated = map[*placement.Node]bool{}
+				if r.placeJob(q[0]); len(r.victims.updated) > 0 {
 					t.Error("looked out of turn")
 				}
 			})
@@ -290,7 +290,7 @@
 		p.HandleEvidence(first, time.Minute)
 		p.HandleEvidence(second, time.Minute)
 		in(p, func() {
-			n := p.pendingEvidence["a"]["i-a000"]
+			n := p.evidence.byGroup["a"]["i-a000"]
 			if n == nil || len(n.TaskRuntimes) != 2 {
 				t.Errorf("not put together: %+v", n)
 			}
@@ -310,10 +310,10 @@
 			in(p, func() {
 				p.workers = c
 				rec := &statecache.Machine{Name: "i-a000", Address: "x:1", Incarnation: 1, FencingToken: 10}
-				p.launch(&cycle{
-					now: time.Now().Add(-ago), launchedMachines: map[wire.MachineID]*statecache.Machine{"i-a000": rec},
+				p.launch(&cycle{now: time.Now().Add(-ago), commands: commandBatches{
+					machines: map[wire.MachineID]*statecache.Machine{"i-a000": rec},
 					launches: map[wire.MachineID][]wire.Command{"i-a000": {{Op: wire.OpLaunch, Task: "req-000001/7", Attempt: 10}}},
-				})
+				}})
 			})
 			synctest.Wait()
 			return len(c)
@@ -339,9 +339,9 @@
 		in(p, func() {
 			now := time.Now()
 			for range 20 {
-				p.backOffJob("req-000001", "i-a000", wire.ReasonError, now)
+				p.backoff.recordFailure("req-000001", "i-a000", wire.ReasonError, now)
 			}
-			if wait := p.failures["req-000001"].until.Sub(now); wait != 44*time.Second {
+			if wait := p.backoff.failures["req-000001"].until.Sub(now); wait != 44*time.Second {
 				t.Errorf("%v after 20 failures, not a lease", wait)
 			}
 		})
@@ -356,21 +356,21 @@
 			p.config.Params.Store.Upcoming = &config.UpcomingStoreLimits{WriteRate: 15, MaxValueKB: 1, MaxTxnOps: 4}
 			p.storeLimits = &storelimits.Tracker{}
 			part := statecache.TasksPerCompletionPart(1024)
-			r := &cycle{completionChunks: map[string]*statecache.CompletionChunk{}}
+			r := p.newCycle(time.Now(), 8, resources.Usage{})
 			for _, task := range []int{0, part - 1, part, 9000} {
-				if id := p.completionChunkFor(r, "req-000001", task); id != (statecache.CompletionChunkID{FirstTask: statecache.WholeChunk}) {
+				if id := r.completionChunkFor("req-000001", task); id != (statecache.CompletionChunkID{FirstTask: statecache.WholeChunk}) {
 					t.Errorf("before: task %d goes to %v", task, id)
 				}
 			}
 			p.storeLimits.ObserveLowerSizeLimit()
 			for task, from := range map[int]int{0: statecache.WholeChunk, part - 1: statecache.WholeChunk, part: part, 9000: 9000 / part * part} {
-				if id := p.completionChunkFor(r, "req-000001", task); id != (statecache.CompletionChunkID{FirstTask: from}) {
+				if id := r.completionChunkFor("req-000001", task); id != (statecache.CompletionChunkID{FirstTask: from}) {
 					t.Errorf("after: task %d goes to %v", task, id)
 				}
 			}
 			var whole *statecache.CompletionChunk
 			p.view.CompletionChunks["req-000001"] = map[statecache.CompletionChunkID]*statecache.CompletionChunk{{FirstTask: statecache.WholeChunk}: whole.With(part + 100)}
-			if id := p.completionChunkFor(r, "req-000001", 0); id != (statecache.CompletionChunkID{FirstTask: 0}) {
+			if id := r.completionChunkFor("req-000001", 0); id != (statecache.CompletionChunkID{FirstTask: 0}) {
 				t.Errorf("beside a whole chunk that is too large: %v", id)
 			}
 		})
@@ -386,7 +386,7 @@
 			for _, h := range p.view.Assignments {
 				h.Incarnation = p.incarnation
 			}
-			p.crowdedGroups["a"] = true
+			p.layout.crowded["a"] = true
 			p.schedule()
 		})
 		time.Sleep(5 * time.Second)
@@ -395,7 +395,7 @@
 				t.Errorf("%d groups", len(p.view.Groups))
 			}
 			p.config.Params.Store.Upcoming = &config.UpcomingStoreLimits{WriteRate: 15, MaxValueKB: 0.5, MaxTxnOps: 4}
-			p.oversizedGroups["a"] = true
+			p.layout.oversized["a"] = true
 			p.schedule()
 		})
 		time.Sleep(10 * time.Second)
@@ -425,18 +425,18 @@
 				now := time.Now()
 				spec := &wire.Job{ID: "req-000002", Team: "red", Kind: wire.KindArray, Priority: wire.PriorityHigh, TaskCount: 1, CPUs: 1, MemoryGB: 1, EstimatedRuntime: 10}
 				j := &statecache.Job{Spec: spec, TaskCount: 1, SubmittedAt: now.Add(-20 * time.Second).UnixMilli(), PriorityInherited: inherited, InheritedDeadline: now.Add(due).UnixMilli()}
-				p.activeJobs["req-000002"], p.view.Jobs["req-000002"] = j, j
+				p.jobs.active["req-000002"], p.view.Jobs["req-000002"] = j, j
 				p.view.Jobs["req-000001"].Spec.EstimatedRuntime = 0.1 // leaves the cluster to it soon
 				p.config.Params.Objectives = []config.Objective{{Kind: config.ObjectiveGuarantee, Within: 5 * time.Second}}
 				p.view.Assignments["red"] = &statecache.Assignment{Member: "n0", Incarnation: p.incarnation}
-				r := newCycle(now, 8, resources.Usage{})
-				r.victimSearchShare = map[wire.Priority]float64{wire.PriorityHigh: 1}
-				for _, w := range p.queue(p.ownAssignments(), now) {
+				r := p.newCycle(now, 8, resources.Usage{})
+				r.victims.searchShares = map[wire.Priority]float64{wire.PriorityHigh: 1}
+				for _, w := range p.jobs.pending(p.ownAssignments(), nil, now) {
 					if w.id == "req-000002" {
-						p.placeJob(r, w)
+						r.placeJob(w)
 					}
 				}
-				n = len(r.stops)
+				n = len(r.commands.stops)
 				for m, b := range p.view.Machines {
 					p.nodes.refresh(m, b)
 				}
@@ -465,13 +465,13 @@
 				p.view.Assignments["red"] = &statecache.Assignment{Member: "n0", Incarnation: p.incarnation}
 				p.view.Jobs["req-000001"].Spec.Kind = shape
 				n := p.nodes.node("i-a000")
-				r := newCycle(time.Now(), 8, resources.Usage{})
+				r := p.newCycle(time.Now(), 8, resources.Usage{})
 				n.Tasks[0].RuntimeSoFar = config.Seconds(spent)
-				p.preempt(r, p.openGroup(r, "a"), &placement.Victims{Node: n, Tasks: []int{0}})
-				for _, w := range p.queue(p.ownAssignments(), r.now.Add(later)) {
+				r.preempt(r.openGroup("a"), &placement.Victims{Node: n, Tasks: []int{0}})
+				for _, w := range p.jobs.pending(p.ownAssignments(), nil, r.now.Add(later)) {
 					out = out || w.id == "req-000001"
 				}
-				clear(p.preemptedUntil)
+				clear(p.backoff.preemptedUntil)
 				p.nodes.reset([]wire.MachineID{"i-a000"})
 			})
 			return out
@@ -494,17 +494,17 @@
 			group := groupOf("a", machines)
 			for i := range machines {
 				n := endedOn(group, i)
-				p.storeEvidence("a", n.Heartbeat.Machine, &pendingEvidence{n, time.Now(), 1})
+				p.evidence.put("a", n.Heartbeat.Machine, &pendingEvidence{n, time.Now(), 1})
 			}
-			r := newCycle(time.Now(), 8, resources.Usage{})
-			if full := p.view.Groups["a"].RetainedSize(); full < p.valueSizeShare(bindingFillShare)*9/10 {
+			r := p.newCycle(time.Now(), 8, resources.Usage{})
+			if full := p.view.Groups["a"].RetainedSize(); full < p.limits.valueBytes(bindingFillShare)*9/10 {
 				t.Errorf("%d bytes: the record has room anyhow", full)
 			}
-			p.applyPendingEvidence(r, true, false)
+			r.applyPendingEvidence(true, false)
 			w := queuedJob{id: "req-000001", job: p.view.Jobs["req-000001"]}
 			bound := 0
 			for i, b := range group.Machines {
-				if p.bind(r, p.nodes.node(b.Name), w, 5000+i) {
+				if r.bind(p.nodes.node(b.Name), w, 5000+i) {
 					bound++
 				}
 			}
@@ -512,7 +512,7 @@
 			if bound < machines/2 {
 				t.Errorf("room for %d tasks in place of %d", bound, machines)
 			}
-			if size := r.groupUpdates["a"].RetainedSize(); size > p.valueSizeShare(bindingFillShare) {
+			if size := r.groupUpdates["a"].RetainedSize(); size > p.limits.valueBytes(bindingFillShare) {
 				t.Errorf("%d bytes", size)
 			}
 		})
--- a/internal/scheduler/queue_order_test.go
+++ b/internal/scheduler/deadline_stages_test.go
@@ -20,10 +20,10 @@
 			in = append(in, jobs[i])
 		}
 	}
-	slices.SortFunc(in, func(a, b deadlineCandidate) int { return int(math.Copysign(1, a.latestStart(0)-b.latestStart(0))) })
+	slices.SortFunc(in, func(a, b deadlineCandidate) int { return int(math.Copysign(1, a.latestStartSeconds(0)-b.latestStartSeconds(0))) })
 	n := 0
 	for _, j := range in {
-		if from += j.clusterTime; from <= j.latestStart(0) {
+		if from += j.clusterSeconds; from <= j.latestStartSeconds(0) {
 			n++
 		}
 	}
@@ -38,7 +38,7 @@
 		jobs := make([]deadlineCandidate, rapid.IntRange(1, 7).Draw(t, "jobs"))
 		for i := range jobs {
 			d := rapid.Float64Range(-10, 100).Draw(t, "due")
-			jobs[i] = deadlineCandidate{clusterTime: rapid.Float64Range(0.1, 30).Draw(t, "work"), runtime: rapid.Float64Range(0, 20).Draw(t, "run"), deadlines: []float64{d, 2 * max(d, 1)}}
+			jobs[i] = deadlineCandidate{clusterSeconds: rapid.Float64Range(0.1, 30).Draw(t, "work"), runtimeSeconds: rapid.Float64Range(0, 20).Draw(t, "run"), deadlineSeconds: []float64{d, 2 * max(d, 1)}}
 		}
 		stage, _ := assignStages(jobs, from)
 		var kept uint
--- a/internal/scheduler/group_layout.go
+++ b/internal/scheduler/group_layout.go
@@ -9,111 +9,141 @@
 	"lynxledge/internal/statecache"
 )
 
-// ownsAllTeams tells whether all teams are handed to this process. Only then it moves
-// machines from one record to another: a later assignment makes the guards fail, so
-// that no other may miss what is bound to a machine on its way.
-func (p *Scheduler) ownsAllTeams() bool {
-	hands := len(p.view.Assignments)
-	return hands > 0 && hands <= p.config.Params.Store.TxnOpsLimit() && len(p.ownAssignments()) == hands
+// groupLayout knows the groups whose records should be split.
+type groupLayout struct {
+	limits    recordLimits
+	oversized map[string]bool // groups whose records can hardly be written, or not at all
+	crowded   map[string]bool // groups whose records are full before their machines are
 }
 
-// openOversizedGroups takes groups into the round whose records are, or may become, too large
-// to be written: by what they hold, or since the limit of a value has fallen.
-func (p *Scheduler) openOversizedGroups(r *cycle) {
-	if len(p.oversizedGroups) == 0 || !p.ownsAllTeams() {
+func newGroupLayout(limits recordLimits) *groupLayout {
+	return &groupLayout{limits: limits, oversized: map[string]bool{}, crowded: map[string]bool{}}
+}
+
+// observe looks at a group's new record, nil when it was deleted. Whether a group is crowded
+// shows when tasks are bound.
+func (l *groupLayout) observe(name string, group *statecache.MachineGroup) {
+	delete(l.oversized, name)
+	if group == nil {
+		delete(l.crowded, name)
+	} else if group.RetainedSize() > l.limits.valueBytes(splitFillShare) {
+		l.oversized[name] = true
+	}
+}
+
+// openOversizedGroups takes groups into the transaction whose records are, or may become, too
+// large to be written: by what they hold, or since the limit of a value has fallen.
+func (c *cycle) openOversizedGroups() {
+	if len(c.layout.oversized) == 0 || !c.ownsAllTeams() {
 		return
 	}
-	for _, groups := range []map[string]bool{p.oversizedGroups, p.crowdedGroups} {
-		for group := range groups {
-			g := p.view.Groups[group]
-			if g == nil || len(g.Machines)+len(g.Completions) < 2 {
-				delete(groups, group)
+	for _, groups := range []map[string]bool{c.layout.oversized, c.layout.crowded} {
+		for name := range groups {
+			group := c.view.Groups[name]
+			if group == nil || len(group.Machines)+len(group.Completions) < 2 {
+				delete(groups, name)
 				continue
 			}
-			if r.groupUpdates[group] != nil {
+			if c.groupUpdates[name] != nil {
 				continue
 			}
-			parts := min(statecache.MaxSplitParts(g.RetainedSize(), p.config.Params.Store.ValueSizeLimit()), p.config.Params.Store.TxnOpsLimit()-1)
-			if r.ops()+1+parts > r.limit {
-				return // in a round that has room for it
+			parts := min(statecache.MaxSplitParts(group.RetainedSize(), c.limits.store.ValueSizeLimit()), c.limits.txnOps()-1)
+			if c.ops()+1+parts > c.limit {
+				return // in a cycle that has room for it
 			}
-			r.splitParts[group] = parts
-			if p.openGroup(r, group) == nil {
-				delete(r.splitParts, group)
+			c.splitParts[name] = parts
+			if c.openGroup(name) == nil {
+				delete(c.splitParts, name)
 			}
 		}
 	}
 }
 
-// splitGroups makes records that are too large several; false if one can't be split.
-func (p *Scheduler) splitGroups(r *cycle, c *statecache.Commit) bool {
-	for group, maxParts := range r.splitParts {
-		d := r.groupUpdates[group]
-		parts, err := d.Split(p.config.Params.Store.ValueSizeLimit(), maxParts)
+// splitGroups makes several groups of each one that is to be split; false if one can't be.
+func (c *cycle) splitGroups(txn *statecache.Commit) bool {
+	for name, maxParts := range c.splitParts {
+		update := c.groupUpdates[name]
+		parts, err := update.Split(c.limits.store.ValueSizeLimit(), maxParts)
 		if err != nil {
-			slog.Error("record can't be split; nothing is written", "group", group, "bytes", d.RetainedSize(), "err", err)
-			delete(p.oversizedGroups, group)
+			slog.Error("group split failed, nothing written", "group", name, "bytes", update.RetainedSize(), "error", err)
+			delete(c.layout.oversized, name)
 			return false
 		}
 		for _, part := range parts {
-			slog.Debug("group split", "group", group, "into", part.Name, "machines", len(part.Machines))
-			part.AddTo(c) // the record that it comes from follows with the other drafts
+			slog.Debug("group split", "group", name, "new_group", part.Name, "machines", len(part.Machines))
+			part.AddTo(txn) // the record that it comes from follows with the other updates
 		}
-		maps.Copy(r.assignmentPreconditions, p.view.AssignmentRevisions())
-		delete(p.crowdedGroups, group)
+		maps.Copy(c.assignmentPreconditions, c.view.AssignmentRevisions())
+		delete(c.layout.crowded, name)
 	}
 	return true
 }
 
-// mergeGroups makes one record of groups that are written together anyhow, belong to
-// one pool and fit: the fewer groups, the fewer writes, and the sooner a place
-// that is free is known to be. Their machines must be full: two groups that begin
-// fit into a record that is full long before the machines are. Only who places for all teams does: a later hand
-// record makes the guards fail, so that no other may miss what is bound to a
-// machine on its way from one record to the next.
-func (p *Scheduler) mergeGroups(r *cycle, c *statecache.Commit) {
-	if len(r.groupUpdates) < 2 || !p.ownsAllTeams() {
+// mergeGroups makes one group of those that are written together anyhow, belong to one pool and
+// fit into one record: the fewer groups, the fewer writes, and the sooner free capacity is
+// known. Their machines must be full: two groups that begin would fill a record long before
+// their machines. Only who places for all teams merges: a later assignment makes the
+// preconditions fail, so that no other process may miss what is bound to a machine on its way
+// from one record to the next.
+func (c *cycle) mergeGroups(txn *statecache.Commit) {
+	if len(c.groupUpdates) < 2 || !c.ownsAllTeams() {
 		return
 	}
-	names := slices.Collect(maps.Keys(r.groupUpdates))
-	slices.SortFunc(names, func(a, b string) int { // the largest take over
-		if d := len(r.groupUpdates[b].Machines) - len(r.groupUpdates[a].Machines); d != 0 {
-			return d
+	names := c.groupsBySize()
+	merged := false
+	for i, name := range names {
+		if into := c.groupUpdates[name]; into != nil && c.splitParts[name] == 0 && c.fullyUsed(into) {
+			merged = c.mergeInto(into, names[i+1:], txn) || merged
+		}
+	}
+	if merged {
+		maps.Copy(c.assignmentPreconditions, c.view.AssignmentRevisions())
+	}
+}
+
+// groupsBySize lists the groups in the transaction, those with the most machines first: they
+// take over the others.
+func (c *cycle) groupsBySize() []string {
+	names := slices.Collect(maps.Keys(c.groupUpdates))
+	slices.SortFunc(names, func(a, b string) int {
+		if more := len(c.groupUpdates[b].Machines) - len(c.groupUpdates[a].Machines); more != 0 {
+			return more
 		}
 		return strings.Compare(a, b)
 	})
+	return names
+}
+
+// mergeInto merges those of the other groups into one that may be and fit; false if none is.
+func (c *cycle) mergeInto(into *groupUpdate, others []string, txn *statecache.Commit) bool {
 	merged := false
-	for i, name := range names {
-		into := r.groupUpdates[name]
-		if into == nil || r.splitParts[name] > 0 || !p.fullyUsed(into) {
+	size := into.EncodedSize()
+	for _, name := range others {
+		other := c.groupUpdates[name]
+		if other == nil || !c.mayMerge(into, other) || size+other.EncodedSize() > c.limits.valueBytes(mergeFillShare) {
 			continue
 		}
-		size := into.EncodedSize()
-		for _, other := range names[i+1:] {
-			d := r.groupUpdates[other]
-			if d == nil || r.splitParts[other] > 0 || d.MachineType != into.MachineType || d.Zone != into.Zone || d.Spot != into.Spot || d.MustKeepKey() || !p.fullyUsed(d) {
-				continue
-			}
-			if more := d.EncodedSize(); size+more <= p.valueSizeShare(mergeFillShare) {
-				into.Merge(d.GroupUpdate)
-				d.AddDeletionTo(c)
-				delete(r.groupUpdates, other)
-				size = into.EncodedSize()
-				merged = true
-			}
-		}
-	}
-	if !merged {
-		return
+		into.Merge(other.GroupUpdate)
+		other.AddDeletionTo(txn)
+		delete(c.groupUpdates, name)
+		size = into.EncodedSize()
+		merged = true
 	}
-	maps.Copy(r.assignmentPreconditions, p.view.AssignmentRevisions())
+	return merged
+}
+
+// mayMerge tells whether a group may be merged into another one, if they fit into one record.
+func (c *cycle) mayMerge(into, other *groupUpdate) bool {
+	return c.splitParts[other.Name] == 0 &&
+		other.MachineType == into.MachineType && other.Zone == into.Zone && other.Spot == into.Spot &&
+		!other.MustKeepKey() && c.fullyUsed(other)
 }
 
-// fullyUsed tells whether a group's record will hardly grow: all its machines have
-// been up, and none has room.
-func (p *Scheduler) fullyUsed(d *groupUpdate) bool {
-	return d.AllMachinesStarted() && !slices.ContainsFunc(d.Machines, func(b *statecache.Machine) bool {
-		n := p.nodes.node(b.Name)
+// fullyUsed tells whether a group's record will hardly grow: all its machines have been up, and
+// none has capacity left.
+func (c *cycle) fullyUsed(update *groupUpdate) bool {
+	return update.AllMachinesStarted() && !slices.ContainsFunc(update.Machines, func(rec *statecache.Machine) bool {
+		n := c.nodes.node(rec.Name)
 		return n != nil && n.HasCapacity()
 	})
 }
--- a/internal/scheduler/job_placement.go
+++ b/internal/scheduler/job_placement.go
@@ -1,175 +1,202 @@
 package scheduler
 
 import (
+	"log/slog"
 	"slices"
 	"time"
 
 	"lynxledge/internal/config"
 	"lynxledge/internal/placement"
 	"lynxledge/internal/resources"
+	"lynxledge/internal/statecache"
 	"lynxledge/wire"
 )
 
-// jobPlacement is the placing of one job's tasks in a round.
+// jobPlacement is the placing of one job's tasks in a cycle.
 type jobPlacement struct {
-	*Scheduler
-	cycle *cycle
+	*cycle
 	queuedJob
 	spec  *wire.Job
-	team  config.TeamQuota
+	quota config.TeamQuota
 	need  resources.Vector
 	zones placement.ZoneCounts // of the job's tasks, those placed here included
 
 	mayPreempt      bool // other work may be stopped for a task
-	searchesVictims bool // it is this job's turn to look for places of other work
+	searchesVictims bool // it is among the jobs of its priority that look for victims
 
-	sample            []*placement.Node // with room, drawn anew when it is used up
+	sample            []*placement.Node // with capacity, drawn anew when it is used up
 	placedSinceSample int               // tasks placed since it was drawn
-	occupied          []*placement.Node // to look for places of other work on; drawn when first needed
+	occupied          []*placement.Node // to look for victims on; drawn when first needed
 }
 
 // placeJob places what it can of a job.
-func (p *Scheduler) placeJob(r *cycle, w queuedJob) {
-	spec, team := w.job.Spec, p.teamQuota(w.job.Spec.Team)
+func (c *cycle) placeJob(entry queuedJob) {
+	spec, quota := entry.job.Spec, c.teamQuota(entry.job.Spec.Team)
 	need := resources.OfTask(spec)
-	if r.finishedJobs[w.id] > 0 || !r.usage.WithinLimit(team, need) {
+	if c.finishedJobs[entry.id] > 0 || !c.usage.WithinLimit(quota, need) {
 		return
 	}
-	if _, known := r.jobPreconditions[w.id]; !known && !p.canAddPrecondition(r) {
+	if _, known := c.jobPreconditions[entry.id]; !known && !c.canAddPrecondition() {
 		return
 	}
-	j := &jobPlacement{Scheduler: p, cycle: r, queuedJob: w, spec: spec, team: team, need: need, zones: p.zoneCountsInCycle(r, w.id)}
-	j.mayPreempt = j.isPressing()
-	j.searchesVictims = p.rng.Float64() < r.victimSearchShare[spec.Priority]
-	j.sample = j.withoutFailedNodes(p.candidates(r, spec))
-	for n := p.firstIncompleteTask[w.id]; n < w.job.TaskCount && r.placed[w.id] < w.maxTasks; n++ {
-		if j.isFailing() && len(p.view.Bindings[w.id])+r.placed[w.id] > 0 {
+	p := &jobPlacement{cycle: c, queuedJob: entry, spec: spec, quota: quota, need: need, zones: c.zoneCounts(entry.id)}
+	p.mayPreempt = p.isPressing()
+	p.searchesVictims = c.rng.Float64() < c.victims.searchShares[spec.Priority]
+	p.drawSample()
+	for task := c.jobs.firstIncomplete[p.id]; task < p.job.TaskCount && c.placed[p.id] < p.maxTasks; task++ {
+		if c.backoff.probes(p.id) && len(c.view.Bindings[p.id])+c.placed[p.id] > 0 {
 			return // one at a time until one succeeds
 		}
-		if j.isCompletedOrBound(n) {
+		if p.isCompletedOrBound(task) {
 			continue
 		}
-		if !r.usage.WithinLimit(team, need) || !j.placeTask(n) {
+		if !c.usage.WithinLimit(quota, need) || !p.placeTask(task) {
 			return
 		}
 	}
 }
 
-// isPressing tells whether other work may be stopped for the job. Room comes free all the
-// time: work that may wait a little takes no other's place before that. Prod does. A stage
-// whose priority is inherited from the pipeline's last job takes a place only when its
-// part of that deadline presses.
-func (j *jobPlacement) isPressing() bool {
-	if j.mustStartSoon() {
+// isPressing tells whether other work may be stopped for the job. Capacity comes free all the
+// time: work that may wait a little preempts none before that. Production work does. A stage
+// whose priority is inherited from the pipeline's last job preempts only when its part of that
+// deadline presses.
+func (p *jobPlacement) isPressing() bool {
+	if p.candidate.startsSoon(p.deadlineStage) {
 		return true
 	}
-	if j.job.PriorityInherited {
+	if p.job.PriorityInherited {
 		return false
 	}
-	within, _ := j.config.StartObjective(j.spec.Class)
-	age := j.cycle.now.Sub(time.UnixMilli(j.job.RunnableSince()))
-	return j.spec.Priority == wire.PriorityProduction || age >= (within-j.config.Params.Workers.HeartbeatInterval/3)/2
+	within, _ := p.config.StartObjective(p.spec.Class)
+	age := p.now.Sub(time.UnixMilli(p.job.RunnableSince()))
+	return p.spec.Priority == wire.PriorityProduction || age >= (within-p.config.Params.Workers.HeartbeatInterval/3)/2
 }
 
-// isFailing tells whether the job's tasks are tried one at a time.
-func (j *jobPlacement) isFailing() bool {
-	f := j.failures[j.id]
-	return f != nil && f.count >= probeAfter
-}
-
-// withoutFailedNodes leaves out the machines on which the job has failed, while there are others.
-func (j *jobPlacement) withoutFailedNodes(nodes []*placement.Node) []*placement.Node {
-	f := j.failures[j.id]
-	if f == nil {
-		return nodes
-	}
-	rest := slices.DeleteFunc(slices.Clone(nodes), func(n *placement.Node) bool { return f.machines[n.Name] })
-	if len(rest) == 0 {
-		return nodes
-	}
-	return rest
-}
-
-// isCompletedOrBound tells whether a task is done or bound.
-func (j *jobPlacement) isCompletedOrBound(n int) bool {
-	if j.view.IsCompleted(j.id, n) {
-		if n == j.firstIncompleteTask[j.id] {
-			j.firstIncompleteTask[j.id] = n + 1
+// isCompletedOrBound tells whether a task has nothing to be placed for.
+func (p *jobPlacement) isCompletedOrBound(task int) bool {
+	if p.view.IsCompleted(p.id, task) {
+		if task == p.jobs.firstIncomplete[p.id] {
+			p.jobs.firstIncomplete[p.id] = task + 1
 		}
 		return true
 	}
-	_, bound := j.view.Bindings[j.id][n]
+	_, bound := p.view.Bindings[p.id][task]
 	return bound
 }
 
-// placeTask places a task; false when the job gets no more places in this round.
-func (j *jobPlacement) placeTask(n int) bool {
-	node := j.pickNode()
-	victims := j.pickVictims(node)
+// placeTask places a task; false when the job gets no more capacity in this cycle.
+func (p *jobPlacement) placeTask(task int) bool {
+	node := p.pickNode()
+	victims := p.pickVictims(node)
 	switch {
 	case victims != nil:
-		d := j.openGroup(j.cycle, victims.Node.Group)
-		if d == nil {
+		update := p.openGroup(victims.Node.Group)
+		if update == nil {
 			return false
 		}
-		j.preempt(j.cycle, d, victims)
+		p.preempt(update, victims)
 		node = victims.Node
 	case node == nil:
 		return false
-	case j.advice == nil && j.nodes.worthWaiting(j.spec, node, j.cycle.now):
+	case p.advice.current == nil && p.nodes.worthWaiting(p.spec, node, p.now):
 		return false
 	}
-	if !j.bind(j.cycle, node, j.queuedJob, n) {
+	if !p.bind(node, p.queuedJob, task) {
 		return false
 	}
-	j.placedSinceSample++
-	node.Used = node.Used.Plus(j.need, 1)
-	// Marked as stopping, so that nothing in this round preempts it.
-	node.Tasks = append(node.Tasks, placement.RunningTask{Job: j.spec, TaskIndex: n, Stopping: true, BoundSince: j.cycle.now})
-	j.cycle.usage[j.team.Name] = j.cycle.usage[j.team.Name].Plus(j.need, 1)
-	j.zones[node.Zone]++
+	p.placedSinceSample++
+	node.Used = node.Used.Plus(p.need, 1)
+	// Marked as stopping, so that nothing in this cycle preempts it.
+	node.Tasks = append(node.Tasks, placement.RunningTask{Job: p.spec, TaskIndex: task, Stopping: true, BoundSince: p.now})
+	p.usage[p.quota.Name] = p.usage[p.quota.Name].Plus(p.need, 1)
+	p.zones[node.Zone]++
 	return true
 }
 
-// pickNode is a machine with room, or nil.
-func (j *jobPlacement) pickNode() *placement.Node {
-	node := placement.PickNode(j.spec, j.zones, j.nodes.offers, j.sample)
-	if node == nil && j.placedSinceSample > 0 {
-		j.sample, j.placedSinceSample = j.withoutFailedNodes(j.candidates(j.cycle, j.spec)), 0
-		node = placement.PickNode(j.spec, j.zones, j.nodes.offers, j.sample)
+// drawSample draws nodes with capacity for the job.
+func (p *jobPlacement) drawSample() {
+	p.sample, p.placedSinceSample = p.backoff.withoutFailed(p.id, p.candidates(p.spec)), 0
+}
+
+// pickNode is a node with capacity, or nil.
+func (p *jobPlacement) pickNode() *placement.Node {
+	node := placement.PickNode(p.spec, p.zones, p.nodes.offers, p.sample)
+	if node == nil && p.placedSinceSample > 0 {
+		p.drawSample()
+		node = placement.PickNode(p.spec, p.zones, p.nodes.offers, p.sample)
 	}
 	if node == nil {
-		node = placement.PickNode(j.spec, j.zones, j.nodes.offers, j.fallbackNodes(j.cycle, j.spec))
+		node = placement.PickNode(p.spec, p.zones, p.nodes.offers, p.fallbackNodes(p.spec))
 	}
 	return node
 }
 
-// pickVictims is other work to stop or to move for a task, or nil. node is where the task
-// would go without; nil: nowhere.
-func (j *jobPlacement) pickVictims(node *placement.Node) *placement.Victims {
-	if !j.searchesVictims {
+// pickVictims is other work to stop or to move for a task, or nil. node is where the task would
+// go without; nil: nowhere.
+func (p *jobPlacement) pickVictims(node *placement.Node) *placement.Victims {
+	if !p.searchesVictims {
 		return nil
 	}
-	var v *placement.Victims
-	entitled := j.spec.Priority >= wire.PriorityHigh || j.cycle.usage.WithinGuarantee(j.team, j.need)
-	if j.mayPreempt && entitled && (node == nil || j.spec.Priority >= wire.PriorityHigh && j.fetchesTooLong(j.spec, node)) {
-		// Where its image is, other work makes room for it.
-		where := j.occupiedNodes()
-		if node != nil {
-			where = withImage(where, j.spec.Image)
+	var victims *placement.Victims
+	entitled := p.spec.Priority >= wire.PriorityHigh || p.usage.WithinGuarantee(p.quota, p.need)
+	if p.mayPreempt && entitled && (node == nil || p.spec.Priority >= wire.PriorityHigh && p.fetchesTooLong(p.spec, node)) {
+		nodes := p.occupiedNodes()
+		if node != nil { // other work makes room only where the image is
+			nodes = slices.DeleteFunc(slices.Clone(nodes), func(n *placement.Node) bool { return !n.HasImage(p.spec.Image) })
 		}
-		v = placement.FindVictims(j.spec, j.zones, j.nodes.offers, where, placement.Quotas{Usage: j.cycle.usage, Of: j.teamQuota})
+		victims = placement.FindVictims(p.spec, p.zones, p.nodes.offers, nodes, placement.Quotas{Usage: p.usage, Of: p.teamQuota})
 	}
-	if node == nil && v == nil && j.spec.SpreadZones && j.spec.IsService() {
-		v = placement.FindReplicaToMove(j.spec, j.zones, j.occupiedNodes())
+	if node == nil && victims == nil && p.spec.SpreadZones && p.spec.IsService() {
+		victims = placement.FindReplicaToMove(p.spec, p.zones, p.occupiedNodes())
+	}
+	return victims
+}
+
+// occupiedNodes are nodes to look for victims on.
+func (p *jobPlacement) occupiedNodes() []*placement.Node {
+	if p.occupied == nil {
+		p.occupied = p.backoff.withoutFailed(p.id, p.preemptionCandidates(p.spec))
 	}
-	return v
+	return p.occupied
 }
 
-// occupiedNodes are machines to look for places of other work on.
-func (j *jobPlacement) occupiedNodes() []*placement.Node {
-	if j.occupied == nil {
-		j.occupied = j.withoutFailedNodes(j.preemptionCandidates(j.cycle, j.spec))
+// bind adds a task to the record of a node's machine; false when there is no room for that.
+func (c *cycle) bind(node *placement.Node, entry queuedJob, task int) bool {
+	update := c.openGroup(node.Group)
+	if update == nil {
+		return false
+	}
+	if !c.hasRoomForBinding(update, entry) {
+		node.Schedulable = false // in this cycle
+		if len(update.Machines) > 1 && update.RetainedSize() > c.limits.valueBytes(crowdedFillShare) {
+			c.layout.crowded[update.Name] = true // full before its machines are
+		}
+		slog.Debug("group record full", "group", node.Group)
+		return false
 	}
-	return j.occupied
+	rec := update.UpdateMachine(node.Name)
+	if rec == nil {
+		return false
+	}
+	// The record's fencing token has never been used on this machine before. The view's
+	// revision would not do: it stands still between an own commit and its repeat by the watch,
+	// and an attempt used twice on a machine lets the first one's end pass for the second's.
+	binding := statecache.TaskBinding{Job: entry.id, TaskIndex: task, Attempt: rec.FencingToken}
+	rec.Bindings = append(rec.Bindings, binding)
+	update.size += statecache.BindingBytes(entry.id)
+	c.jobPreconditions[entry.id] = entry.job.ModRevision
+	c.assignmentPreconditions[entry.job.Spec.Team] = entry.assignment
+	c.placed[entry.id]++
+	c.commands.addLaunch(rec, &binding)
+	return true
+}
+
+// hasRoomForBinding tells whether a group's next record, and the transaction, have room for one
+// more binding of a job.
+func (c *cycle) hasRoomForBinding(update *groupUpdate, entry queuedJob) bool {
+	share := bindingFillShare
+	if entry.job.Spec.Priority >= wire.PriorityHigh {
+		share = urgentFillShare
+	}
+	return update.size+statecache.BindingBytes(entry.id) <= c.limits.valueBytes(share) && c.bytes() <= statecache.MaxTxnRecordBytes
 }
--- /dev/null
+++ b/internal/scheduler/preemption.go
@@ -0,0 +1,91 @@
+package scheduler
+
+import (
+	"log/slog"
+
+	"lynxledge/internal/placement"
+	"lynxledge/internal/resources"
+	"lynxledge/wire"
+)
+
+// maxVictimSearches is how many of the queued jobs of a priority look for victims in a cycle,
+// drawn anew each time: to look costs far more than to find that there is no free capacity.
+const maxVictimSearches = 64
+
+// victimSearchShares is the part of the queued jobs of each priority that may look for victims.
+func victimSearchShares(queue []queuedJob) map[wire.Priority]float64 {
+	shares := map[wire.Priority]float64{}
+	for i := range queue {
+		shares[queue[i].job.Spec.Priority]++
+	}
+	for priority, jobs := range shares {
+		shares[priority] = min(1, maxVictimSearches/jobs)
+	}
+	return shares
+}
+
+// victimFacts is what a cycle knows for choices of victims. It is gathered when first needed.
+type victimFacts struct {
+	searchShares map[wire.Priority]float64 // part of the jobs that may look for victims
+	guaranteed   map[wire.JobID]bool       // jobs within their teams' guarantees
+	updated      map[*placement.Node]bool  // nodes whose tasks are up to date
+}
+
+// updateVictimFacts brings up to date what a choice of victims looks at.
+func (c *cycle) updateVictimFacts(nodes []*placement.Node) {
+	if c.victims.guaranteed == nil {
+		c.victims.guaranteed = c.jobs.withinGuarantee(c.teamQuota)
+	}
+	for _, n := range nodes {
+		if c.victims.updated[n] {
+			continue
+		}
+		c.victims.updated[n] = true
+		for i := range n.Tasks {
+			t := &n.Tasks[i]
+			if t.Job == nil {
+				continue
+			}
+			job := c.jobs.active[t.Job.ID]
+			t.Stopping = t.Stopping || job == nil
+			t.WithinGuarantee = c.victims.guaranteed[t.Job.ID]
+			t.LastOfJob = job != nil && c.view.PendingTasks(t.Job.ID, job) <= 0
+			t.RuntimeSoFar = c.now.Sub(t.BoundSince)
+		}
+	}
+}
+
+// maxImageFetchShare is the part of the time until a start is due that a fetch may take.
+const maxImageFetchShare = 0.6
+
+// fetchesTooLong tells whether a task would start too late for the objective of its class
+// because the node lacks its image.
+func (c *cycle) fetchesTooLong(job *wire.Job, n *placement.Node) bool {
+	within, ofClass := c.config.StartObjective(job.Class)
+	return ofClass && !n.HasImage(job.Image) && n.MachineType.ImageFetchGBps > 0 &&
+		job.ImageGB/n.MachineType.ImageFetchGBps > within.Seconds()*maxImageFetchShare
+}
+
+// stopBytes is what stopping a task adds to a record.
+const stopBytes = 12
+
+// preempt stops victims in the record that binds their successor.
+func (c *cycle) preempt(update *groupUpdate, victims *placement.Victims) {
+	rec := update.UpdateMachine(victims.Node.Name)
+	for _, i := range victims.Tasks {
+		task := &victims.Node.Tasks[i]
+		task.Stopping = true
+		victims.Node.Used = victims.Node.Used.Plus(resources.OfTask(task.Job), -1)
+		binding := rec.FindBinding(task.Job.ID, task.TaskIndex)
+		if binding == nil {
+			continue
+		}
+		binding.StopToken = rec.FencingToken
+		if !task.Job.IsService() && task.RuntimeSoFar < c.config.Params.Workers.HeartbeatInterval {
+			c.backoff.recordEarlyPreemption(binding.Job, c.now)
+		}
+		update.size += stopBytes
+		c.commands.addStop(rec.Name, binding)
+		slog.Info("task preempted", "task", binding.TaskID(), "machine", rec.Name, "runtime_seconds", int(task.RuntimeSoFar.Seconds()))
+	}
+}
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -2,18 +2,12 @@
 
 import (
 	"context"
-	"math/rand/v2"
-	"slices"
-	"strings"
 	"time"
 
-	"golang.org/x/time/rate"
-
 	"lynxledge/internal/actor"
 	"lynxledge/internal/config"
-	"lynxledge/internal/estimate"
 	"lynxledge/internal/overload"
-	"lynxledge/internal/placement"
+	"lynxledge/internal/reconcile"
 	"lynxledge/internal/statecache"
 	"lynxledge/internal/storelimits"
 	"lynxledge/wire"
@@ -21,53 +15,23 @@
 
 // CommandSender sends commands straight to a worker.
 type CommandSender interface {
-	SendCommands(ctx context.Context, addr string, cmd wire.CommandBatch) (*wire.Heartbeat, error)
+	SendCommands(ctx context.Context, addr string, batch wire.CommandBatch) (*wire.Heartbeat, error)
 }
 
-// Scheduler is the actor that writes what is bound to machines: it places the
-// tasks of the teams handed to it, and takes over what reports prove. The
-// process that the teams are handed to writes at once; any other one only what
-// nobody has written for a while.
+// Scheduler is the actor that writes which tasks are bound to which machines: it places the
+// tasks of the teams assigned to it, and applies the evidence from heartbeats. The process that
+// the teams are assigned to writes at once; any other one only what nobody has written for a
+// while.
 type Scheduler struct {
 	*actor.Actor
+	schedulingState
+
+	// ctx ends with the scheduler: commands are sent to workers under it.
 	ctx               context.Context
-	config            *config.Config
-	incarnation       uint64
 	cache             *statecache.Cache
 	workers           CommandSender
 	onCommandResponse func(*wire.Heartbeat) // takes what workers answer to commands
-	storeLimits       *storelimits.Tracker
 	overload          *overload.Gauge
-	rng               *rand.Rand
-	writeLimiter      *rate.Limiter // of writes
-
-	otherWriters     writeRateMeter
-	pendingOwnWrites int // writes committed here that the ledger has not told of yet
-
-	view                *statecache.View
-	revision            uint64
-	freshAsOf           time.Time
-	activeJobs          map[wire.JobID]*statecache.Job
-	quotaClaims         quotaClaimList // of the active jobs
-	runtimes            *estimate.RuntimeEstimator
-	firstIncompleteTask map[wire.JobID]int           // lowest task of a job that may not be done
-	failures            map[wire.JobID]*jobFailures  // job: what went wrong lately
-	avoidUntil          map[wire.MachineID]time.Time // machine: not to be used until
-	preemptedUntil      map[wire.JobID]time.Time     // array: not to be placed until, since a task of it gave way as soon as it was
-
-	nodes  *nodeIndex
-	images *imageCaches
-
-	advisor              Advisor           // nil: zones that recover are treated like any other
-	advice               Advice            // of the last round; nil: no zone recovers
-	nodesWithReservation []*placement.Node // those with reserved room
-
-	pendingEvidence     map[string]map[wire.MachineID]*pendingEvidence // group, machine
-	lastTermination     time.Time                                      // when somebody last wrote what reports proved
-	fullyCompletedSince map[wire.JobID]time.Time                       // complete jobs that are not called done yet, since
-	oversizedGroups     map[string]bool                                // groups whose records can hardly be written, or not at all
-	crowdedGroups       map[string]bool                                // groups whose records are full before their machines are
-	cancelledDependents map[wire.JobID]*statecache.Job                 // cancelled with a predecessor, which their own records don't say yet
 
 	commitInFlight bool
 	cycleScheduled bool
@@ -86,171 +50,91 @@
 
 // Start runs a scheduler until ctx ends.
 func Start(ctx context.Context, o Options) *Scheduler {
-	p := newScheduler(o.Config, o.Incarnation)
-	p.storeLimits = o.StoreLimits
-	p.overload = o.Overload
-	p.Actor = actor.Start(ctx, "placer", 512)
-	p.ctx = ctx
-	p.cache = o.Cache
-	p.workers = o.Workers
-	p.onCommandResponse = o.OnCommandResponse
-	o.Cache.Subscribe(func(d statecache.Update) { p.Send(func() { p.apply(d) }) })
-	p.Every(p.config.Params.Workers.Heartbeats(1.0/6), p.schedule)
-	return p
+	s := newScheduler(o)
+	s.Actor = actor.Start(ctx, "placer", 512)
+	s.ctx = ctx
+	o.Cache.Subscribe(func(update statecache.Update) { s.Send(func() { s.apply(update) }) })
+	s.Every(s.config.Params.Workers.Heartbeats(1.0/6), s.schedule)
+	return s
 }
 
-// newScheduler makes a placer that knows nothing yet and does not run.
-func newScheduler(cfg *config.Config, boot uint64) *Scheduler {
-	s := cfg.Params.Store
-	p := &Scheduler{
-		config:              cfg,
-		incarnation:         boot,
-		rng:                 rand.New(rand.NewPCG(boot, 1)),
-		writeLimiter:        rate.NewLimiter(rate.Limit(s.WriteRate*cfg.Operator.SchedulerWriteShare), s.TxnOpsLimit()),
-		view:                statecache.NewUnfinishedView(statecache.ChunkTasks(s.MaxValueKB)),
-		activeJobs:          map[wire.JobID]*statecache.Job{},
-		runtimes:            estimate.NewRuntimeEstimator(),
-		firstIncompleteTask: map[wire.JobID]int{},
-		failures:            map[wire.JobID]*jobFailures{},
-		avoidUntil:          map[wire.MachineID]time.Time{},
-		preemptedUntil:      map[wire.JobID]time.Time{},
-		pendingEvidence:     map[string]map[wire.MachineID]*pendingEvidence{},
-		fullyCompletedSince: map[wire.JobID]time.Time{},
-		oversizedGroups:     map[string]bool{},
-		crowdedGroups:       map[string]bool{},
-		cancelledDependents: map[wire.JobID]*statecache.Job{},
+// newScheduler makes a scheduler that knows nothing yet and does not run.
+func newScheduler(o Options) *Scheduler {
+	return &Scheduler{
+		schedulingState:   newSchedulingState(o.Config, o.Incarnation, o.StoreLimits),
+		cache:             o.Cache,
+		workers:           o.Workers,
+		onCommandResponse: o.OnCommandResponse,
+		overload:          o.Overload,
 	}
-	p.images = newImageCaches()
-	p.nodes = newNodeIndex(p.view, p.images)
-	p.otherWriters.window = p.config.Params.Workers.Heartbeats(writeMeterHeartbeats)
-	return p
 }
 
-// writeMeterHeartbeats is over how many report intervals others' writes are averaged.
-const writeMeterHeartbeats = 1
-
-// SetMachineTypes tells the placer of the machine types.
-func (p *Scheduler) SetMachineTypes(types []wire.MachineType) {
-	p.Send(func() {
-		p.nodes.setMachineTypes(types)
-		p.schedule()
+// SetMachineTypes tells the scheduler of the machine types.
+func (s *Scheduler) SetMachineTypes(types []wire.MachineType) {
+	s.Send(func() {
+		s.nodes.setMachineTypes(types)
+		s.schedule()
 	})
 }
 
-// applyMachineChange takes over a machine's new record: what is bound since when, and which
-// images it has fetched.
-func (p *Scheduler) applyMachineChange(c statecache.MachineChange, now time.Time) {
-	p.nodes.refresh(c.Machine, c.New)
-	if c.New == nil {
-		p.images.forget(c.Machine)
-		delete(p.avoidUntil, c.Machine)
-		return
-	}
-	if c.Old != nil && c.Old.Group != c.New.Group {
-		if n := p.pendingEvidence[c.Old.Group][c.Machine]; n != nil {
-			delete(p.pendingEvidence[c.Old.Group], c.Machine)
-			p.storeEvidence(c.New.Group, c.Machine, n)
-		}
-	}
-	for i := range c.New.Bindings {
-		t := &c.New.Bindings[i]
-		if c.Old != nil && c.Old.FindBinding(t.Job, t.TaskIndex) != nil {
-			continue
-		}
-		if j := p.view.Jobs[t.Job]; j != nil && j.Spec != nil {
-			p.images.recordUse(c.Machine, p.nodes.machineTypes[c.New.MachineType], cachedImage{j.Spec.Image, j.Spec.ImageGB})
+// SetAdvisor sets the advisor. To be called before the cache runs.
+func (s *Scheduler) SetAdvisor(a Advisor) { s.advice.advisor = a }
+
+// HandleEvidence takes the evidence from a heartbeat; it is written at once if teams are
+// assigned to this process, else after wait unless another process has written it.
+func (s *Scheduler) HandleEvidence(evidence reconcile.Evidence, wait time.Duration) {
+	s.Post(func() {
+		if s.evidence.add(evidence, time.Now().Add(wait)) {
+			s.schedule()
 		}
-	}
+	})
 }
 
-func (p *Scheduler) apply(d statecache.Update) {
-	now := time.Now()
-	p.revision, p.freshAsOf = d.Revision, d.FreshAsOf
-	p.observeOtherWrites(len(d.Changes), now)
-	for _, c := range d.Changes {
-		machines := p.view.Apply(c)
-		switch c.Kind {
-		case statecache.KindMachineGroup:
-			for _, m := range machines {
-				p.applyMachineChange(m, now)
-			}
-			if g, _ := c.Record.(*statecache.MachineGroup); g != nil {
-				p.learnFromTerminations(g, now)
-				if delete(p.oversizedGroups, c.Name); g.RetainedSize() > p.valueSizeShare(splitFillShare) {
-					p.oversizedGroups[c.Name] = true
-				}
-				if len(g.Terminations) > 0 {
-					p.lastTermination = now
-				}
-				for job := range g.Completions {
-					p.noteIfCompleted(job, now)
-				}
-			} else {
-				delete(p.pendingEvidence, c.Name)
-				delete(p.oversizedGroups, c.Name)
-				delete(p.crowdedGroups, c.Name)
-			}
-		case statecache.KindCompletionChunk:
-			job, _, _ := strings.Cut(c.Name, "/")
-			p.noteIfCompleted(wire.JobID(job), now)
-		case statecache.KindJob:
-			id := wire.JobID(c.Name)
-			j, _ := c.Record.(*statecache.Job)
-			if j != nil && j.CancelledByDependency {
-				p.cancelledDependents[id] = j
-			} else {
-				delete(p.cancelledDependents, id)
-			}
-			// A blocked job waits for others: it has no place in the queue, and counts
-			// towards nothing. Only records that say done make it ready.
-			if j != nil && j.Active() && j.Spec != nil && !j.Blocked {
-				p.activeJobs[id] = j
-				p.quotaClaims.outdated = true
-			} else {
-				delete(p.activeJobs, id)
-				p.quotaClaims.outdated = true
-				delete(p.firstIncompleteTask, id)
-				delete(p.failures, id)
-				delete(p.preemptedUntil, id)
-				delete(p.fullyCompletedSince, id)
-				p.runtimes.Forget(id)
-			}
-		}
-	}
-	if len(d.Changes) > 0 {
-		p.schedule()
-	}
+// WithClusterState runs a function in the scheduler's actor that looks at all that is placed;
+// false if the scheduler is too busy.
+func (s *Scheduler) WithClusterState(f func(ClusterState)) bool {
+	return s.Post(func() { f(s.clusterState()) })
 }
 
-func (p *Scheduler) noteIfCompleted(job wire.JobID, now time.Time) {
-	if _, ok := p.fullyCompletedSince[job]; !ok && p.view.AllTasksCompleted(job) {
-		p.fullyCompletedSince[job] = now
+// apply takes over an update of the cache.
+func (s *Scheduler) apply(update statecache.Update) {
+	s.schedulingState.apply(update, time.Now())
+	if len(update.Changes) > 0 {
+		s.schedule()
 	}
 }
 
-func (p *Scheduler) schedule() {
-	if p.commitInFlight || p.cycleScheduled {
+// batchDelayHeartbeats is the pause before a scheduling cycle, in heartbeat intervals: changes
+// that come together are written together.
+const batchDelayHeartbeats = 1.0 / 100
+
+// schedule begins a scheduling cycle soon, unless one is due or its commit is in flight.
+func (s *Scheduler) schedule() {
+	if s.commitInFlight || s.cycleScheduled {
 		return
 	}
-	p.cycleScheduled = true
-	// Changes that come together are written together.
-	p.After(p.config.Params.Workers.Heartbeats(batchDelayHeartbeats), func() {
-		p.cycleScheduled = false
-		if !p.commitInFlight {
-			p.runCycle()
+	s.cycleScheduled = true
+	s.After(s.config.Params.Workers.Heartbeats(batchDelayHeartbeats), func() {
+		s.cycleScheduled = false
+		if !s.commitInFlight {
+			s.runCycle()
 		}
 	})
 }
 
-// batchDelayHeartbeats is the pause before a round, in report intervals.
-const batchDelayHeartbeats = 1.0 / 100
+// maxViewAgeHeartbeats is how old a view may be to place by it, in heartbeat intervals.
+const maxViewAgeHeartbeats = 2
 
-func withImage(nodes []*placement.Node, image string) []*placement.Node {
-	return slices.DeleteFunc(slices.Clone(nodes), func(n *placement.Node) bool { return !n.HasImage(image) })
-}
-
-func (p *Scheduler) teamQuota(name wire.TeamName) config.TeamQuota {
-	t, _ := p.config.Params.TeamQuota(name)
-	t.Name = name
-	return t
+// runCycle plans a scheduling cycle and commits it.
+func (s *Scheduler) runCycle() {
+	now := time.Now()
+	if now.Sub(s.freshAsOf) > s.config.Params.Workers.Heartbeats(maxViewAgeHeartbeats) {
+		return
+	}
+	limit, wait := s.writeLimit(now)
+	if wait > 0 {
+		s.After(wait, s.schedule)
+		return
+	}
+	s.commit(s.planCycle(now, limit, s.overload.Level() < overload.Behind))
 }
--- /dev/null
+++ b/internal/scheduler/state.go
@@ -0,0 +1,178 @@
+package scheduler
+
+import (
+	"math/rand/v2"
+	"strings"
+	"time"
+
+	"lynxledge/internal/config"
+	"lynxledge/internal/estimate"
+	"lynxledge/internal/statecache"
+	"lynxledge/internal/storelimits"
+	"lynxledge/wire"
+)
+
+// schedulingState is what scheduling cycles are planned from. It belongs to the scheduler's
+// actor and does no input or output.
+type schedulingState struct {
+	config      *config.Config
+	limits      recordLimits
+	storeLimits *storelimits.Tracker
+	incarnation uint64
+	rng         *rand.Rand
+
+	view      *statecache.View
+	revision  uint64    // of the view
+	freshAsOf time.Time // the view shows all that was written before
+
+	nodes              *nodeIndex
+	images             *imageCaches
+	jobs               *jobQueue
+	runtimes           *estimate.RuntimeEstimator
+	backoff            *backoff
+	evidence           *evidenceQueue
+	layout             *groupLayout
+	writes             *writeBudget
+	completedJobs      *completedJobs
+	cancelledDependent map[wire.JobID]*statecache.Job // cancelled with a dependency, which their own records don't say yet
+	advice             advisory
+}
+
+// newSchedulingState knows nothing of the cluster yet.
+func newSchedulingState(cfg *config.Config, incarnation uint64, storeLimits *storelimits.Tracker) schedulingState {
+	workers := cfg.Params.Workers
+	view := statecache.NewUnfinishedView(statecache.ChunkTasks(cfg.Params.Store.MaxValueKB))
+	images := newImageCaches()
+	nodes := newNodeIndex(view, images)
+	runtimes := estimate.NewRuntimeEstimator()
+	backoff := newBackoff(workers)
+	limits := recordLimits{&cfg.Params.Store}
+	return schedulingState{
+		config:             cfg,
+		limits:             limits,
+		storeLimits:        storeLimits,
+		incarnation:        incarnation,
+		rng:                rand.New(rand.NewPCG(incarnation, 1)),
+		view:               view,
+		nodes:              nodes,
+		images:             images,
+		jobs:               newJobQueue(cfg, view, nodes, runtimes, backoff),
+		runtimes:           runtimes,
+		backoff:            backoff,
+		evidence:           newEvidenceQueue(workers, view),
+		layout:             newGroupLayout(limits),
+		writes:             newWriteBudget(cfg, storeLimits),
+		completedJobs:      newCompletedJobs(view),
+		cancelledDependent: map[wire.JobID]*statecache.Job{},
+	}
+}
+
+// apply takes over an update of the cache.
+func (s *schedulingState) apply(update statecache.Update, now time.Time) {
+	s.revision, s.freshAsOf = update.Revision, update.FreshAsOf
+	s.writes.observe(len(update.Changes), now)
+	for _, change := range update.Changes {
+		machines := s.view.Apply(change)
+		switch change.Kind {
+		case statecache.KindMachineGroup:
+			for _, machine := range machines {
+				s.applyMachineChange(machine, now)
+			}
+			group, _ := change.Record.(*statecache.MachineGroup)
+			s.applyGroupChange(change.Name, group, now)
+		case statecache.KindCompletionChunk:
+			job, _, _ := strings.Cut(change.Name, "/")
+			s.completedJobs.observe(wire.JobID(job), now)
+		case statecache.KindJob:
+			job, _ := change.Record.(*statecache.Job)
+			s.applyJobChange(wire.JobID(change.Name), job)
+		}
+	}
+}
+
+// applyMachineChange takes over a machine's new record: what is bound since when, and which
+// images it has fetched.
+func (s *schedulingState) applyMachineChange(change statecache.MachineChange, now time.Time) {
+	s.nodes.refresh(change.Machine, change.New)
+	if change.New == nil {
+		s.images.forget(change.Machine)
+		s.backoff.forgetMachine(change.Machine)
+		return
+	}
+	if change.Old != nil && change.Old.Group != change.New.Group {
+		s.evidence.moveMachine(change.Machine, change.Old.Group, change.New.Group)
+	}
+	for i := range change.New.Bindings {
+		binding := &change.New.Bindings[i]
+		if change.Old != nil && change.Old.FindBinding(binding.Job, binding.TaskIndex) != nil {
+			continue
+		}
+		if job := s.view.Jobs[binding.Job]; job != nil && job.Spec != nil {
+			s.images.recordUse(change.Machine, s.nodes.machineTypes[change.New.MachineType], cachedImage{job.Spec.Image, job.Spec.ImageGB})
+		}
+	}
+}
+
+// applyGroupChange takes over a group's new record, nil when it was deleted: how its tasks
+// ended, and whether it should be split.
+func (s *schedulingState) applyGroupChange(name string, group *statecache.MachineGroup, now time.Time) {
+	s.layout.observe(name, group)
+	if group == nil {
+		s.evidence.forgetGroup(name)
+		return
+	}
+	s.backoff.observe(group.Terminations, now)
+	s.runtimes.Observe(group.Terminations, s.view.Jobs)
+	if len(group.Terminations) > 0 {
+		s.evidence.lastTermination = now
+	}
+	for job := range group.Completions {
+		s.completedJobs.observe(job, now)
+	}
+}
+
+// applyJobChange takes over a job's new record, nil when it was deleted.
+func (s *schedulingState) applyJobChange(id wire.JobID, job *statecache.Job) {
+	if job != nil && job.CancelledByDependency {
+		s.cancelledDependent[id] = job
+	} else {
+		delete(s.cancelledDependent, id)
+	}
+	// A blocked job waits for others: it has no place in the queue, and counts towards
+	// nothing. Only records that say done make it ready.
+	if job != nil && job.Active() && job.Spec != nil && !job.Blocked {
+		s.jobs.put(id, job)
+		return
+	}
+	s.jobs.remove(id)
+	s.backoff.forgetJob(id)
+	s.completedJobs.forget(id)
+	s.runtimes.Forget(id)
+}
+
+// ownAssignments lists the teams that this process may place: their assignments name it, and
+// the view has every binding made under earlier ones.
+func (s *schedulingState) ownAssignments() map[wire.TeamName]*statecache.Assignment {
+	out := map[wire.TeamName]*statecache.Assignment{}
+	for team, assignment := range s.view.Assignments {
+		if assignment.Incarnation == s.incarnation && s.revision >= assignment.ModRevision {
+			out[team] = assignment
+		}
+	}
+	return out
+}
+
+// ownsAllTeams tells whether all teams are assigned to this process. Only then it moves
+// machines from one record to another: a later assignment makes the preconditions fail, so that
+// no other process may miss what is bound to a machine on its way.
+func (s *schedulingState) ownsAllTeams() bool {
+	assignments := len(s.view.Assignments)
+	return assignments > 0 && assignments <= s.limits.txnOps() && len(s.ownAssignments()) == assignments
+}
+
+// teamQuota is a team's quota; one that the configuration doesn't know has none.
+func (s *schedulingState) teamQuota(name wire.TeamName) config.TeamQuota {
+	quota, _ := s.config.Params.TeamQuota(name)
+	quota.Name = name
+	return quota
+}
--- a/internal/scheduler/write_rate_test.go
+++ b/internal/scheduler/write_budget_test.go
@@ -23,19 +23,20 @@
 	} {
 		cfg := &config.Config{Operator: config.DefaultOperatorSettings()}
 		cfg.Params.Store.WriteRate = limit
-		p := &Scheduler{config: cfg, otherWriters: writeRateMeter{window: 8 * time.Second}}
+		cfg.Params.Workers.HeartbeatInterval = 8 * time.Second / writeMeterHeartbeats
+		budget := newWriteBudget(cfg, nil)
 		now := time.Now()
 		for range 60 {
 			now = now.Add(time.Second)
-			p.pendingOwnWrites = 8
-			p.observeOtherWrites(8, now)
-			p.observeOtherWrites(test.others, now)
+			budget.pendingOwn = 8
+			budget.observe(8, now)
+			budget.observe(test.others, now)
 		}
 		// A smoothed rate is a little too high just after a count.
-		if got := p.writeRate(now); got > test.want+0.01*limit || got < test.want-0.04*limit {
+		if got := budget.rate(now); got > test.want+0.01*limit || got < test.want-0.04*limit {
 			t.Errorf("%s: %.2f writes a second, want about %.2f", test.name, got, test.want)
 		}
-		if got := p.writeRate(now.Add(time.Minute)); got < usableShare*limit-0.1 {
+		if got := budget.rate(now.Add(time.Minute)); got < usableShare*limit-0.1 {
 			t.Errorf("%s: %.2f writes a second a minute later", test.name, got)
 		}
 	}
