--- a/internal/autoscaler/planning_input.go
+++ b/internal/autoscaler/planning_input.go
@@ -88,7 +88,7 @@
 	// rented when they would be up as it becomes ready, not long before.
 	for id, h := range r.dependencyWaits(now) {
 		r.logDeadlineRisk(id, h, now)
-		if wait := config.Seconds(h.Wait); wait <= ops.BootLag+ops.PlanningInterval {
+		if wait := config.Seconds(h.WaitSeconds); wait <= ops.BootLag+ops.PlanningInterval {
 			add(id, r.blockedJobs[id], wait)
 		}
 	}
@@ -168,7 +168,7 @@
 	if j.Spec.Deadline == nil {
 		return
 	}
-	end := float64(now.UnixMilli()-j.SubmittedAt)/1000 + h.Wait + r.runtimes.EstimateSeconds(j.Spec)
+	end := float64(now.UnixMilli()-j.SubmittedAt)/1000 + h.WaitSeconds + r.runtimes.EstimateSeconds(j.Spec)
 	late := end - float64(*j.Spec.Deadline)
 	by := wire.JobID("")
 	if late > 0 {
--- a/internal/autoscaler/planning_input_test.go
+++ b/internal/autoscaler/planning_input_test.go
@@ -36,12 +36,12 @@
 		held estimate.DependencyWait
 		want string // in what is logged; nothing if empty
 	}{
-		{estimate.DependencyWait{Wait: 60, BlockedBy: "req-000001"}, ""},
-		{estimate.DependencyWait{Wait: 120, BlockedBy: "req-000001"}, "held_up_by=req-000001"},
-		{estimate.DependencyWait{Wait: 130, BlockedBy: "req-000001"}, ""},
-		{estimate.DependencyWait{Wait: 130, BlockedBy: "req-000002"}, "held_up_by=req-000002"},
-		{estimate.DependencyWait{Wait: 50, BlockedBy: "req-000002"}, "pipeline is in time again"},
-		{estimate.DependencyWait{Wait: 50, BlockedBy: "req-000002"}, ""},
+		{estimate.DependencyWait{WaitSeconds: 60, BlockedBy: "req-000001"}, ""},
+		{estimate.DependencyWait{WaitSeconds: 120, BlockedBy: "req-000001"}, "held_up_by=req-000001"},
+		{estimate.DependencyWait{WaitSeconds: 130, BlockedBy: "req-000001"}, ""},
+		{estimate.DependencyWait{WaitSeconds: 130, BlockedBy: "req-000002"}, "held_up_by=req-000002"},
+		{estimate.DependencyWait{WaitSeconds: 50, BlockedBy: "req-000002"}, "pipeline is in time again"},
+		{estimate.DependencyWait{WaitSeconds: 50, BlockedBy: "req-000002"}, ""},
 	} {
 		log.Reset()
 		r.logDeadlineRisk("req-000009", step.held, now)
--- a/internal/estimate/deadlines.go
+++ b/internal/estimate/deadlines.go
@@ -67,12 +67,12 @@
 				if blocked[before] == nil {
 					end = left(before)
 				} else if b, known := out[before]; known {
-					end, by = b.Wait+runS(before), b.BlockedBy
+					end, by = b.WaitSeconds+runS(before), b.BlockedBy
 				} else {
 					todo = append(todo, before)
 					continue
 				}
-				if h.BlockedBy == "" || end > h.Wait {
+				if h.BlockedBy == "" || end > h.WaitSeconds {
 					h = DependencyWait{end, by}
 				}
 			}
@@ -87,6 +87,6 @@
 
 // DependencyWait says in how many seconds a job could run, and which job keeps it until then.
 type DependencyWait struct {
-	Wait      float64
-	BlockedBy wire.JobID
+	WaitSeconds float64
+	BlockedBy   wire.JobID
 }
--- a/internal/estimate/deadlines_test.go
+++ b/internal/estimate/deadlines_test.go
@@ -100,7 +100,7 @@
 	asked = 0
 	left = func(wire.JobID) float64 { asked++; return 1 }
 	got = DependencyWaits(blocked, func(wire.JobID) bool { return true }, left, func(wire.JobID) float64 { return 1 })
-	if got["39-0"].Wait != 39 || asked > 40*12*12 {
-		t.Errorf("ready in %v, %d looks", got["39-0"].Wait, asked)
+	if got["39-0"].WaitSeconds != 39 || asked > 40*12*12 {
+		t.Errorf("ready in %v, %d looks", got["39-0"].WaitSeconds, asked)
 	}
 }
--- a/internal/scheduler/deadline_stages.go
+++ b/internal/scheduler/deadline_stages.go
@@ -48,9 +48,7 @@
 				late = append(late, i)
 			}
 		}
-		var gaveWay []int
-		gaveWay, freeSeconds = keepOnTime(jobs, tried, stage, freeSeconds)
-		late = append(late, gaveWay...)
+		late, freeSeconds = keepOnTime(jobs, tried, late, stage, freeSeconds)
 		for _, i := range late {
 			stages[i] = stage + 1
 		}
@@ -59,14 +57,14 @@
 	return stages, freeSeconds
 }
 
-// keepOnTime tells which of the jobs that are tried with a stage can't all keep its deadline,
-// and when the others are done. It sorts tried.
-func keepOnTime(jobs []deadlineCandidate, tried []int, stage int, freeSeconds float64) (gaveWay []int, endSeconds float64) {
+// keepOnTime adds to late those of the jobs tried with a stage that give way, so that the others
+// keep its deadline, and tells when the others are done. It sorts tried.
+func keepOnTime(jobs []deadlineCandidate, tried, late []int, stage int, freeSeconds float64) ([]int, float64) {
 	slices.SortStableFunc(tried, func(a, b int) int {
 		return cmp.Compare(jobs[a].latestStartSeconds(stage), jobs[b].latestStartSeconds(stage))
 	})
 	var kept []int
-	endSeconds = freeSeconds
+	endSeconds := freeSeconds
 	for _, i := range tried {
 		kept = append(kept, i)
 		endSeconds += jobs[i].clusterSeconds
@@ -83,8 +81,8 @@
 			}
 		}
 		endSeconds -= jobs[kept[out]].clusterSeconds
-		gaveWay = append(gaveWay, kept[out])
+		late = append(late, kept[out])
 		kept = slices.Delete(kept, out, out+1)
 	}
-	return gaveWay, endSeconds
+	return late, endSeconds
 }
--- a/internal/scheduler/deadline_stages_test.go
+++ b/internal/scheduler/deadline_stages_test.go
@@ -20,7 +20,9 @@
 			in = append(in, jobs[i])
 		}
 	}
-	slices.SortFunc(in, func(a, b deadlineCandidate) int { return int(math.Copysign(1, a.latestStartSeconds(0)-b.latestStartSeconds(0))) })
+	slices.SortFunc(in, func(a, b deadlineCandidate) int {
+		return int(math.Copysign(1, a.latestStartSeconds(0)-b.latestStartSeconds(0)))
+	})
 	n := 0
 	for _, j := range in {
 		if from += j.clusterSeconds; from <= j.latestStartSeconds(0) {
--- a/internal/scheduler/evidence_queue.go
+++ b/internal/scheduler/evidence_queue.go
@@ -123,7 +123,7 @@
 	// A writer that is slow is not dead: others that wrote for it made its preconditions
 	// fail, and it slower yet.
 	idle := now.Sub(q.lastTermination) > q.workers.Heartbeats(1)
-	var groups []dueGroup
+	groups := make([]dueGroup, 0, len(q.byGroup))
 	for name, machines := range q.byGroup {
 		group := dueGroup{name: name, idleSeconds: -1}
 		for machine, e := range machines {
