--- a/internal/estimate/runtime.go
+++ b/internal/estimate/runtime.go
@@ -7,19 +7,20 @@
 	"lynxledge/wire"
 )
 
-// RuntimeEstimator corrects the owners' running times by what was seen: first by the
+// RuntimeEstimator corrects the owners' estimates of runtimes by what was observed: first by the
 // job's own completed tasks, else by how far its class was off lately.
 type RuntimeEstimator struct {
-	classCorrections map[string]float64 // logarithm of seen over estimated, smoothed
+	classCorrections map[string]float64 // logarithm of observed over estimated, smoothed
 	jobRuntimes      map[wire.JobID]mean
 }
 
+// mean is the mean of a number of samples.
 type mean struct {
-	sum float64
-	n   int
+	sum     float64
+	samples int
 }
 
-// NewRuntimeEstimator knows nothing yet.
+// NewRuntimeEstimator returns an estimator that has observed nothing yet.
 func NewRuntimeEstimator() *RuntimeEstimator {
 	return &RuntimeEstimator{classCorrections: map[string]float64{}, jobRuntimes: map[wire.JobID]mean{}}
 }
@@ -27,32 +28,31 @@
 const (
 	smoothing     = 0.1 // part of a class's correction that one task changes
 	maxCorrection = 4.0 // a class's correction stays within this factor
-	minSamples    = 3   // completed tasks of a job that speak for the rest
+	minSamples    = 3   // completed tasks of a job that speak for the others
 )
 
 // Observe takes over what a group's new record says of completed tasks.
-func (e *RuntimeEstimator) Observe(gone []statecache.Termination, jobs map[wire.JobID]*statecache.Job) {
-	for _, g := range gone {
-		id := g.Job
-		j := jobs[id]
-		if g.Reason != wire.ReasonCompleted || g.Runtime <= 0 || j == nil || j.Spec == nil || j.Spec.EstimatedRuntime <= 0 {
+func (e *RuntimeEstimator) Observe(terminations []statecache.Termination, jobs map[wire.JobID]*statecache.Job) {
+	for _, t := range terminations {
+		job := jobs[t.Job]
+		if t.Reason != wire.ReasonCompleted || t.Runtime <= 0 || job == nil || job.Spec == nil || job.Spec.EstimatedRuntime <= 0 {
 			continue
 		}
-		off := math.Log(g.Runtime / float64(j.Spec.EstimatedRuntime))
+		off := math.Log(t.Runtime / float64(job.Spec.EstimatedRuntime))
 		off = math.Max(-math.Log(maxCorrection), math.Min(math.Log(maxCorrection), off))
-		e.classCorrections[j.Spec.Class] += smoothing * (off - e.classCorrections[j.Spec.Class])
-		m := e.jobRuntimes[id]
-		e.jobRuntimes[id] = mean{m.sum + g.Runtime, m.n + 1}
+		e.classCorrections[job.Spec.Class] += smoothing * (off - e.classCorrections[job.Spec.Class])
+		m := e.jobRuntimes[t.Job]
+		e.jobRuntimes[t.Job] = mean{m.sum + t.Runtime, m.samples + 1}
 	}
 }
 
 // Forget drops a job that is over.
-func (e *RuntimeEstimator) Forget(id wire.JobID) { delete(e.jobRuntimes, id) }
+func (e *RuntimeEstimator) Forget(job wire.JobID) { delete(e.jobRuntimes, job) }
 
-// EstimateSeconds is the running time to expect of a task.
-func (e *RuntimeEstimator) EstimateSeconds(j *wire.Job) float64 {
-	if m := e.jobRuntimes[j.ID]; m.n >= minSamples {
-		return m.sum / float64(m.n)
+// EstimateSeconds is the runtime to expect of a task, in seconds.
+func (e *RuntimeEstimator) EstimateSeconds(job *wire.Job) float64 {
+	if m := e.jobRuntimes[job.ID]; m.samples >= minSamples {
+		return m.sum / float64(m.samples)
 	}
-	return float64(j.EstimatedRuntime) * math.Exp(e.classCorrections[j.Class])
+	return float64(job.EstimatedRuntime) * math.Exp(e.classCorrections[job.Class])
 }
--- a/internal/estimate/runtime_test.go
+++ b/internal/estimate/runtime_test.go
@@ -13,8 +13,8 @@
 	"lynxledge/wire"
 )
 
-// Owners who are off by the same factor all day are corrected; a job whose own
-// tasks were seen is judged by them; nothing seen leaves the estimate alone.
+// Owners who are off by the same factor all day are corrected; a job whose own tasks were observed
+// is judged by them; nothing observed leaves the estimate alone.
 func TestEstimatesAreCorrected(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		factor := rapid.Float64Range(0.3, 3).Draw(t, "factor")
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -16,29 +16,31 @@
 
 var testTypes = []wire.MachineType{{Name: "s", CPUs: 4, MemoryGB: 8}, {Name: "l", CPUs: 16, GPUs: 2, MemoryGB: 64}}
 
-func genSpec(t *rapid.T, id int) *wire.Job {
+// genJob draws a job with the constraints that there are.
+func genJob(t *rapid.T, id int) *wire.Job {
 	return &wire.Job{
 		ID: wire.JobID(fmt.Sprintf("req-%06d", id)), Team: rapid.SampledFrom([]wire.TeamName{"a", "b"}).Draw(t, "team"), Kind: wire.KindArray,
-		Priority: wire.Priority(rapid.IntRange(0, 3).Draw(t, "rank")), TaskCount: rapid.IntRange(1, 9).Draw(t, "tasks"),
+		Priority: wire.Priority(rapid.IntRange(0, 3).Draw(t, "priority")), TaskCount: rapid.IntRange(1, 9).Draw(t, "tasks"),
 		CPUs: rapid.Float64Range(0.1, 6).Draw(t, "cpus"), GPUs: float64(rapid.IntRange(0, 1).Draw(t, "gpus")),
-		MemoryGB: rapid.Float64Range(0, 20).Draw(t, "mem"), Image: rapid.SampledFrom([]string{"x", "y"}).Draw(t, "image"),
-		SingleZone: rapid.Bool().Draw(t, "one"), SpreadZones: rapid.Bool().Draw(t, "spread"), AllowSpot: rapid.Bool().Draw(t, "spot"),
+		MemoryGB: rapid.Float64Range(0, 20).Draw(t, "memory"), Image: rapid.SampledFrom([]string{"x", "y"}).Draw(t, "image"),
+		SingleZone: rapid.Bool().Draw(t, "singleZone"), SpreadZones: rapid.Bool().Draw(t, "spread"), AllowSpot: rapid.Bool().Draw(t, "spot"),
 	}
 }
 
+// genNodes draws nodes that run some tasks.
 func genNodes(t *rapid.T) []*Node {
 	var nodes []*Node
 	for i := range rapid.IntRange(0, 8).Draw(t, "nodes") {
 		n := &Node{
 			Name: wire.MachineID(fmt.Sprint(i)), MachineType: &testTypes[rapid.IntRange(0, 1).Draw(t, "type")],
-			Zone: rapid.SampledFrom([]wire.Zone{"p", "q"}).Draw(t, "zone"), Spot: rapid.Bool().Draw(t, "spotm"),
+			Zone: rapid.SampledFrom([]wire.Zone{"p", "q"}).Draw(t, "zone"), Spot: rapid.Bool().Draw(t, "spotMachine"),
 			HasImage: func(string) bool { return i%2 == 0 },
 		}
-		for k := range rapid.IntRange(0, 4).Draw(t, "held") {
-			j := genSpec(t, 100+k)
-			if n.Used.Plus(resources.OfTask(j), 1).Fits(resources.OfMachineType(n.MachineType)) {
-				n.Used = n.Used.Plus(resources.OfTask(j), 1)
-				n.Tasks = append(n.Tasks, RunningTask{Job: j, TaskIndex: i, WithinGuarantee: rapid.Bool().Draw(t, "guaranteed")})
+		for k := range rapid.IntRange(0, 4).Draw(t, "running") {
+			job := genJob(t, 100+k)
+			if n.Used.Plus(resources.OfTask(job), 1).Fits(resources.OfMachineType(n.MachineType)) {
+				n.Used = n.Used.Plus(resources.OfTask(job), 1)
+				n.Tasks = append(n.Tasks, RunningTask{Job: job, TaskIndex: i, WithinGuarantee: rapid.Bool().Draw(t, "guaranteed")})
 			}
 		}
 		nodes = append(nodes, n)
@@ -46,62 +48,62 @@
 	return nodes
 }
 
-// A pick is always allowed and has room, and there is one if any node would do.
-func TestPick(t *testing.T) {
+// The picked node is always allowed and has capacity, and there is one if any node would do.
+func TestPickNode(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		j, nodes := genSpec(t, 1), genNodes(t)
+		job, nodes := genJob(t, 1), genNodes(t)
 		zones := ZoneCounts{"p": rapid.IntRange(0, 2).Draw(t, "inP"), "q": rapid.IntRange(0, 2).Draw(t, "inQ")}
 		ok := func(n *Node) bool {
 			inOther := zones["p"] + zones["q"] - zones[n.Zone]
-			return (j.AllowSpot || !n.Spot) && (!j.SingleZone || inOther == 0) && (!j.SpreadZones || 2*zones[n.Zone] < j.TaskCount) &&
-				n.Used.Plus(resources.OfTask(j), 1).Fits(resources.OfMachineType(n.MachineType))
+			return (job.AllowSpot || !n.Spot) && (!job.SingleZone || inOther == 0) && (!job.SpreadZones || 2*zones[n.Zone] < job.TaskCount) &&
+				n.Used.Plus(resources.OfTask(job), 1).Fits(resources.OfMachineType(n.MachineType))
 		}
-		got := PickNode(j, zones, ZoneOffers{}, nodes)
+		got := PickNode(job, zones, ZoneOffers{}, nodes)
 		if got != nil && !ok(got) {
-			t.Fatalf("picked %+v for %+v", got, j)
+			t.Fatalf("picked %+v for %+v", got, job)
 		}
 		for _, n := range nodes {
 			if got == nil && ok(n) {
-				t.Fatalf("left out %+v for %+v", n, j)
+				t.Fatalf("left out %+v for %+v", n, job)
 			}
 		}
 	})
 }
 
 // Preemption stops only what the protocol lets it, and makes room.
-func TestPreempt(t *testing.T) {
+func TestFindVictims(t *testing.T) {
 	teams := map[wire.TeamName]config.TeamQuota{"a": {Name: "a", GuaranteedCPUs: 6}, "b": {Name: "b", GuaranteedCPUs: 3}}
-	team := func(n wire.TeamName) config.TeamQuota { return teams[n] }
+	quotaOf := func(name wire.TeamName) config.TeamQuota { return teams[name] }
 	rapid.Check(t, func(t *rapid.T) {
-		j, nodes := genSpec(t, 1), genNodes(t)
-		tally := resources.Usage{}
+		job, nodes := genJob(t, 1), genNodes(t)
+		usage := resources.Usage{}
 		for _, n := range nodes {
 			for _, task := range n.Tasks {
-				tally[task.Job.Team] = tally[task.Job.Team].Plus(resources.OfTask(task.Job), 1)
+				usage[task.Job.Team] = usage[task.Job.Team].Plus(resources.OfTask(task.Job), 1)
 			}
 		}
-		v := FindVictims(j, ZoneCounts{}, ZoneOffers{}, nodes, Quotas{Usage: tally, Of: team})
-		if v == nil {
+		victims := FindVictims(job, ZoneCounts{}, ZoneOffers{}, nodes, Quotas{Usage: usage, Of: quotaOf})
+		if victims == nil {
 			return
 		}
-		used := v.Node.Used
-		left := tally["a"].CPUs
-		if j.Team == "a" {
-			left = tally["b"].CPUs
+		used := victims.Node.Used
+		left := usage["a"].CPUs
+		if job.Team == "a" {
+			left = usage["b"].CPUs
 		}
-		for _, i := range v.Tasks {
-			victim := v.Node.Tasks[i]
+		for _, i := range victims.Tasks {
+			victim := victims.Node.Tasks[i]
 			used = used.Plus(resources.OfTask(victim.Job), -1)
-			if victim.Job.Priority < j.Priority {
+			if victim.Job.Priority < job.Priority {
 				continue
 			}
 			if victim.WithinGuarantee {
 				t.Fatal("what a team is guaranteed is taken from it")
 			}
-			if victim.Job.Team == j.Team {
-				t.Fatal("equal or higher rank of the same team stopped")
+			if victim.Job.Team == job.Team {
+				t.Fatal("equal or higher priority of the same team stopped")
 			}
-			if !tally.WithinGuarantee(team(j.Team), resources.OfTask(j)) {
+			if !usage.WithinGuarantee(quotaOf(job.Team), resources.OfTask(job)) {
 				t.Fatal("taken back beyond the guarantee")
 			}
 			if left <= teams[victim.Job.Team].GuaranteedCPUs {
@@ -109,14 +111,14 @@
 			}
 			left -= victim.Job.CPUs
 		}
-		if !used.Plus(resources.OfTask(j), 1).Fits(resources.OfMachineType(v.Node.MachineType)) {
+		if !used.Plus(resources.OfTask(job), 1).Fits(resources.OfMachineType(victims.Node.MachineType)) {
 			t.Fatal("victims make no room")
 		}
 	})
 }
 
-// Room for one replica elsewhere lets one be moved, not two.
-func TestMoveCountsTheRoom(t *testing.T) {
+// Capacity for one replica elsewhere lets one be moved, not two.
+func TestReplicaMoveCountsCapacity(t *testing.T) {
 	replica := func(n int, spread bool) *wire.Job {
 		return &wire.Job{ID: wire.JobID(fmt.Sprintf("req-%06d", n)), Kind: wire.KindService, Priority: wire.PriorityProduction, TaskCount: 1 + n%2, CPUs: 4, Image: "x", SpreadZones: spread}
 	}
@@ -131,10 +133,11 @@
 	}
 	full.Tasks[0].Stopping = true
 	if second := FindReplicaToMove(replica(3, true), ZoneCounts{"q": 1}, nodes); second != nil {
-		t.Fatalf("moved without room: %+v", second)
+		t.Fatalf("moved without capacity: %+v", second)
 	}
 }
 
+// A sample of many nodes has the size of a sample, and none twice.
 func TestSampleIsBounded(t *testing.T) {
 	nodes := make([]*Node, 500)
 	for i := range nodes {
--- a/internal/placement/victims.go
+++ b/internal/placement/victims.go
@@ -138,7 +138,7 @@
 
 // FindReplicaToMove finds a replica that could as well run in another zone, where there is
 // capacity for it, and whose leaving makes room for a task that must spread into its zone. The
-// replica is stopped to be placed again.
+// replica is stopped to be placed again; the capacity that it finds is counted as used.
 func FindReplicaToMove(job *wire.Job, zones ZoneCounts, nodes []*Node) *Victims {
 	if !job.SpreadZones || !job.IsService() {
 		return nil
--- a/internal/reconcile/reconcile.go
+++ b/internal/reconcile/reconcile.go
@@ -5,105 +5,133 @@
 	"lynxledge/wire"
 )
 
-// Result is what a report proves of a machine's record.
+// Result is what a heartbeat shows of a machine's record.
 type Result struct {
 	Commands         []wire.Command
 	Terminated       []statecache.Termination // bound tasks that are certainly not on the machine any more
 	ToFence          []statecache.TaskBinding // tasks of cancelled jobs that a late launch could still start
-	NewIncarnation   bool                     // the report opens a session that the record doesn't know
-	RecordOutdated   bool                     // the worker has seen a token beyond the record's
-	ReachableAgain   bool                     // the record says that the machine is quiet, but it has heard of that
+	NewIncarnation   bool                     // the heartbeat begins an incarnation that the record doesn't know
+	RecordOutdated   bool                     // the worker has seen a fencing token beyond the record's
+	ReachableAgain   bool                     // the record suspects the machine, but the worker has seen that
 	PreemptionNotice bool                     // the cloud will take the machine, which the record doesn't know
 }
 
 // RequiresUpdate tells whether the record has to be rewritten.
-func (p *Result) RequiresUpdate() bool {
-	return len(p.Terminated) > 0 || len(p.ToFence) > 0 || p.NewIncarnation || p.RecordOutdated || p.ReachableAgain || p.PreemptionNotice
+func (r *Result) RequiresUpdate() bool {
+	return len(r.Terminated) > 0 || len(r.ToFence) > 0 || r.NewIncarnation || r.RecordOutdated || r.ReachableAgain || r.PreemptionNotice
 }
 
-// Heartbeat compares a machine's record with a report. Only an ended entry, a
-// later session, or absence under a token that fences every launch of the
-// attempt proves that a task is gone; absence alone proves nothing, because a
-// launch may be on its way.
-func Heartbeat(rec *statecache.Machine, rep *wire.Heartbeat, active func(job wire.JobID) bool) Result {
-	var p Result
-	if rep.Incarnation < rec.Incarnation {
-		return p // a report from before the worker's lease ended
+// Heartbeat compares a machine's record with a heartbeat of its worker. Only an exited task, a
+// later incarnation, or absence under a fencing token that fences every launch of the attempt
+// shows that a task has terminated; absence alone shows nothing, because a launch may be on its
+// way.
+func Heartbeat(rec *statecache.Machine, heartbeat *wire.Heartbeat, active func(job wire.JobID) bool) Result {
+	var result Result
+	if heartbeat.Incarnation < rec.Incarnation {
+		return result // sent before the worker's lease ended
 	}
-	// The rewrite that marked it raised its token: only a machine that was
-	// answered since then has seen it, and no copy of an older report has.
-	p.ReachableAgain = rec.Suspected && !rec.Terminating && rep.FencingToken >= rec.FencingToken
-	p.RecordOutdated = rep.FencingToken > rec.FencingToken
-	if rep.Incarnation > rec.Incarnation {
-		p.NewIncarnation = true
+	// The update that suspected the machine raised its token: only a worker that was answered
+	// since then has seen it, and no copy of an older heartbeat has.
+	result.ReachableAgain = rec.Suspected && !rec.Terminating && heartbeat.FencingToken >= rec.FencingToken
+	result.RecordOutdated = heartbeat.FencingToken > rec.FencingToken
+	if heartbeat.Incarnation > rec.Incarnation {
+		result.NewIncarnation = true
 		for i := range rec.Bindings {
-			p.confirmTermination(rec, &rec.Bindings[i], statecache.ReasonIncarnationEnded)
+			result.confirmTermination(rec, &rec.Bindings[i], statecache.ReasonIncarnationEnded)
 		}
-		return p
+		return result
 	}
-	p.PreemptionNotice = rep.PreemptionNotice != nil && rec.DrainReason == ""
-	type entries struct{ same, other *wire.TaskStatus }
-	seen := make(map[wire.TaskID]entries, len(rep.Tasks))
-	bound := make(map[wire.TaskID]*statecache.TaskBinding, len(rec.Bindings))
+	result.PreemptionNotice = heartbeat.PreemptionNotice != nil && rec.DrainReason == ""
+	result.compareBindings(rec, heartbeat, result.matchTasks(rec, heartbeat), active)
+	return result
+}
+
+// matchTasks finds the statuses of the attempts that are bound, by task, and adds the commands
+// for all other entries of the heartbeat.
+func (r *Result) matchTasks(rec *statecache.Machine, heartbeat *wire.Heartbeat) map[wire.TaskID]*wire.TaskStatus {
+	attempts := make(map[wire.TaskID]uint64, len(rec.Bindings))
 	for i := range rec.Bindings {
-		bound[rec.Bindings[i].TaskID()] = &rec.Bindings[i]
+		attempts[rec.Bindings[i].TaskID()] = rec.Bindings[i].Attempt
 	}
-	saving := false
-	for i := range rep.Tasks {
-		t := &rep.Tasks[i]
-		e := seen[t.Task]
-		if b := bound[t.Task]; b != nil && b.Attempt == t.Attempt {
-			e.same = t
+	statuses := make(map[wire.TaskID]*wire.TaskStatus, len(heartbeat.Tasks))
+	for i := range heartbeat.Tasks {
+		status := &heartbeat.Tasks[i]
+		if attempt, bound := attempts[status.Task]; bound && attempt == status.Attempt {
+			statuses[status.Task] = status
 		} else {
-			e.other = t
-			p.handleUnboundTask(t)
+			r.handleUnboundTask(status)
 		}
-		seen[t.Task] = e
 	}
-	var starts []wire.Command
+	return statuses
+}
+
+// compareBindings compares the record's bindings with the statuses of their attempts. Launches
+// wait until a task that saves a checkpoint has made room.
+func (r *Result) compareBindings(rec *statecache.Machine, heartbeat *wire.Heartbeat, statuses map[wire.TaskID]*wire.TaskStatus, active func(job wire.JobID) bool) {
+	var launches []wire.Command
+	checkpointing := false
 	for i := range rec.Bindings {
-		b := &rec.Bindings[i]
-		name := b.TaskID()
-		e := seen[name]
-		runs := active(b.Job)
-		switch {
-		case e.same != nil && e.same.State == wire.TaskExited:
-			p.confirmTermination(rec, b, e.same.ExitReason)
-		case e.same != nil && (b.StopToken > 0 || !runs):
-			grace := wire.Seconds(b.GraceSeconds)
-			if !runs {
-				grace = 0 // nobody wants what a cancelled task would save
+		binding := &rec.Bindings[i]
+		task := binding.TaskID()
+		if status := statuses[task]; status != nil {
+			if r.comparePresent(rec, binding, status, active(binding.Job)) {
+				checkpointing = true
 			}
-			if e.same.State != wire.TaskCheckpointing || grace == 0 {
-				p.Commands = append(p.Commands, wire.Command{Op: wire.OpStop, Task: name, Attempt: b.Attempt, GracePeriod: &grace})
-			}
-			saving = saving || grace > 0
-		case e.same != nil:
-		case b.StopToken > 0 && rep.FencingToken >= b.StopToken:
-			p.confirmTermination(rec, b, statecache.ReasonNeverStarted)
-		case b.StopToken > 0:
-		case !runs:
-			p.ToFence = append(p.ToFence, *b)
-		default:
-			starts = append(starts, wire.Command{Op: wire.OpLaunch, Task: name, Attempt: b.Attempt})
+		} else if r.compareAbsent(rec, binding, heartbeat.FencingToken, active(binding.Job)) {
+			launches = append(launches, wire.Command{Op: wire.OpLaunch, Task: task, Attempt: binding.Attempt})
 		}
 	}
-	if !saving { // a successor is launched once there is room
-		p.Commands = append(p.Commands, starts...)
+	if !checkpointing {
+		r.Commands = append(r.Commands, launches...)
+	}
+}
+
+// comparePresent handles a binding whose attempt is on the machine. It tells whether the task is
+// to be stopped with time for a checkpoint.
+func (r *Result) comparePresent(rec *statecache.Machine, binding *statecache.TaskBinding, status *wire.TaskStatus, active bool) (checkpointing bool) {
+	if status.State == wire.TaskExited {
+		r.confirmTermination(rec, binding, status.ExitReason)
+		return false
+	}
+	if binding.StopToken == 0 && active {
+		return false
+	}
+	grace := wire.Seconds(binding.GraceSeconds)
+	if !active {
+		grace = 0 // nobody needs the checkpoint of a cancelled task
+	}
+	if status.State != wire.TaskCheckpointing || grace == 0 {
+		r.Commands = append(r.Commands, wire.Command{Op: wire.OpStop, Task: status.Task, Attempt: binding.Attempt, GracePeriod: &grace})
+	}
+	return grace > 0
+}
+
+// compareAbsent handles a binding whose attempt isn't on the machine. It tells whether the task
+// is to be launched.
+func (r *Result) compareAbsent(rec *statecache.Machine, binding *statecache.TaskBinding, seenToken uint64, active bool) (launch bool) {
+	switch {
+	case binding.StopToken > 0:
+		if seenToken >= binding.StopToken { // no launch of the attempt is carried out any more
+			r.confirmTermination(rec, binding, statecache.ReasonNeverStarted)
+		}
+		return false
+	case !active:
+		r.ToFence = append(r.ToFence, *binding)
+		return false
 	}
-	return p
+	return true
 }
 
-func (p *Result) confirmTermination(rec *statecache.Machine, b *statecache.TaskBinding, why wire.ExitReason) {
-	p.Terminated = append(p.Terminated, statecache.Termination{Machine: rec.Name, Job: b.Job, TaskIndex: b.TaskIndex, Reason: why})
+func (r *Result) confirmTermination(rec *statecache.Machine, binding *statecache.TaskBinding, reason wire.ExitReason) {
+	r.Terminated = append(r.Terminated, statecache.Termination{Machine: rec.Name, Job: binding.Job, TaskIndex: binding.TaskIndex, Reason: reason})
 }
 
-// handleUnboundTask orders what is to happen to an entry that nothing is bound to.
-func (p *Result) handleUnboundTask(t *wire.TaskStatus) {
-	if t.State == wire.TaskExited {
-		p.Commands = append(p.Commands, wire.Command{Op: wire.OpAcknowledge, Task: t.Task, Attempt: t.Attempt})
+// handleUnboundTask adds the command for a task or attempt that isn't bound to the machine.
+func (r *Result) handleUnboundTask(status *wire.TaskStatus) {
+	if status.State == wire.TaskExited {
+		r.Commands = append(r.Commands, wire.Command{Op: wire.OpAcknowledge, Task: status.Task, Attempt: status.Attempt})
 		return
 	}
 	grace := wire.Seconds(0)
-	p.Commands = append(p.Commands, wire.Command{Op: wire.OpStop, Task: t.Task, Attempt: t.Attempt, GracePeriod: &grace})
+	r.Commands = append(r.Commands, wire.Command{Op: wire.OpStop, Task: status.Task, Attempt: status.Attempt, GracePeriod: &grace})
 }
--- a/internal/resources/pool.go
+++ b/internal/resources/pool.go
@@ -2,7 +2,8 @@
 
 import "lynxledge/wire"
 
-// Pool is a type in a zone, spot or ordinary: what one rental names.
+// Pool is a machine type in a zone, spot or on-demand: what one request to the cloud provisions
+// machines from.
 type Pool struct {
 	MachineType string
 	Zone        wire.Zone
--- a/internal/scheduler/advisor_test.go
+++ b/internal/scheduler/advisor_test.go
@@ -13,12 +13,12 @@
 	"lynxledge/wire"
 )
 
-// silentAdvisor never has any advice.
-type silentAdvisor struct{}
+// idleAdvisor never has any advice.
+type idleAdvisor struct{}
 
-func (silentAdvisor) Advise(time.Time, ClusterState) Advice { return nil }
+func (idleAdvisor) Advise(time.Time, ClusterState) Advice { return nil }
 
-// zoneAdvice withholds a zone from arrays, and reserves room on a machine.
+// zoneAdvice withholds a zone from arrays, and reserves capacity on machines.
 type zoneAdvice struct {
 	zone     wire.Zone
 	reserved map[*placement.Node]resources.Vector
@@ -37,140 +37,140 @@
 	return a
 }
 
-// advised makes a placer with machines in two zones, an urgent array of the highest
+// advised makes a scheduler with machines in two zones, an urgent array of the highest
 // priority but one, and a service of the lowest.
 func advised(advisor Advisor) *Scheduler {
 	cfg := &config.Config{Operator: config.DefaultOperatorSettings()}
 	cfg.Params.Workers = config.WorkerTimings{HeartbeatInterval: 3 * time.Second, LeaseDuration: 34 * time.Second, CancellationDeadline: 64 * time.Second}
 	cfg.Params.Store = config.StoreLimits{MaxValueKB: 8, MaxTxnOps: 24, RequestRate: 150, WriteRate: 50}
 	cfg.Params.Teams = []config.TeamQuota{{Name: "red"}}
-	p := newScheduler(Options{Config: cfg, Incarnation: 2})
-	p.advice.advisor = advisor
-	p.nodes.machineTypes["s"] = &wire.MachineType{Name: "s", CPUs: 4, MemoryGB: 16, Zones: []wire.Zone{"a", "b"}}
-	p.nodes.offers = placement.ZoneOffers{"a": 1, "b": 1}
+	s := newScheduler(Options{Config: cfg, Incarnation: 2})
+	s.advice.advisor = advisor
+	s.nodes.machineTypes["s"] = &wire.MachineType{Name: "s", CPUs: 4, MemoryGB: 16, Zones: []wire.Zone{"a", "b"}}
+	s.nodes.offers = placement.ZoneOffers{"a": 1, "b": 1}
 	now := time.Now()
-	job := func(id wire.JobID, shape wire.JobKind, rank wire.Priority, tasks int) *statecache.Job {
+	job := func(id wire.JobID, kind wire.JobKind, priority wire.Priority, tasks int) *statecache.Job {
 		return &statecache.Job{TaskCount: tasks, SubmittedAt: now.UnixMilli(), ModRevision: 1, Spec: &wire.Job{
-			ID: id, Team: "red", Kind: shape, Priority: rank, TaskCount: tasks, CPUs: 1, MemoryGB: 1, Image: "img", EstimatedRuntime: 50,
+			ID: id, Team: "red", Kind: kind, Priority: priority, TaskCount: tasks, CPUs: 1, MemoryGB: 1, Image: "img", EstimatedRuntime: 50,
 		}}
 	}
 	for id, j := range map[wire.JobID]*statecache.Job{
 		"req-000001": job("req-000001", wire.KindArray, wire.PriorityNormal, 30),
 		"req-000002": job("req-000002", wire.KindService, wire.PriorityIdle, 6),
 	} {
-		p.view.Apply(statecache.Change{Kind: statecache.KindJob, Name: string(id), Record: j, ModRevision: 1})
-		p.jobs.active[id] = j
+		s.view.Apply(statecache.Change{Kind: statecache.KindJob, Name: string(id), Record: j, ModRevision: 1})
+		s.jobs.active[id] = j
 	}
-	p.view.Apply(statecache.Change{Kind: statecache.KindAssignment, Name: "red", Record: &statecache.Assignment{Member: "n0", Incarnation: 2, ModRevision: 1}, ModRevision: 1})
-	p.revision, p.freshAsOf = 9, now
+	s.view.Apply(statecache.Change{Kind: statecache.KindAssignment, Name: "red", Record: &statecache.Assignment{Member: "n0", Incarnation: 2, ModRevision: 1}, ModRevision: 1})
+	s.revision, s.freshAsOf = 9, now
 	for _, zone := range []wire.Zone{"a", "b"} {
-		g := groupOf(string(zone), 3)
-		g.Zone, g.ModRevision = zone, 1
-		for _, m := range g.Machines {
-			m.Bindings, m.Group, m.Zone, m.MachineType = nil, g.Name, zone, "s"
+		group := groupOf(string(zone), 3)
+		group.Zone, group.ModRevision = zone, 1
+		for _, rec := range group.Machines {
+			rec.Bindings, rec.Group, rec.Zone, rec.MachineType = nil, group.Name, zone, "s"
 		}
-		for _, m := range p.view.Apply(statecache.Change{Kind: statecache.KindMachineGroup, Name: g.Name, Record: g, ModRevision: 1}) {
-			p.applyMachineChange(m, now)
+		for _, change := range s.view.Apply(statecache.Change{Kind: statecache.KindMachineGroup, Name: group.Name, Record: group, ModRevision: 1}) {
+			s.applyMachineChange(change, now)
 		}
 	}
-	return p
+	return s
 }
 
-// starts counts what a round starts: by job and zone.
-func starts(p *Scheduler) map[string]int {
+// launchCounts counts what a cycle launches, by job and zone.
+func launchCounts(s *Scheduler) map[string]int {
 	out := map[string]int{}
-	for machine, orders := range p.planCycle(time.Now(), 24, true).commands.launches {
-		for _, o := range orders {
-			id, _, _ := wire.ParseTaskID(o.Task)
-			out[fmt.Sprint(id, " ", p.nodes.node(machine).Zone)]++
+	for machine, commands := range s.planCycle(time.Now(), 24, true).commands.launches {
+		for _, command := range commands {
+			id, _, _ := wire.ParseTaskID(command.Task)
+			out[fmt.Sprint(id, " ", s.nodes.node(machine).Zone)]++
 		}
 	}
 	return out
 }
 
-// An advisor without advice changes nothing: the same rounds are made as without one.
+// An advisor without advice changes nothing: the same cycles are planned as without one.
 func TestNoAdviceChangesNothing(t *testing.T) {
-	without, silent := starts(advised(nil)), starts(advised(silentAdvisor{}))
-	if !reflect.DeepEqual(without, silent) || len(without) == 0 {
-		t.Errorf("%v, not %v", silent, without)
+	without, idle := launchCounts(advised(nil)), launchCounts(advised(idleAdvisor{}))
+	if !reflect.DeepEqual(without, idle) || len(without) == 0 {
+		t.Errorf("%v, not %v", idle, without)
 	}
 	if n := without["req-000002 a"] + without["req-000002 b"]; n != 0 {
 		t.Errorf("%d replicas of the lowest priority went first", n)
 	}
 }
 
-// With advice, services go first whatever their priority; arrays keep out of machines
-// that are withheld, and out of room that is reserved.
+// With advice, services go first whatever their priority; arrays keep out of machines that are
+// withheld, and out of capacity that is reserved.
 func TestAdviceIsFollowed(t *testing.T) {
 	advice := zoneAdvice{zone: "a"}
-	p := advised(advice)
-	if got := starts(p); got["req-000002 a"]+got["req-000002 b"] != 6 || got["req-000001 a"] != 0 || got["req-000001 b"] == 0 {
+	s := advised(advice)
+	if got := launchCounts(s); got["req-000002 a"]+got["req-000002 b"] != 6 || got["req-000001 a"] != 0 || got["req-000001 b"] == 0 {
 		t.Errorf("%v", got)
 	}
-	p = advised(nil)
+	s = advised(nil)
 	reserved := map[*placement.Node]resources.Vector{}
-	for _, n := range p.nodes.all {
+	for _, n := range s.nodes.all {
 		if n.Zone == "b" {
 			reserved[n] = resources.Vector{CPUs: 3, MemoryGB: 3}
 		}
 	}
-	p.advice.advisor = advice.with(reserved)
-	if got := starts(p); got["req-000001 b"] > 3 {
-		t.Errorf("arrays in reserved room: %v", got)
+	s.advice.advisor = advice.with(reserved)
+	if got := launchCounts(s); got["req-000001 b"] > 3 {
+		t.Errorf("arrays in reserved capacity: %v", got)
 	}
 }
 
-// lastResortAdvice admits services to no machine, but as a last resort to all.
-type lastResortAdvice struct{ zoneAdvice }
+// fallbackAdvice admits services to no machine, but to all as a fallback.
+type fallbackAdvice struct{ zoneAdvice }
 
-func (a lastResortAdvice) Advise(time.Time, ClusterState) Advice      { return a }
-func (a lastResortAdvice) Admits(_ *placement.Node, j *wire.Job) bool { return !j.IsService() }
-func (a lastResortAdvice) IsFallback(_ *placement.Node, j *wire.Job) bool {
+func (a fallbackAdvice) Advise(time.Time, ClusterState) Advice      { return a }
+func (a fallbackAdvice) Admits(_ *placement.Node, j *wire.Job) bool { return !j.IsService() }
+func (a fallbackAdvice) IsFallback(_ *placement.Node, j *wire.Job) bool {
 	return j.IsService()
 }
 
-// A machine that the round itself opens, by what a report proves, is in no index yet: an
-// array got its room, while a service that could go nowhere else was not shown it.
-func TestLastResortOfThisRound(t *testing.T) {
-	p := advised(lastResortAdvice{})
-	p.consultAdvisor(time.Now())
-	p.nodes.withCapacity = nil
-	r := p.newCycle(time.Now(), 24, resources.Usage{})
-	service := p.jobs.active["req-000002"].Spec
-	if n := len(r.fallbackNodes(service)); n != 0 {
+// A machine of a group that the cycle itself opens, to apply evidence, is not among those with
+// capacity yet: an array got it, while a service that could go nowhere else was not shown it.
+func TestFallbackInUpdatedGroups(t *testing.T) {
+	s := advised(fallbackAdvice{})
+	s.consultAdvisor(time.Now())
+	s.nodes.withCapacity = nil
+	c := s.newCycle(time.Now(), 24, resources.Usage{})
+	service := s.jobs.active["req-000002"].Spec
+	if n := len(c.fallbackNodes(service)); n != 0 {
 		t.Errorf("%d machines before any is opened", n)
 	}
-	r.openGroup("b")
-	if n := len(r.fallbackNodes(service)); n != 3 {
-		t.Errorf("%d of the three machines that the round writes", n)
+	c.openGroup("b")
+	if n := len(c.fallbackNodes(service)); n != 3 {
+		t.Errorf("%d of the three machines that the cycle writes", n)
 	}
-	if n := len(r.fallbackNodes(p.jobs.active["req-000001"].Spec)); n != 0 {
+	if n := len(c.fallbackNodes(s.jobs.active["req-000001"].Spec)); n != 0 {
 		t.Errorf("%d machines for an array", n)
 	}
 }
 
-// Replicas that a round proves gone leave their zone in that round: else their service
-// could not have the room that they leave, and an array took it.
-func TestReplicasThatLeaveInThisRound(t *testing.T) {
-	p := advised(lastResortAdvice{})
-	p.consultAdvisor(time.Now())
-	g := groupOf("a", 3)
-	g.Zone, g.ModRevision = "a", 2
-	for i, m := range g.Machines {
-		m.Bindings, m.Group, m.Zone, m.MachineType = []statecache.TaskBinding{{Job: "req-000002", TaskIndex: i, Attempt: 1}}, "a", "a", "s"
-	}
-	p.view.Apply(statecache.Change{Kind: statecache.KindMachineGroup, Name: "a", Record: g, ModRevision: 2})
-	r := p.newCycle(time.Now(), 24, resources.Usage{})
-	if z := r.zoneCounts("req-000002"); z["a"] != 3 {
-		t.Errorf("%v before anything has left", z)
-	}
-	row := r.openGroup("a").UpdateMachine("i-a001")
-	row.Bindings = nil
-	if z := r.zoneCounts("req-000002"); z["a"] != 2 {
-		t.Errorf("%v after one has left", z)
-	}
-	p.advice.current = nil // as without zone recovery
-	if z := r.zoneCounts("req-000002"); z["a"] != 3 {
-		t.Errorf("%v without advice", z)
+// Replicas whose termination a cycle writes leave their zone in that cycle: else their service
+// could not have the capacity that they leave, and an array took it.
+func TestReplicasTerminatedInThisCycle(t *testing.T) {
+	s := advised(fallbackAdvice{})
+	s.consultAdvisor(time.Now())
+	group := groupOf("a", 3)
+	group.Zone, group.ModRevision = "a", 2
+	for i, rec := range group.Machines {
+		rec.Bindings, rec.Group, rec.Zone, rec.MachineType = []statecache.TaskBinding{{Job: "req-000002", TaskIndex: i, Attempt: 1}}, "a", "a", "s"
+	}
+	s.view.Apply(statecache.Change{Kind: statecache.KindMachineGroup, Name: "a", Record: group, ModRevision: 2})
+	c := s.newCycle(time.Now(), 24, resources.Usage{})
+	if counts := c.zoneCounts("req-000002"); counts["a"] != 3 {
+		t.Errorf("%v before anything has terminated", counts)
+	}
+	rec := c.openGroup("a").UpdateMachine("i-a001")
+	rec.Bindings = nil
+	if counts := c.zoneCounts("req-000002"); counts["a"] != 2 {
+		t.Errorf("%v after one has terminated", counts)
+	}
+	s.advice.current = nil // as without zone recovery
+	if counts := c.zoneCounts("req-000002"); counts["a"] != 3 {
+		t.Errorf("%v without advice", counts)
 	}
 }
--- /dev/null
+++ b/internal/scheduler/backoff_test.go
@@ -0,0 +1,62 @@
+package scheduler
+
+import (
+	"testing"
+	"time"
+
+	"lynxledge/internal/config"
+	"lynxledge/internal/placement"
+	"lynxledge/internal/statecache"
+	"lynxledge/wire"
+)
+
+// However often a job's tasks have failed, it is tried again before it has waited
+// for long beside machines with capacity.
+func TestBackoffIsBounded(t *testing.T) {
+	withScheduler(t, map[string]int{"a": 1}, func(_ *statecache.Cache, s *Scheduler) {
+		inActor(s, func() {
+			now := time.Now()
+			for range 20 {
+				s.backoff.recordFailure("req-000001", "i-a000", wire.ReasonError, now)
+			}
+			if wait := s.backoff.failures["req-000001"].until.Sub(now); wait != 44*time.Second {
+				t.Errorf("%v after 20 failures, not a lease", wait)
+			}
+		})
+	})
+}
+
+// Refusals for want of capacity keep tasks away from the machine, real failures delay the job,
+// which is probed after some; a success ends both.
+func TestBackoffFollowsTheReason(t *testing.T) {
+	workers := config.WorkerTimings{HeartbeatInterval: 8 * time.Second, LeaseDuration: 44 * time.Second}
+	b := newBackoff(workers)
+	now := time.Now()
+	end := func(machine wire.MachineID, reason wire.ExitReason) {
+		b.observe([]statecache.Termination{{Machine: machine, Job: "req-000001", Reason: reason}}, now)
+	}
+	end("i-1", wire.ReasonInsufficientCapacity)
+	if !b.avoids("i-1", now) || b.avoids("i-1", now.Add(8*time.Second)) || b.delays("req-000001", now) {
+		t.Error("a refusal is not an avoided machine for one heartbeat")
+	}
+	for i := range probeAfter {
+		if b.probes("req-000001") {
+			t.Errorf("probed after %d failures", i)
+		}
+		end("i-2", wire.ReasonError)
+	}
+	if !b.probes("req-000001") || !b.delays("req-000001", now) || b.avoids("i-2", now) {
+		t.Error("failures don't delay the job")
+	}
+	nodes := []*placement.Node{{Name: "i-1"}, {Name: "i-2"}, {Name: "i-3"}}
+	if got := b.withoutFailed("req-000001", nodes); len(got) != 1 || got[0] != nodes[2] {
+		t.Errorf("%d nodes without failures", len(got))
+	}
+	if got := b.withoutFailed("req-000001", nodes[:2]); len(got) != 2 {
+		t.Errorf("%d nodes left where the job has failed on all", len(got))
+	}
+	end("i-3", wire.ReasonCompleted)
+	if b.delays("req-000001", now) || b.probes("req-000001") {
+		t.Error("delayed after a success")
+	}
+}
--- a/internal/scheduler/deadline_stages_test.go
+++ b/internal/scheduler/deadline_stages_test.go
@@ -11,21 +11,21 @@
 	_ "lynxledge/internal/rapidseed"
 )
 
-// onTime is how many of the jobs in a set are in time when they run one after
-// the other in order of their latest starts.
-func onTime(jobs []deadlineCandidate, set uint, from float64) int {
-	var in []deadlineCandidate
+// onTime is how many of the jobs in a set are on time when they run one after the other in order
+// of their latest starts.
+func onTime(jobs []deadlineCandidate, set uint, freeSeconds float64) int {
+	var chosen []deadlineCandidate
 	for i := range jobs {
 		if set&(1<<i) != 0 {
-			in = append(in, jobs[i])
+			chosen = append(chosen, jobs[i])
 		}
 	}
-	slices.SortFunc(in, func(a, b deadlineCandidate) int {
+	slices.SortFunc(chosen, func(a, b deadlineCandidate) int {
 		return int(math.Copysign(1, a.latestStartSeconds(0)-b.latestStartSeconds(0)))
 	})
 	n := 0
-	for _, j := range in {
-		if from += j.clusterSeconds; from <= j.latestStartSeconds(0) {
+	for _, j := range chosen {
+		if freeSeconds += j.clusterSeconds; freeSeconds <= j.latestStartSeconds(0) {
 			n++
 		}
 	}
@@ -36,28 +36,28 @@
 // can: plain earliest deadline first made nearly all of them late.
 func TestStagesKeepAsManyAsCanBe(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		from := rapid.Float64Range(0, 20).Draw(t, "from")
+		freeSeconds := rapid.Float64Range(0, 20).Draw(t, "from")
 		jobs := make([]deadlineCandidate, rapid.IntRange(1, 7).Draw(t, "jobs"))
 		for i := range jobs {
 			d := rapid.Float64Range(-10, 100).Draw(t, "due")
 			jobs[i] = deadlineCandidate{clusterSeconds: rapid.Float64Range(0.1, 30).Draw(t, "work"), runtimeSeconds: rapid.Float64Range(0, 20).Draw(t, "run"), deadlineSeconds: []float64{d, 2 * max(d, 1)}}
 		}
-		stage, _ := assignStages(jobs, from)
+		stages, _ := assignStages(jobs, freeSeconds)
 		var kept uint
-		for i, s := range stage {
-			if s == 0 {
+		for i, stage := range stages {
+			if stage == 0 {
 				kept |= 1 << i
 			}
-			if s > 2 {
-				t.Fatalf("stage %d of 2", s)
+			if stage > 2 {
+				t.Fatalf("stage %d of 2", stage)
 			}
 		}
-		if n := onTime(jobs, kept, from); n != bits.OnesCount(kept) {
-			t.Fatalf("%d of %d kept jobs are in time", n, bits.OnesCount(kept))
+		if n := onTime(jobs, kept, freeSeconds); n != bits.OnesCount(kept) {
+			t.Fatalf("%d of %d kept jobs are on time", n, bits.OnesCount(kept))
 		}
 		for set := range uint(1) << len(jobs) {
-			if n := bits.OnesCount(set); n > bits.OnesCount(kept) && onTime(jobs, set, from) == n {
-				t.Fatalf("%b could be in time, kept %b", set, kept)
+			if n := bits.OnesCount(set); n > bits.OnesCount(kept) && onTime(jobs, set, freeSeconds) == n {
+				t.Fatalf("%b could be on time, kept %b", set, kept)
 			}
 		}
 	})
--- /dev/null
+++ b/internal/scheduler/group_layout_test.go
@@ -0,0 +1,127 @@
+package scheduler
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"lynxledge/internal/config"
+	"lynxledge/internal/reconcile"
+	"lynxledge/internal/resources"
+	"lynxledge/internal/statecache"
+	"lynxledge/wire"
+)
+
+// Two groups of a pool that a cycle writes become one only if their machines are full: new ones
+// would fill the record before their machines, and replicas waited beside machines with capacity.
+func TestOnlyFullGroupsMerge(t *testing.T) {
+	withScheduler(t, map[string]int{"a": 4, "b": 2}, func(_ *statecache.Cache, s *Scheduler) {
+		merged := func(cpus float64) bool {
+			out := false
+			inActor(s, func() {
+				s.view.Assignments["red"] = &statecache.Assignment{Member: "n0", Incarnation: s.incarnation}
+				s.view.Jobs["req-000001"].Spec.CPUs = cpus
+				for machine, rec := range s.view.Machines {
+					s.nodes.refresh(machine, rec)
+				}
+				c := s.newCycle(time.Now(), 8, resources.Usage{})
+				c.openGroup("a")
+				c.openGroup("b")
+				var commit statecache.Commit
+				c.mergeGroups(&commit)
+				if out = len(c.groupUpdates) == 1; out && (len(commit.Deletes) != 1 || len(c.groupUpdates["a"].Machines) != 6 || c.assignmentPreconditions["red"] != s.view.Assignments["red"].ModRevision) {
+					t.Errorf("%+v, %d machines", commit, len(c.groupUpdates["a"].Machines))
+				}
+			})
+			return out
+		}
+		if merged(3) {
+			t.Error("merged though the machines have capacity")
+		}
+		if !merged(4) {
+			t.Error("not merged though all are full")
+		}
+	})
+}
+
+// A record that is full before its machines are is split by whoever places for all teams, and
+// one that no longer fits the limit, in a cycle that has the writes for it.
+func TestFullRecordsAreSplit(t *testing.T) {
+	withScheduler(t, map[string]int{"a": 20}, func(cache *statecache.Cache, s *Scheduler) {
+		inActor(s, func() {
+			s.workers = make(commandRecorder, 100)
+			for _, assignment := range s.view.Assignments {
+				assignment.Incarnation = s.incarnation
+			}
+			s.layout.crowded["a"] = true
+			s.schedule()
+		})
+		time.Sleep(5 * time.Second)
+		inActor(s, func() {
+			if len(s.view.Groups) != 1 { // it fits into one
+				t.Errorf("%d groups", len(s.view.Groups))
+			}
+			s.config.Params.Store.Upcoming = &config.UpcomingStoreLimits{WriteRate: 15, MaxValueKB: 0.5, MaxTxnOps: 4}
+			s.layout.oversized["a"] = true
+			s.schedule()
+		})
+		time.Sleep(10 * time.Second)
+		inActor(s, func() {
+			tasks := 0
+			for _, group := range s.view.Groups {
+				if group.EncodedSize() > 512 {
+					t.Errorf("%s has %d bytes", group.Name, group.EncodedSize())
+				}
+				for _, rec := range group.Machines {
+					tasks += len(rec.Bindings)
+				}
+			}
+			if len(s.view.Groups) < 2 || len(s.view.Machines) != 20 || tasks != 20 || len(s.view.Bindings["req-000001"]) != 20 {
+				t.Errorf("%d groups, %d machines, %d tasks", len(s.view.Groups), len(s.view.Machines), tasks)
+			}
+		})
+	})
+}
+
+// Machine records grow when they are rewritten in a later term. A group record that a cycle
+// makes too large that way is split by the next one: tried again as it is, the evidence for it
+// would never be written.
+func TestRecordThatACycleMakesTooLargeIsSplit(t *testing.T) {
+	withScheduler(t, map[string]int{}, func(cache *statecache.Cache, s *Scheduler) {
+		limit := s.config.Params.Store.ValueSizeLimit()
+		group := &statecache.MachineGroup{Name: "a", MachineType: "s", Zone: "a"}
+		for i := 0; group.RetainedSize() < limit*87/100; i++ {
+			rec := &statecache.Machine{Name: wire.MachineID(fmt.Sprintf("i-a%03d", i)), Address: "x:1", Incarnation: 1, FencingToken: statecache.FirstToken(1) + 9}
+			for n := range 6 {
+				rec.Bindings = append(rec.Bindings, statecache.TaskBinding{Job: "req-000001", TaskIndex: 100 + 6*i + n, Attempt: statecache.FirstToken(1) + 8})
+			}
+			group.Machines = append(group.Machines, rec)
+		}
+		cache.Commit(statecache.Commit{Puts: []statecache.Put{
+			{Key: statecache.Key(statecache.KindMachineGroup, "a"), Record: group},
+			{Key: statecache.Key(statecache.KindAssignment, "red"), Record: statecache.Assignment{Member: "n0", Incarnation: s.incarnation}},
+			{Key: statecache.TermKey, Record: &statecache.Term{Number: 2}},
+		}}, func(statecache.Outcome) {})
+		time.Sleep(time.Second)
+		for _, rec := range group.Machines {
+			heartbeat := &wire.Heartbeat{Machine: rec.Name, Address: "x:1", MachineType: "s", Zone: "a", Incarnation: 1, Sequence: 1, FencingToken: rec.FencingToken}
+			for i := range rec.Bindings {
+				task := wire.TaskStatus{Task: rec.Bindings[i].TaskID(), Attempt: rec.Bindings[i].Attempt, State: wire.TaskRunning}
+				if i == 0 {
+					task.State, task.ExitReason = wire.TaskExited, wire.ReasonCompleted
+				}
+				heartbeat.Tasks = append(heartbeat.Tasks, task)
+			}
+			s.HandleEvidence(reconcile.Evidence{Heartbeat: heartbeat}, 0)
+		}
+		time.Sleep(10 * time.Second)
+		inActor(s, func() {
+			if bound := len(s.view.Bindings["req-000001"]); bound != 5*len(group.Machines) || len(s.view.Groups) < 2 {
+				t.Errorf("%d tasks of %d are bound, in %d groups", bound, 5*len(group.Machines), len(s.view.Groups))
+			}
+			if completed := s.view.CompletedCount("req-000001"); completed != len(group.Machines) {
+				t.Errorf("%d of %d completions are written", completed, len(group.Machines))
+			}
+		})
+	})
+}
--- a/internal/scheduler/job_queue.go
+++ b/internal/scheduler/job_queue.go
@@ -48,7 +48,7 @@
 
 // withinGuarantee tells which active jobs are within their teams' guarantees.
 func (q *jobQueue) withinGuarantee(quotaOf func(wire.TeamName) config.TeamQuota) map[wire.JobID]bool {
-	return JobsWithinGuarantee(q.claims.current(q.active, q.view.CompletedCount), quotaOf)
+	return jobsWithinGuarantee(q.claims.current(q.active, q.view.CompletedCount), quotaOf)
 }
 
 // queuedJob is a job that has tasks to place.
--- a/internal/scheduler/quota_claims.go
+++ b/internal/scheduler/quota_claims.go
@@ -11,22 +11,22 @@
 	"lynxledge/wire"
 )
 
-// QuotaClaim is an unfinished job's claim on its team's quota.
-type QuotaClaim struct {
+// quotaClaim is an unfinished job's claim on its team's quota.
+type quotaClaim struct {
 	Job            *wire.Job
 	RunnableSince  int64 // milliseconds since the epoch
 	RemainingTasks int   // not yet completed
 }
 
 // compareClaims orders claims by the time from which they count.
-func compareClaims(a, b QuotaClaim) int {
+func compareClaims(a, b quotaClaim) int {
 	return cmp.Or(cmp.Compare(a.RunnableSince, b.RunnableSince), strings.Compare(string(a.Job.ID), string(b.Job.ID)))
 }
 
-// JobsWithinGuarantee tells which jobs are within their teams' guarantees: those that fit
+// jobsWithinGuarantee tells which jobs are within their teams' guarantees: those that fit
 // together with the team's earlier unfinished jobs. What a team runs beyond its guarantee is
 // the rest. It sorts the claims.
-func JobsWithinGuarantee(claims []QuotaClaim, quotaOf func(wire.TeamName) config.TeamQuota) map[wire.JobID]bool {
+func jobsWithinGuarantee(claims []quotaClaim, quotaOf func(wire.TeamName) config.TeamQuota) map[wire.JobID]bool {
 	slices.SortFunc(claims, compareClaims)
 	used := resources.Usage{}
 	guaranteed := map[wire.JobID]bool{}
@@ -43,16 +43,16 @@
 // quotaClaims keeps the claims of jobs in order from one scheduling cycle to the next: cycles
 // are many more than jobs that come and end.
 type quotaClaims struct {
-	claims   []QuotaClaim
+	claims   []quotaClaim
 	outdated bool // the jobs have changed
 }
 
 // current is the claims of jobs as they are now.
-func (q *quotaClaims) current(jobs map[wire.JobID]*statecache.Job, completed func(job wire.JobID) int) []QuotaClaim {
+func (q *quotaClaims) current(jobs map[wire.JobID]*statecache.Job, completed func(job wire.JobID) int) []quotaClaim {
 	if q.outdated {
 		q.claims = q.claims[:0]
 		for _, job := range jobs {
-			q.claims = append(q.claims, QuotaClaim{Job: job.Spec, RunnableSince: job.RunnableSince()})
+			q.claims = append(q.claims, quotaClaim{Job: job.Spec, RunnableSince: job.RunnableSince()})
 		}
 		q.outdated = false
 	}
--- a/internal/scheduler/quota_claims_test.go
+++ b/internal/scheduler/quota_claims_test.go
@@ -7,12 +7,12 @@
 	"lynxledge/wire"
 )
 
-// A team's early replicas are guaranteed to it however much batch work it borrows
-// room for later: they were stopped for other teams' replicas.
+// A team's early replicas are guaranteed to it however much batch work it runs beyond its
+// guarantee later: they were stopped for other teams' replicas.
 func TestEarlierJobsAreGuaranteed(t *testing.T) {
 	team := func(wire.TeamName) config.TeamQuota { return config.TeamQuota{Name: "a", GuaranteedCPUs: 10} }
 	job := func(id wire.JobID, cpus float64) *wire.Job { return &wire.Job{ID: id, Team: "a", CPUs: cpus} }
-	guaranteed := JobsWithinGuarantee([]QuotaClaim{
+	guaranteed := jobsWithinGuarantee([]quotaClaim{
 		{job("req-000003", 4), 30, 20}, {job("req-000001", 2), 10, 2}, {job("req-000004", 2), 40, 1}, {job("req-000002", 2), 20, 3},
 	}, team)
 	for id, want := range map[wire.JobID]bool{"req-000001": true, "req-000002": true, "req-000003": false, "req-000004": false} {
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -51,7 +51,7 @@
 // Start runs a scheduler until ctx ends.
 func Start(ctx context.Context, o Options) *Scheduler {
 	s := newScheduler(o)
-	s.Actor = actor.Start(ctx, "placer", 512)
+	s.Actor = actor.Start(ctx, "scheduler", 512)
 	s.ctx = ctx
 	o.Cache.Subscribe(func(update statecache.Update) { s.Send(func() { s.apply(update) }) })
 	s.Every(s.config.Params.Workers.Heartbeats(1.0/6), s.schedule)
--- a/internal/scheduler/write_budget_test.go
+++ b/internal/scheduler/write_budget_test.go
@@ -7,9 +7,9 @@
 	"lynxledge/internal/config"
 )
 
-// Placing may use the writes that the others leave, never less than its own share, and
-// its own writes are not taken for theirs.
-func TestPlacingUsesTheWritesOthersLeave(t *testing.T) {
+// The scheduler may use the writes that the others leave, never less than its own share, and its
+// own writes are not taken for theirs.
+func TestBudgetIsWhatOthersLeave(t *testing.T) {
 	const limit = 20.0
 	for _, test := range []struct {
 		name   string
