--- a/internal/heartbeat/receiver.go
+++ b/internal/heartbeat/receiver.go
@@ -330,10 +330,10 @@
 	for i := range proof.Terminated {
 		task := proof.Terminated[i].TaskID()
 		if begun, ok := k.taskStarts[task]; ok {
-			if n.TaskRuntimes == nil {
-				n.TaskRuntimes = map[wire.TaskID]float64{}
+			if n.TaskRuntimeSeconds == nil {
+				n.TaskRuntimeSeconds = map[wire.TaskID]float64{}
 			}
-			n.TaskRuntimes[task] = float64(int(10*time.Since(begun).Seconds())) / 10
+			n.TaskRuntimeSeconds[task] = float64(int(10*time.Since(begun).Seconds())) / 10
 		}
 	}
 	wait := time.Duration(0)
--- a/internal/peer/transport_test.go
+++ b/internal/peer/transport_test.go
@@ -93,14 +93,14 @@
 // carry the news itself. After the cut all is as before.
 func TestMeshThroughACut(t *testing.T) {
 	pair(t, func(net *simulation.Network, a, b *node, _ map[string]*atomic.Bool) {
-		note := reconcile.Evidence{Heartbeat: &wire.Heartbeat{Machine: "i-1", Address: "x:1", MachineType: "t", Zone: "z", Incarnation: 1}, TaskRuntimes: map[wire.TaskID]float64{"req-000001/0": 2.5}}
+		note := reconcile.Evidence{Heartbeat: &wire.Heartbeat{Machine: "i-1", Address: "x:1", MachineType: "t", Zone: "z", Incarnation: 1}, TaskRuntimeSeconds: map[wire.TaskID]float64{"req-000001/0": 2.5}}
 		a.AnnounceReachable([]wire.MachineID{"i-1", "i-2"})
 		if !a.SendEvidence("n1", note) || a.SendEvidence("n9", note) {
 			t.Error("n1 out of reach, or n9 within")
 		}
 		time.Sleep(time.Second)
 		heard, notes := b.received(t)
-		if !slices.Equal(heard, []wire.MachineID{"i-1", "i-2"}) || len(notes) != 1 || notes[0].TaskRuntimes["req-000001/0"] != 2.5 {
+		if !slices.Equal(heard, []wire.MachineID{"i-1", "i-2"}) || len(notes) != 1 || notes[0].TaskRuntimeSeconds["req-000001/0"] != 2.5 {
 			t.Errorf("n1 got %v, %+v", heard, notes)
 		}
 		if a.Isolated() || a.FreshPeer() != "n1" {
--- a/internal/reconcile/reconcile.go
+++ b/internal/reconcile/reconcile.go
@@ -42,18 +42,19 @@
 		return result
 	}
 	result.PreemptionNotice = heartbeat.PreemptionNotice != nil && rec.DrainReason == ""
-	result.compareBindings(rec, heartbeat, result.matchTasks(rec, heartbeat), active)
+	statuses := make(map[wire.TaskID]*wire.TaskStatus, len(heartbeat.Tasks)) // made here, it need not be allocated
+	result.matchTasks(rec, heartbeat, statuses)
+	result.compareBindings(rec, heartbeat, statuses, active)
 	return result
 }
 
-// matchTasks finds the statuses of the attempts that are bound, by task, and adds the commands
-// for all other entries of the heartbeat.
-func (r *Result) matchTasks(rec *statecache.Machine, heartbeat *wire.Heartbeat) map[wire.TaskID]*wire.TaskStatus {
+// matchTasks sets the statuses of the attempts that are bound, by task, and adds the commands for
+// all other entries of the heartbeat.
+func (r *Result) matchTasks(rec *statecache.Machine, heartbeat *wire.Heartbeat, statuses map[wire.TaskID]*wire.TaskStatus) {
 	attempts := make(map[wire.TaskID]uint64, len(rec.Bindings))
 	for i := range rec.Bindings {
 		attempts[rec.Bindings[i].TaskID()] = rec.Bindings[i].Attempt
 	}
-	statuses := make(map[wire.TaskID]*wire.TaskStatus, len(heartbeat.Tasks))
 	for i := range heartbeat.Tasks {
 		status := &heartbeat.Tasks[i]
 		if attempt, bound := attempts[status.Task]; bound && attempt == status.Attempt {
@@ -62,7 +63,6 @@
 			r.handleUnboundTask(status)
 		}
 	}
-	return statuses
 }
 
 // compareBindings compares the record's bindings with the statuses of their attempts. Launches
--- a/internal/scheduler/evidence_application.go
+++ b/internal/scheduler/evidence_application.go
@@ -73,7 +73,7 @@
 		}
 	}
 	for _, termination := range result.Terminated {
-		termination.Runtime = evidence.TaskRuntimes[termination.TaskID()]
+		termination.Runtime = evidence.TaskRuntimeSeconds[termination.TaskID()]
 		c.applyTermination(update, next, termination)
 	}
 	if node := c.nodes.node(rec.Name); node != nil {
--- a/internal/scheduler/evidence_queue.go
+++ b/internal/scheduler/evidence_queue.go
@@ -51,7 +51,7 @@
 		if old.applyAt.Before(applyAt) {
 			applyAt = old.applyAt
 		}
-		evidence.TaskRuntimes = mergedRuntimes(old.TaskRuntimes, evidence.TaskRuntimes)
+		evidence.TaskRuntimeSeconds = mergedRuntimes(old.TaskRuntimeSeconds, evidence.TaskRuntimeSeconds)
 	}
 	q.put(rec.Group, rec.Name, &pendingEvidence{evidence, applyAt, countExited(heartbeat)})
 	return true
--- a/internal/scheduler/evidence_queue_test.go
+++ b/internal/scheduler/evidence_queue_test.go
@@ -74,18 +74,18 @@
 func TestEvidenceOfSenderIsNotModified(t *testing.T) {
 	withScheduler(t, map[string]int{"a": 1}, func(_ *statecache.Cache, s *Scheduler) {
 		first, second := completedOn(groupOf("a", 1), 0), completedOn(groupOf("a", 1), 0)
-		first.TaskRuntimes = map[wire.TaskID]float64{"req-000001/0": 4}
-		second.Heartbeat.Sequence, second.TaskRuntimes = 2, map[wire.TaskID]float64{"req-000001/1": 5}
+		first.TaskRuntimeSeconds = map[wire.TaskID]float64{"req-000001/0": 4}
+		second.Heartbeat.Sequence, second.TaskRuntimeSeconds = 2, map[wire.TaskID]float64{"req-000001/1": 5}
 		s.HandleEvidence(first, time.Minute)
 		s.HandleEvidence(second, time.Minute)
 		inActor(s, func() {
 			pending := s.evidence.byGroup["a"]["i-a000"]
-			if pending == nil || len(pending.TaskRuntimes) != 2 {
+			if pending == nil || len(pending.TaskRuntimeSeconds) != 2 {
 				t.Errorf("not merged: %+v", pending)
 			}
 		})
-		if len(second.TaskRuntimes) != 1 {
-			t.Errorf("the sender's map was written to: %v", second.TaskRuntimes)
+		if len(second.TaskRuntimeSeconds) != 1 {
+			t.Errorf("the sender's map was written to: %v", second.TaskRuntimeSeconds)
 		}
 	})
 }
