--- a/internal/estimate/deadlines.go
+++ b/internal/estimate/deadlines.go
@@ -19,11 +19,11 @@
 	if job.InheritedDeadline == 0 {
 		return out
 	}
-	due := config.Milliseconds(job.InheritedDeadline - job.RunnableSince())
+	due := config.Milliseconds(int64(job.InheritedDeadline - job.RunnableSince()))
 	from := max(now, start)
 	if due > from {
 		runtimeSeconds := runtime.Seconds()
-		due = from + config.Seconds((due-from).Seconds()*runtimeSeconds/max(runtimeSeconds+job.DownstreamRuntime, 1e-9))
+		due = from + config.Seconds((due-from).Seconds()*runtimeSeconds/max(runtimeSeconds+float64(job.DownstreamRuntime), 1e-9))
 	}
 	if !cfg.HasCompletionObjective(spec.Class) && spec.Deadline == nil {
 		return []time.Duration{due} // nobody else says when
@@ -42,7 +42,7 @@
 		deadline = &d
 	}
 	if !job.Blocked {
-		return cfg.Deadlines(job.Spec.Class, deadline, runtime, config.Milliseconds(job.RunnableSince()-job.SubmittedAt))
+		return cfg.Deadlines(job.Spec.Class, deadline, runtime, config.Milliseconds(int64(job.RunnableSince()-job.SubmittedAt)))
 	}
 	// It is runnable from start on, which still counts from its submission.
 	out := cfg.Deadlines(job.Spec.Class, deadline, runtime, start)
--- a/internal/estimate/runtime.go
+++ b/internal/estimate/runtime.go
@@ -38,11 +38,11 @@
 		if t.Reason != wire.ReasonCompleted || t.Runtime <= 0 || job == nil || job.Spec == nil || job.Spec.EstimatedRuntime <= 0 {
 			continue
 		}
-		off := math.Log(t.Runtime / float64(job.Spec.EstimatedRuntime))
+		off := math.Log(float64(t.Runtime / job.Spec.EstimatedRuntime))
 		off = math.Max(-math.Log(maxCorrection), math.Min(math.Log(maxCorrection), off))
 		e.classCorrections[job.Spec.Class] += smoothing * (off - e.classCorrections[job.Spec.Class])
 		m := e.jobRuntimes[t.Job]
-		e.jobRuntimes[t.Job] = mean{m.sum + t.Runtime, m.samples + 1}
+		e.jobRuntimes[t.Job] = mean{m.sum + float64(t.Runtime), m.samples + 1}
 	}
 }
 
--- a/internal/heartbeat/receiver.go
+++ b/internal/heartbeat/receiver.go
@@ -310,7 +310,7 @@
 func (r *Receiver) hasOverdueCancellation(rec *statecache.Machine, now time.Time) bool {
 	for i := range rec.Bindings {
 		j := r.view.Jobs[rec.Bindings[i].Job]
-		if j != nil && j.State == wire.JobCancelled && now.Sub(time.UnixMilli(j.FinishedAt)) > r.renewalWindow() {
+		if j != nil && j.State == wire.JobCancelled && now.Sub(j.FinishedAt.Time()) > r.renewalWindow() {
 			return true
 		}
 	}
@@ -330,10 +330,10 @@
 	for i := range proof.Terminated {
 		task := proof.Terminated[i].TaskID()
 		if begun, ok := k.taskStarts[task]; ok {
-			if n.TaskRuntimeSeconds == nil {
-				n.TaskRuntimeSeconds = map[wire.TaskID]float64{}
+			if n.TaskRuntimes == nil {
+				n.TaskRuntimes = map[wire.TaskID]wire.Seconds{}
 			}
-			n.TaskRuntimeSeconds[task] = float64(int(10*time.Since(begun).Seconds())) / 10
+			n.TaskRuntimes[task] = wire.Seconds(int(10*time.Since(begun).Seconds())) / 10
 		}
 	}
 	wait := time.Duration(0)
--- a/internal/scheduler/advisor_test.go
+++ b/internal/scheduler/advisor_test.go
@@ -50,7 +50,7 @@
 	s.nodes.offers = placement.ZoneOffers{"a": 1, "b": 1}
 	now := time.Now()
 	job := func(id wire.JobID, kind wire.JobKind, priority wire.Priority, tasks int) *statecache.Job {
-		return &statecache.Job{TaskCount: tasks, SubmittedAt: now.UnixMilli(), ModRevision: 1, Spec: &wire.Job{
+		return &statecache.Job{TaskCount: tasks, SubmittedAt: statecache.TimestampOf(now), ModRevision: 1, Spec: &wire.Job{
 			ID: id, Team: "red", Kind: kind, Priority: priority, TaskCount: tasks, CPUs: 1, MemoryGB: 1, Image: "img", EstimatedRuntime: 50,
 		}}
 	}
--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -36,7 +36,7 @@
 	s.nodes.machineTypes["s"] = &wire.MachineType{Name: "s", CPUs: 4, MemoryGB: 32, Zones: []wire.Zone{"a"}}
 	s.nodes.offers = placement.ZoneOffers{"a": 1}
 	s.cycleScheduled = true // cycles are planned by the test
-	submittedAt := time.Now().UnixMilli()
+	submittedAt := statecache.TimestampOf(time.Now())
 	changes := []statecache.Change{{Kind: statecache.KindAssignment, Name: "red", Record: &statecache.Assignment{Member: "n0", Incarnation: 1}}}
 	jobs := machines/machinesPerJob + 1
 	for i := range jobs {
--- a/internal/scheduler/commit.go
+++ b/internal/scheduler/commit.go
@@ -68,7 +68,7 @@
 	for id, writes := range c.finishedJobs {
 		job := c.view.Jobs[id]
 		txn.Puts = append(txn.Puts, statecache.Put{Key: statecache.Key(statecache.KindJob, string(id)), Record: &statecache.Job{
-			State: wire.JobDone, TaskCount: job.TaskCount, SubmittedAt: job.SubmittedAt, FinishedAt: c.now.UnixMilli(),
+			State: wire.JobDone, TaskCount: job.TaskCount, SubmittedAt: job.SubmittedAt, FinishedAt: statecache.TimestampOf(c.now),
 		}})
 		for chunk := range c.view.CompletionChunks[id] {
 			if writes--; writes > 0 {
--- a/internal/scheduler/completions.go
+++ b/internal/scheduler/completions.go
@@ -46,7 +46,7 @@
 	}
 	c.finishedJobs[id] = 1 + min(chunks, c.limit-c.ops()-1)
 	c.jobPreconditions[id] = job.ModRevision
-	submittedAt := time.UnixMilli(job.SubmittedAt)
+	submittedAt := job.SubmittedAt.Time()
 	c.onCommitted = append(c.onCommitted, func() {
 		slog.Debug("job completed", "job", id, "age_seconds", int(time.Since(submittedAt).Seconds()))
 	})
--- a/internal/scheduler/evidence_queue.go
+++ b/internal/scheduler/evidence_queue.go
@@ -51,7 +51,7 @@
 		if old.applyAt.Before(applyAt) {
 			applyAt = old.applyAt
 		}
-		evidence.TaskRuntimeSeconds = mergedRuntimes(old.TaskRuntimeSeconds, evidence.TaskRuntimeSeconds)
+		evidence.TaskRuntimes = mergedRuntimes(old.TaskRuntimes, evidence.TaskRuntimes)
 	}
 	q.put(rec.Group, rec.Name, &pendingEvidence{evidence, applyAt, countExited(heartbeat)})
 	return true
@@ -64,10 +64,10 @@
 
 // mergedRuntimes is a new map: the peer transport may be sending the evidence as it came, and a
 // map that both held ended the process.
-func mergedRuntimes(old, latest map[wire.TaskID]float64) map[wire.TaskID]float64 {
+func mergedRuntimes(old, latest map[wire.TaskID]wire.Seconds) map[wire.TaskID]wire.Seconds {
 	out := maps.Clone(old)
 	if out == nil {
-		out = map[wire.TaskID]float64{}
+		out = map[wire.TaskID]wire.Seconds{}
 	}
 	maps.Copy(out, latest)
 	return out
--- a/internal/scheduler/group_layout_test.go
+++ b/internal/scheduler/group_layout_test.go
@@ -99,7 +99,7 @@
 		}
 		cache.Commit(statecache.Commit{Puts: []statecache.Put{
 			{Key: statecache.Key(statecache.KindMachineGroup, "a"), Record: group},
-			{Key: statecache.Key(statecache.KindAssignment, "red"), Record: statecache.Assignment{Member: "n0", Incarnation: s.incarnation}},
+			{Key: statecache.Key(statecache.KindAssignment, "red"), Record: &statecache.Assignment{Member: "n0", Incarnation: s.incarnation}},
 			{Key: statecache.TermKey, Record: &statecache.Term{Number: 2}},
 		}}, func(statecache.Outcome) {})
 		time.Sleep(time.Second)
--- a/internal/scheduler/helpers_test.go
+++ b/internal/scheduler/helpers_test.go
@@ -32,11 +32,11 @@
 		cache.Run()
 		time.Sleep(time.Second)
 		commit := statecache.Commit{Puts: []statecache.Put{
-			{Key: statecache.Key(statecache.KindJob, "req-000001"), Record: &statecache.Job{TaskCount: 10000, SubmittedAt: time.Now().UnixMilli(), Spec: &wire.Job{
+			{Key: statecache.Key(statecache.KindJob, "req-000001"), Record: &statecache.Job{TaskCount: 10000, SubmittedAt: statecache.TimestampOf(time.Now()), Spec: &wire.Job{
 				ID: "req-000001", Team: "red", Kind: wire.KindArray, TaskCount: 10000, CPUs: 4, MemoryGB: 1, EstimatedRuntime: 50,
 			}}},
 			// Another process places.
-			{Key: statecache.Key(statecache.KindAssignment, "red"), Record: statecache.Assignment{Member: "n1", Incarnation: 1}},
+			{Key: statecache.Key(statecache.KindAssignment, "red"), Record: &statecache.Assignment{Member: "n1", Incarnation: 1}},
 		}}
 		for name, n := range groups {
 			commit.Puts = append(commit.Puts, statecache.Put{Key: statecache.Key(statecache.KindMachineGroup, name), Record: groupOf(name, n)})
@@ -85,7 +85,7 @@
 	}
 	for i := range jobs {
 		id := wire.JobID(fmt.Sprintf("req-1%05d", i))
-		puts = append(puts, statecache.Put{Key: statecache.Key(statecache.KindJob, string(id)), Record: &statecache.Job{TaskCount: 4, SubmittedAt: time.Now().UnixMilli(), Spec: &wire.Job{
+		puts = append(puts, statecache.Put{Key: statecache.Key(statecache.KindJob, string(id)), Record: &statecache.Job{TaskCount: 4, SubmittedAt: statecache.TimestampOf(time.Now()), Spec: &wire.Job{
 			ID: id, Team: "red", Kind: wire.KindService, Priority: wire.PriorityProduction, TaskCount: 4, CPUs: 5, MemoryGB: 1,
 		}}})
 	}
--- a/internal/scheduler/job_placement.go
+++ b/internal/scheduler/job_placement.go
@@ -3,7 +3,6 @@
 import (
 	"log/slog"
 	"slices"
-	"time"
 
 	"lynxledge/internal/config"
 	"lynxledge/internal/placement"
@@ -68,7 +67,7 @@
 		return false
 	}
 	within, _ := p.config.StartObjective(p.spec.Class)
-	age := p.now.Sub(time.UnixMilli(p.job.RunnableSince()))
+	age := p.now.Sub(p.job.RunnableSince().Time())
 	return p.spec.Priority == wire.PriorityProduction || age >= (within-p.config.Params.Workers.HeartbeatInterval/3)/2
 }
 
--- a/internal/scheduler/job_queue.go
+++ b/internal/scheduler/job_queue.go
@@ -107,7 +107,7 @@
 		entry.recoversFirst, entry.orderKey = true, float64(advice.RecoveryOrder(entry.id))
 		return
 	}
-	age := config.Milliseconds(now.UnixMilli() - job.RunnableSince())
+	age := config.Milliseconds(int64(statecache.TimestampOf(now) - job.RunnableSince()))
 	pendingTasks := entry.maxTasks
 	if age > starvationLeases*q.config.Params.Workers.LeaseDuration && pendingTasks == job.TaskCount {
 		entry.deadlineStage, entry.orderKey = -1, float64(job.RunnableSince())
--- a/internal/scheduler/job_queue_test.go
+++ b/internal/scheduler/job_queue_test.go
@@ -19,7 +19,7 @@
 	now := time.Now()
 	add := func(id wire.JobID, team wire.TeamName, priority wire.Priority, age, due time.Duration) {
 		deadline := wire.Seconds((age + due).Seconds())
-		job := &statecache.Job{TaskCount: 3, SubmittedAt: now.Add(-age).UnixMilli(), Spec: &wire.Job{
+		job := &statecache.Job{TaskCount: 3, SubmittedAt: statecache.TimestampOf(now.Add(-age)), Spec: &wire.Job{
 			ID: id, Class: "c", Team: team, Kind: wire.KindArray, Priority: priority, TaskCount: 3, CPUs: 1, MemoryGB: 1, EstimatedRuntime: 1, Deadline: &deadline,
 		}}
 		s.view.Jobs[id] = job
--- a/internal/scheduler/node_index.go
+++ b/internal/scheduler/node_index.go
@@ -248,6 +248,6 @@
 // bootsInTime tells whether a machine that is booting has not taken longer than machines
 // usually do.
 func (x *nodeIndex) bootsInTime(machine wire.MachineID, machineType *wire.MachineType, now time.Time) bool {
-	provisionedAt := time.UnixMilli(x.view.Machines[machine].ProvisionedAt)
+	provisionedAt := x.view.Machines[machine].ProvisionedAt.Time()
 	return now.Sub(provisionedAt) < config.Seconds(estimate.UsualBootFactor*float64(machineType.BootTime))
 }
--- a/internal/scheduler/preemption_test.go
+++ b/internal/scheduler/preemption_test.go
@@ -48,7 +48,7 @@
 			inActor(s, func() {
 				now := time.Now()
 				spec := &wire.Job{ID: "req-000002", Team: "red", Kind: wire.KindArray, Priority: wire.PriorityHigh, TaskCount: 1, CPUs: 1, MemoryGB: 1, EstimatedRuntime: 10}
-				job := &statecache.Job{Spec: spec, TaskCount: 1, SubmittedAt: now.Add(-20 * time.Second).UnixMilli(), PriorityInherited: inherited, InheritedDeadline: now.Add(due).UnixMilli()}
+				job := &statecache.Job{Spec: spec, TaskCount: 1, SubmittedAt: statecache.TimestampOf(now.Add(-20 * time.Second)), PriorityInherited: inherited, InheritedDeadline: statecache.TimestampOf(now.Add(due))}
 				s.jobs.active["req-000002"], s.view.Jobs["req-000002"] = job, job
 				s.view.Jobs["req-000001"].Spec.EstimatedRuntime = 0.1 // leaves the cluster to it soon
 				s.config.Params.Objectives = []config.Objective{{Kind: config.ObjectiveGuarantee, Within: 5 * time.Second}}
--- a/internal/scheduler/quota_claims.go
+++ b/internal/scheduler/quota_claims.go
@@ -14,8 +14,8 @@
 // quotaClaim is an unfinished job's claim on its team's quota.
 type quotaClaim struct {
 	Job            *wire.Job
-	RunnableSince  int64 // milliseconds since the epoch
-	RemainingTasks int   // not yet completed
+	RunnableSince  statecache.Timestamp
+	RemainingTasks int // not yet completed
 }
 
 // compareClaims orders claims by the time from which they count.
