--- a/internal/heartbeat/evidence.go
+++ b/internal/heartbeat/evidence.go
@@ -34,15 +34,15 @@
 
 // runtimes are the seconds, in tenths, that terminated tasks ran, as far as this controller saw
 // them start; nil if it saw none.
-func (c *contact) runtimes(result *reconcile.Result) map[wire.TaskID]float64 {
-	var runtimes map[wire.TaskID]float64
+func (c *contact) runtimes(result *reconcile.Result) map[wire.TaskID]wire.Seconds {
+	var runtimes map[wire.TaskID]wire.Seconds
 	for i := range result.Terminated {
 		task := result.Terminated[i].TaskID()
 		if startedAt, ok := c.taskStarts[task]; ok {
 			if runtimes == nil {
-				runtimes = map[wire.TaskID]float64{}
+				runtimes = map[wire.TaskID]wire.Seconds{}
 			}
-			runtimes[task] = float64(int(10*time.Since(startedAt).Seconds())) / 10
+			runtimes[task] = wire.Seconds(int(10*time.Since(startedAt).Seconds())) / 10
 		}
 	}
 	return runtimes
--- a/internal/peer/transport_test.go
+++ b/internal/peer/transport_test.go
@@ -111,7 +111,7 @@
 		n0, n1 := p.members[0], p.members[1]
 		evidence := reconcile.Evidence{
 			Heartbeat:    &wire.Heartbeat{Machine: "i-1", Address: "x:1", MachineType: "t", Zone: "z", Incarnation: 1},
-			TaskRuntimes: map[wire.TaskID]float64{"req-000001/0": 2.5},
+			TaskRuntimes: map[wire.TaskID]wire.Seconds{"req-000001/0": 2.5},
 		}
 		n0.AnnounceReachable([]wire.MachineID{"i-1", "i-2"})
 		if !n0.SendEvidence("n1", evidence) || n0.SendEvidence("n9", evidence) {
