--- a/internal/autoscaler/planning_input.go
+++ b/internal/autoscaler/planning_input.go
@@ -26,7 +26,7 @@
 		m := &in.Machines[i]
 		tasks += len(m.Tasks)
 		switch {
-		case m.ReadyIn > 0:
+		case m.ReadyInSeconds > 0:
 			starting++
 		case len(m.Tasks) == 0:
 			idle++
@@ -40,7 +40,7 @@
 		rents += rent.Count
 	}
 	slog.Debug("pass", "machines", len(in.Machines), "starting", starting, "idle", idle, "tasks", tasks, "demands", len(in.Demands),
-		"waiting", waiting, "rent", rents, "return", len(p.ScaleIn), "unmet", p.Unmet)
+		"waiting", waiting, "rent", rents, "return", len(p.ScaleIn), "unmet", p.UnmetTasks)
 }
 
 // planningInput puts together what the plan looks at.
@@ -48,11 +48,11 @@
 	now := time.Now()
 	ops := r.config.Operator
 	in := planner.Input{
-		Types: r.machineTypes, BootLag: ops.BootLag.Seconds(), PlanningInterval: ops.PlanningInterval.Seconds(), BillingPeriod: ops.BillingPeriod.Seconds(), HeadroomShare: ops.HeadroomShare, MaxPriceMultiple: ops.MaxPriceMultiple,
-		Refused: func(p resources.Pool) bool { return now.Before(r.exhaustedPools[p]) },
+		MachineTypes: r.machineTypes, BootLagSeconds: ops.BootLag.Seconds(), PlanningIntervalSeconds: ops.PlanningInterval.Seconds(), BillingPeriodSeconds: ops.BillingPeriod.Seconds(), HeadroomShare: ops.HeadroomShare, MaxPriceMultiple: ops.MaxPriceMultiple,
+		Exhausted: func(p resources.Pool) bool { return now.Before(r.exhaustedPools[p]) },
 	}
 	if recovery.Recovering(r.view.ZoneRecoveries) {
-		in.Avoided = func(zone wire.Zone) bool { return r.zoneRecovery.IsLost(r.view.ZoneRecoveries, zone) }
+		in.AvoidedZone = func(zone wire.Zone) bool { return r.zoneRecovery.IsLost(r.view.ZoneRecoveries, zone) }
 	}
 	withheld := r.zoneRecovery.WithheldFor(now, r.view)
 	pools := map[resources.Pool]bool{}
@@ -77,8 +77,8 @@
 			}
 		}
 		in.Demands = append(in.Demands, planner.Demand{
-			Job: j.Spec, Count: r.limitedByQuota(j, n), Runtime: runSeconds, Zones: placement.ZoneCountsOf(r.view, id),
-			Deadline: due.Seconds(), Late: !j.Spec.IsService() && ops.BootLag+run > due, Overdue: age > overdueDeadlineMultiple*deadlines[len(deadlines)-1] && !r.hasSuitableMachine(j.Spec, pools),
+			Job: j.Spec, Count: r.limitedByQuota(j, n), RuntimeSeconds: runSeconds, Zones: placement.ZoneCountsOf(r.view, id),
+			DeadlineSeconds: due.Seconds(), Late: !j.Spec.IsService() && ops.BootLag+run > due, Overdue: age > overdueDeadlineMultiple*deadlines[len(deadlines)-1] && !r.hasSuitableMachine(j.Spec, pools),
 		})
 	}
 	for id, j := range r.activeJobs {
@@ -95,14 +95,14 @@
 	for name, b := range r.view.Machines {
 		m := planner.Machine{
 			Name: name, Pool: resources.Pool{MachineType: b.MachineType, Zone: b.Zone, Spot: b.Spot},
-			Age: (float64(now.UnixMilli()) - float64(b.ProvisionedAt)) / 1000, Schedulable: b.DrainReason == "" && !b.Terminating && !b.Suspected,
+			AgeSeconds: (float64(now.UnixMilli()) - float64(b.ProvisionedAt)) / 1000, Schedulable: b.DrainReason == "" && !b.Terminating && !b.Suspected,
 		}
 		if b.Incarnation == 0 {
-			m.ReadyIn = math.Max(0, r.bootSeconds(b.MachineType)-m.Age)
+			m.ReadyInSeconds = math.Max(0, r.bootSeconds(b.MachineType)-m.AgeSeconds)
 			// A boot that drags on may never end: it covers no load any more.
 			m.Schedulable = m.Schedulable && !r.isBootOverdue(b, now)
 		}
-		m.ReadyIn = max(m.ReadyIn, withheld[name])
+		m.ReadyInSeconds = max(m.ReadyInSeconds, withheld[name])
 		for i := range b.Bindings {
 			t := &b.Bindings[i]
 			j := r.view.Jobs[t.Job]
@@ -118,7 +118,7 @@
 			if !j.Spec.IsService() {
 				left = math.Max(0, r.runtimes.Estimate(j.Spec)-now.Sub(r.boundSince[t.TaskID()]).Seconds())
 			}
-			m.Tasks = append(m.Tasks, planner.RunningTask{Job: j.Spec, Remaining: left})
+			m.Tasks = append(m.Tasks, planner.RunningTask{Job: j.Spec, RemainingSeconds: left})
 		}
 		in.Machines = append(in.Machines, m)
 	}
@@ -126,7 +126,7 @@
 		for i := range intent.Count {
 			in.Machines = append(in.Machines, planner.Machine{
 				Name: wire.MachineID(fmt.Sprintf("rented-%d", i)), Pool: poolOf(intent), Schedulable: true,
-				ReadyIn: r.bootSeconds(intent.MachineType),
+				ReadyInSeconds: r.bootSeconds(intent.MachineType),
 			})
 		}
 	}
--- a/internal/autoscaler/provision.go
+++ b/internal/autoscaler/provision.go
@@ -55,7 +55,7 @@
 	name := fmt.Sprintf("r-%d-%d", r.term, r.provisionCount)
 	intent := &statecache.ProvisioningIntent{
 		MachineType: want.MachineType, Zone: want.Zone, Spot: want.Spot,
-		Count: want.Count, TasksPerMachine: want.Tasks, RequestedAt: time.Now().UnixMilli(),
+		Count: want.Count, TasksPerMachine: want.TasksPerMachine, RequestedAt: time.Now().UnixMilli(),
 	}
 	key := statecache.Key(statecache.KindProvisioningIntent, name)
 	r.provisioning[name] = want.Pool
--- a/internal/planner/existing.go
+++ b/internal/planner/existing.go
@@ -3,225 +3,121 @@
 import (
 	"container/heap"
 	"math"
-	"strings"
 
-	"lynxledge/internal/placement"
 	"lynxledge/internal/resources"
-	"lynxledge/wire"
 )
 
-// demandShape is all of a demand that decides when a slot could take one of its tasks.
-// Jobs of one class mostly have the same.
-type demandShape struct {
-	need  resources.Vector
-	types string
-	zone  wire.Zone
-	spot  bool
-	roomy bool
-}
-
-func shapeOf(d Demand, need resources.Vector) demandShape {
-	return demandShape{
-		need:  need,
-		types: strings.Join(d.Job.MachineTypes, " "),
-		zone:  d.Job.Zone,
-		spot:  d.Job.AllowSpot,
-		roomy: d.NeedsOwnMachine,
-	}
-}
-
-// poolChoice is what a pool's machines mean to the job in hand. It is the same for all
-// of them, so it is worked out once for each job.
-type poolChoice struct {
-	allowed  bool
-	share    float64 // of a machine, that a task takes
-	limit    float64 // latest start on a machine that is up
-	starting float64 // latest start on a machine that is coming up
-	kind     bool    // as cheap as the job may have it
-}
-
-// latest is until when a task must be able to start on a slot.
-func (c *poolChoice) latest(s *capacitySlot) float64 {
-	if s.readyAt > 0 {
-		return c.starting
-	}
-	return c.limit
-}
-
-// candidate is a slot that may take a task. A pass holds one for each machine and shape:
-// they hold no pointers.
-type candidate struct {
-	at   float64 // when the task could start there, or a time before that
-	slot int32
-	kind bool
-}
-
-// candidates is a heap, the slot that is free first on top. What has been put on slots
-// since makes them free later than it says: whoever takes the top asks the slot.
-type candidates []candidate
-
-func (c candidates) Len() int { return len(c) }
-func (c candidates) Less(i, k int) bool {
-	a, b := &c[i], &c[k]
-	if a.at != b.at {
-		return a.at < b.at
-	}
-	if a.kind != b.kind {
-		return a.kind
-	}
-	return a.slot < b.slot
-}
-func (c candidates) Swap(i, k int) { c[i], c[k] = c[k], c[i] }
-
-// Push and Pop complete heap.Interface. They are not called: both allocate.
-func (c *candidates) Push(x any) { *c = append(*c, x.(candidate)) }
-
-// Pop removes the last candidate.
-func (c *candidates) Pop() any {
-	last := len(*c) - 1
-	top := (*c)[last]
-	*c = (*c)[:last]
-	return top
-}
-
-// add puts a candidate where it belongs.
-func (c *candidates) add(x candidate) {
-	*c = append(*c, x)
-	heap.Fix(c, len(*c)-1)
-}
-
-// drop takes the top off.
-func (c *candidates) drop() {
-	last := len(*c) - 1
-	c.Swap(0, last)
-	*c = (*c)[:last]
-	if last > 0 {
-		heap.Fix(c, 0)
-	}
-}
+// Bounds of the tasks of one job that a planning cycle puts on the existing machines. Beyond
+// them the machines count as full.
+const (
+	minTasksConsidered        = 1000
+	tasksConsideredPerMachine = 4
+)
 
-// slotQueue is the queue of the slots for demands of one shape.
-type slotQueue struct {
-	candidates
-	used int // the number of the demand that used it last
+// maxTasksConsidered bounds the work of a planning cycle on one job.
+func (c *cycle) maxTasksConsidered() int {
+	return max(minTasksConsidered, tasksConsideredPerMachine*len(c.slots))
 }
 
-// maxSlotQueues is for how many shapes queues are kept at a time.
-const maxSlotQueues = 16
-
-// queue finds the slots for a shape. They are looked through once for each shape, not for
-// each demand: machines and jobs together may be many.
-func (p *planning) queue(shape demandShape, choices []poolChoice) *slotQueue {
-	p.demands++
-	if q := p.queues[shape]; q != nil {
-		q.used = p.demands
-		return q
-	}
-	q := &slotQueue{used: p.demands}
-	if len(p.queues) == maxSlotQueues {
-		q.candidates = p.dropOldestQueue()
-	}
-	p.queues[shape] = q
-	for i, s := range p.room {
-		choice := &choices[s.pool]
-		if !choice.allowed {
-			continue
-		}
-		if at := s.free(choice.share); !math.IsInf(at, 1) {
-			q.candidates = append(q.candidates, candidate{at: at, slot: int32(i), kind: choice.kind})
-		}
-	}
-	heap.Init(q)
-	return q
+// poolFit is what the machines of a pool mean to a demand. It is the same for all of them, so
+// it is computed once for each demand.
+type poolFit struct {
+	allowed            bool
+	share              float64 // of a machine, that a task takes
+	latestStart        float64 // on a machine that is up, in seconds
+	latestStartBooting float64 // on a machine that is not up yet, in seconds
+	preferred          bool    // spot exactly if the job allows it
 }
 
-// dropOldestQueue forgets the queue that was not used for the longest time, and returns
-// its memory.
-func (p *planning) dropOldestQueue() candidates {
-	var oldest demandShape
-	least := math.MaxInt
-	for shape, q := range p.queues {
-		if q.used < least {
-			oldest, least = shape, q.used
-		}
+// latestStartOn returns by when a task must be able to start on a slot.
+func (f *poolFit) latestStartOn(slot *capacitySlot) float64 {
+	if slot.machine.ReadyInSeconds > 0 {
+		return f.latestStartBooting
 	}
-	memory := p.queues[oldest].candidates[:0]
-	delete(p.queues, oldest)
-	return memory
+	return f.latestStart
 }
 
-// onExisting puts up to count tasks on the machines that have room for them
-// first, if they start there before a new machine could be up or still end in
-// time: then they put no load on new machines past the boot lag. A machine that
-// boots for longer than the lag covers load from its rental on: another one
-// would not be up sooner, and every pass would rent it again. It returns how
-// many found room.
-func (p *planning) onExisting(d Demand, count int, need resources.Vector, zones placement.ZoneCounts, run float64) int {
-	choices, latest := p.poolChoices(d, need, run)
-	queue := p.queue(shapeOf(d, need), choices)
-	passedOver := p.passedOver[:0] // that later demands may take
-	found := 0
-	for found < count && queue.Len() > 0 {
-		top := &queue.candidates[0]
-		s := p.room[top.slot]
-		choice := &choices[s.pool]
-		if at := s.free(choice.share); at > top.at {
-			p.postpone(queue, at)
+// coverByExisting puts up to count tasks on the existing machines, the one that is free first
+// first, if they start there before a new machine could be up or still end in time: then they
+// put no load on new machines past the boot lag. A machine that boots for longer than the lag
+// covers load from its provisioning on: another one would not be up sooner, and every planning
+// cycle would provision it again. It returns how many tasks are covered.
+func (c *cycle) coverByExisting(d *pendingDemand, count int) (covered int) {
+	fits, latestStart := c.poolFits(d)
+	queue := c.queueFor(shapeOf(d), fits)
+	passedOver := c.passedOver[:0] // slots that later demands may use
+	for covered < count && queue.Len() > 0 {
+		first := queue.candidates[0]
+		slot := c.slots[first.slot]
+		fit := &fits[slot.pool]
+		if freeAt := slot.freeAt(fit.share); freeAt > first.freeAt {
+			queue.postponeFirst(freeAt)
 			continue
 		}
-		if top.at > latest {
+		if first.freeAt > latestStart {
 			break
 		}
-		if top.at > choice.latest(s) || !zones.Allows(d.Job, s.machine.Pool.Zone) {
-			passedOver = append(passedOver, *top)
-			queue.drop()
+		zone := slot.machine.Pool.Zone
+		if first.freeAt > fit.latestStartOn(slot) || !d.zones.Allows(d.Job, zone) {
+			passedOver = append(passedOver, first)
+			queue.dropFirst()
 			continue
 		}
-		s.add(top.at+run, choice.share)
-		s.taken = true
-		zones[s.machine.Pool.Zone]++
-		found++
-		p.postpone(queue, s.free(choice.share))
+		slot.addTask(first.freeAt+d.occupiedSeconds, fit.share)
+		slot.inUse = true
+		d.zones[zone]++
+		covered++
+		queue.postponeFirst(slot.freeAt(fit.share))
 	}
-	for _, c := range passedOver {
-		queue.add(c)
+	for _, skipped := range passedOver {
+		queue.add(skipped)
 	}
-	p.passedOver = passedOver
-	return found
+	c.passedOver = passedOver
+	return covered
 }
 
-// postpone notes from when the top of a queue is free.
-func (p *planning) postpone(queue *slotQueue, at float64) {
-	if math.IsInf(at, 1) {
-		queue.drop()
-		return
+// queueFor returns the queue of the slots for a shape. The slots are looked through once for
+// each shape, not for each demand: machines and jobs together may be many.
+func (c *cycle) queueFor(shape demandShape, fits []poolFit) *slotQueue {
+	queue, isNew := c.queues.use(shape)
+	if !isNew {
+		return queue
+	}
+	for i, slot := range c.slots {
+		fit := &fits[slot.pool]
+		if !fit.allowed {
+			continue
+		}
+		if at := slot.freeAt(fit.share); !math.IsInf(at, 1) {
+			queue.candidates = append(queue.candidates, candidate{freeAt: at, slot: int32(i), preferred: fit.preferred})
+		}
 	}
-	queue.candidates[0].at = at
-	heap.Fix(queue, 0)
+	heap.Init(queue)
+	return queue
 }
 
-// poolChoices tells of each pool that there are machines of what they mean to the job,
-// and the latest start on any of them.
-func (p *planning) poolChoices(d Demand, need resources.Vector, run float64) (choices []poolChoice, latest float64) {
-	choices = make([]poolChoice, len(p.held))
-	limit := p.BootLag
-	if !d.Job.IsService() && !math.IsInf(d.Deadline, 1) {
-		limit = max(limit, d.Deadline-run)
+// poolFits returns what each of the existing pools means to a demand, and the latest start on
+// any of them.
+func (c *cycle) poolFits(d *pendingDemand) (fits []poolFit, latestStart float64) {
+	fits = make([]poolFit, len(c.existingPools.pools))
+	latestStartUp := c.BootLagSeconds
+	if !d.unbounded {
+		latestStartUp = max(latestStartUp, d.DeadlineSeconds-d.occupiedSeconds)
 	}
-	latest = limit
-	for i, pool := range p.held {
-		if !p.allowsPool(d, pool) {
+	latestStart = latestStartUp
+	for i, pool := range c.existingPools.pools {
+		if !c.pools.allows(d.Demand, pool) {
 			continue
 		}
-		machineType := p.machineTypes[pool.MachineType]
-		choices[i] = poolChoice{
-			allowed:  true,
-			share:    need.Share(resources.OfMachineType(machineType)),
-			limit:    limit,
-			starting: max(limit, float64(machineType.BootTime)),
-			kind:     pool.Spot == d.Job.AllowSpot,
+		machineType := c.pools.machineTypes[pool.MachineType]
+		fits[i] = poolFit{
+			allowed:            true,
+			share:              d.need.Share(resources.OfMachineType(machineType)),
+			latestStart:        latestStartUp,
+			latestStartBooting: max(latestStartUp, float64(machineType.BootTime)),
+			preferred:          pool.Spot == d.Job.AllowSpot,
 		}
-		latest = max(latest, choices[i].starting)
+		latestStart = max(latestStart, fits[i].latestStartBooting)
 	}
-	return choices, latest
+	return fits, latestStart
 }
--- /dev/null
+++ b/internal/planner/pools.go
@@ -0,0 +1,143 @@
+package planner
+
+import (
+	"math"
+	"slices"
+
+	"lynxledge/internal/placement"
+	"lynxledge/internal/resources"
+	"lynxledge/wire"
+)
+
+// poolCatalog is the machine types and the pools that the cloud offers.
+type poolCatalog struct {
+	machineTypes   map[string]*wire.MachineType
+	all            []resources.Pool
+	typesByZone    map[wire.Zone]int // how many machine types a zone offers
+	maxTypesInZone int
+}
+
+func newPoolCatalog(types []wire.MachineType) poolCatalog {
+	p := poolCatalog{machineTypes: map[string]*wire.MachineType{}, typesByZone: map[wire.Zone]int{}}
+	for i := range types {
+		t := &types[i]
+		p.machineTypes[t.Name] = t
+		for _, zone := range t.Zones {
+			p.typesByZone[zone]++
+			p.maxTypesInZone = max(p.maxTypesInZone, p.typesByZone[zone])
+			for _, spot := range []bool{false, true} {
+				p.all = append(p.all, resources.Pool{MachineType: t.Name, Zone: zone, Spot: spot})
+			}
+		}
+	}
+	return p
+}
+
+// allows tells whether a demand may use machines of a pool, wherever the job's other tasks
+// are.
+func (p *poolCatalog) allows(d *Demand, pool resources.Pool) bool {
+	return placement.Allowed(d.Job, pool.MachineType, pool.Zone, pool.Spot) &&
+		(!d.ampleZonesOnly || p.typesByZone[pool.Zone] == p.maxTypesInZone)
+}
+
+// hourlyPrice returns the price of a machine of a pool.
+func (p *poolCatalog) hourlyPrice(pool resources.Pool) float64 {
+	t := p.machineTypes[pool.MachineType]
+	if pool.Spot {
+		return t.HourlySpotPrice
+	}
+	return t.HourlyPrice
+}
+
+// poolIndex numbers pools in the order in which they are first asked for.
+type poolIndex struct {
+	pools []resources.Pool
+	index map[resources.Pool]int
+}
+
+// of returns a pool's number.
+func (p *poolIndex) of(pool resources.Pool) int {
+	i, known := p.index[pool]
+	if !known {
+		i = len(p.pools)
+		p.pools = append(p.pools, pool)
+		p.index[pool] = i
+	}
+	return i
+}
+
+// poolOffer is a pool that can take a task, and what the task costs there.
+type poolOffer struct {
+	pool  resources.Pool
+	share float64 // of a machine, that the task takes
+	cost  float64 // that share of a machine's price
+}
+
+const (
+	// serviceCostTolerance is how many times the cheapest offer a larger machine may cost per
+	// task of a service: on fewer, larger machines images are fetched less often.
+	serviceCostTolerance = 1.1
+
+	// fullMachineTolerance is the rounding error within which a task that takes all of a
+	// machine still fits.
+	fullMachineTolerance = 1e-9
+)
+
+// cheapestPool returns the pool in which a task's share of a machine costs least; for
+// services, the one with the largest machines of those that cost nearly as little. While the
+// cheap pools are exhausted, jobs that are not overdue wait for them rather than pay a
+// premium: the load says how many machines would be enough, not what one may cost.
+func (c *cycle) cheapestPool(d *pendingDemand) (best poolOffer, ok bool) {
+	offers, lowestCost := c.poolOffers(d)
+	lowestOffer := math.Inf(1)
+	for i := range offers {
+		lowestOffer = math.Min(lowestOffer, offers[i].cost)
+	}
+	atPremium := c.MaxPriceMultiple > 0 && lowestOffer > lowestCost*c.MaxPriceMultiple
+	if len(offers) == 0 || atPremium && !d.Overdue {
+		return poolOffer{}, false
+	}
+	limit := lowestOffer
+	if d.Job.IsService() {
+		limit *= serviceCostTolerance
+	}
+	for _, offer := range offers {
+		if offer.cost <= limit && (best.pool.MachineType == "" || offer.share < best.share) {
+			best = offer
+		}
+	}
+	return best, true
+}
+
+// poolOffers returns the pools that can take one more task of a demand now, and the lowest
+// cost of a task over all pools that may, the exhausted and avoided ones included.
+func (c *cycle) poolOffers(d *pendingDemand) (offers []poolOffer, lowestCost float64) {
+	lowestCost = math.Inf(1)
+	for _, pool := range c.pools.all {
+		if !c.pools.allows(d.Demand, pool) || !d.zones.Allows(d.Job, pool.Zone) {
+			continue
+		}
+		share := d.need.Share(resources.OfMachineType(c.pools.machineTypes[pool.MachineType]))
+		if share > 1+fullMachineTolerance {
+			continue
+		}
+		cost := c.pools.hourlyPrice(pool) * share
+		lowestCost = math.Min(lowestCost, cost)
+		if c.Exhausted(pool) || c.avoids(d.Job, pool.Zone) {
+			continue
+		}
+		offers = append(offers, poolOffer{pool, share, cost})
+	}
+	return offers, lowestCost
+}
+
+// avoids tells whether nothing should be provisioned for a job in a zone: the zone is avoided,
+// and the job may run in one that isn't.
+func (c *cycle) avoids(j *wire.Job, zone wire.Zone) bool {
+	if c.AvoidedZone == nil || !c.AvoidedZone(zone) {
+		return false
+	}
+	return slices.ContainsFunc(c.pools.all, func(other resources.Pool) bool {
+		return !c.AvoidedZone(other.Zone) && placement.Allowed(j, other.MachineType, other.Zone, other.Spot)
+	})
+}
