--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -4,14 +4,9 @@
 	"context"
 	"time"
 
-	"golang.org/x/time/rate"
-
 	"lynxledge/internal/actor"
 	"lynxledge/internal/config"
-	"lynxledge/internal/election"
-	"lynxledge/internal/estimate"
 	"lynxledge/internal/overload"
-	"lynxledge/internal/planner"
 	"lynxledge/internal/recovery"
 	"lynxledge/internal/resources"
 	"lynxledge/internal/statecache"
@@ -19,7 +14,7 @@
 	"lynxledge/wire"
 )
 
-// Cloud is what the renter needs of the cloud.
+// Cloud is what the autoscaler needs of the cloud.
 type Cloud interface {
 	Provision(ctx context.Context, r wire.ProvisionRequest) ([]wire.MachineID, error)
 	Delete(ctx context.Context, names []wire.MachineID) error
@@ -27,7 +22,7 @@
 	MachineTypes(ctx context.Context) ([]wire.MachineType, error)
 }
 
-// Prober asks a silent machine directly.
+// Prober asks a machine directly for its status.
 type Prober interface {
 	Inspect(ctx context.Context, addr string) (*wire.Heartbeat, error)
 }
@@ -35,44 +30,33 @@
 // Autoscaler is the actor.
 type Autoscaler struct {
 	*actor.Actor
-	ctx             context.Context
+	ctx             context.Context // of the calls to the cloud and the workers
 	config          *config.Config
 	incarnation     uint64
-	startedAt       time.Time
 	cache           *statecache.Cache
 	cloud           Cloud
-	writeLimiter    *rate.Limiter // of writes
 	prober          Prober
 	onProbeResponse func(*wire.Heartbeat)
-	storeLimits     *storelimits.Tracker
 	overload        *overload.Gauge
 
 	zoneRecovery    *recovery.ScalingPolicy // nil: zones that recover are treated like any other
 	onPoolExhausted func(pool resources.Pool, until time.Time)
 
-	view           *statecache.View
-	revision       uint64
-	freshAsOf      time.Time
-	machineTypes   []wire.MachineType
-	activeJobs     map[wire.JobID]*statecache.Job
-	blockedJobs    map[wire.JobID]*statecache.Job
-	latePipelines  map[wire.JobID]wire.JobID // pipelines by their last job: the stage that makes them late
-	runtimes       *estimate.RuntimeEstimator
-	boundSince     map[wire.TaskID]time.Time           // bound task: since when
-	liveness       map[wire.MachineID]*machineLiveness // by machine
-	exhaustedPools map[resources.Pool]time.Time
-	pendingUpdates map[wire.MachineID]machineUpdate // machine: what is to be written of it
-	commitInFlight bool
+	view      *statecache.View
+	revision  uint64
+	freshAsOf time.Time
+	term      uint64 // of the leadership that the state below belongs to
 
-	term                    uint64 // of the leadership that this state belongs to
-	provisionCount          int
-	provisioning            map[string]resources.Pool // by intent
-	replanAfterProvisioning bool                      // more is wanted of a pool with a rental under way
-	terminating             map[wire.MachineID]bool
-	terminatedAt            map[wire.MachineID]time.Time
-	listInFlight            bool
-	lastListed              time.Time // when the cloud's list was asked for last
-	lastPlanned             time.Time // when the last pass was made
+	writes       *writePacer
+	machineTypes machineCatalog
+	jobs         *jobTracker
+	risks        *deadlineRisks
+	liveness     *livenessTracker
+	provisioning *provisioningTracker
+	updates      *updateQueue
+	terminations *terminationTracker
+	instances    instanceListing
+	lastPlanned  time.Time // start of the last planning cycle
 }
 
 // Options are what an Autoscaler works with.
@@ -87,199 +71,120 @@
 	Overload        *overload.Gauge      // nil: this process is never overloaded
 }
 
+// mailboxSize is how many messages may wait for the actor before senders do.
+const mailboxSize = 256
+
 // Start runs the actor until ctx ends; it acts only while this process leads.
 func Start(ctx context.Context, o Options) *Autoscaler {
 	cfg := o.Config
 	r := &Autoscaler{
-		Actor:           actor.Start(ctx, "renter", 256),
+		Actor:           actor.Start(ctx, "autoscaler", mailboxSize),
 		ctx:             ctx,
 		config:          cfg,
 		incarnation:     o.Incarnation,
-		startedAt:       time.Now(),
 		cache:           o.Cache,
 		cloud:           o.Cloud,
 		prober:          o.Prober,
 		onProbeResponse: o.OnProbeResponse,
-		storeLimits:     o.StoreLimits,
 		overload:        o.Overload,
-		writeLimiter:    rate.NewLimiter(rate.Limit(cfg.Params.Store.WriteRate*(1-cfg.Operator.SchedulerWriteShare)), cfg.Params.Store.TxnOpsLimit()),
 		view:            statecache.NewUnfinishedView(statecache.ChunkTasks(cfg.Params.Store.MaxValueKB)),
-		activeJobs:      map[wire.JobID]*statecache.Job{},
-		blockedJobs:     map[wire.JobID]*statecache.Job{},
-		latePipelines:   map[wire.JobID]wire.JobID{},
-		runtimes:        estimate.NewRuntimeEstimator(),
-		boundSince:      map[wire.TaskID]time.Time{},
-		liveness:        map[wire.MachineID]*machineLiveness{},
-		exhaustedPools:  map[resources.Pool]time.Time{},
-		provisioning:    map[string]resources.Pool{},
-		terminating:     map[wire.MachineID]bool{},
-		pendingUpdates:  map[wire.MachineID]machineUpdate{},
-		terminatedAt:    map[wire.MachineID]time.Time{},
+		writes:          newWritePacer(cfg, o.StoreLimits),
+		machineTypes:    machineCatalog{defaultBootSeconds: cfg.Operator.BootLag.Seconds()},
+		jobs:            newJobTracker(),
+		risks:           newDeadlineRisks(),
+		liveness:        newLivenessTracker(),
+		provisioning:    newProvisioningTracker(),
+		updates:         newUpdateQueue(),
+		terminations:    newTerminationTracker(),
+		instances:       instanceListing{startedAt: time.Now()},
 	}
-	o.Cache.Subscribe(func(d statecache.Update) { r.Send(func() { r.apply(d) }) })
+	o.Cache.Subscribe(func(u statecache.Update) { r.Send(func() { r.apply(u) }) })
 	r.Every(cfg.Operator.PlanningInterval, r.runCycle)
 	r.Every(cfg.Params.Workers.HeartbeatInterval/2, r.checkLiveness)
 	return r
 }
 
-// SetZoneRecovery has rentals follow the recovery of zones, and tells it of pools that
-// the cloud refuses. To be called before the ledger runs.
-func (r *Autoscaler) SetZoneRecovery(zones *recovery.ScalingPolicy, onRefused func(pool resources.Pool, until time.Time)) {
-	r.zoneRecovery, r.onPoolExhausted = zones, onRefused
+// SetZoneRecovery has scaling follow the recovery of zones, and sets who is told of pools that
+// the cloud has no machines of. To be called before the cache runs.
+func (r *Autoscaler) SetZoneRecovery(zones *recovery.ScalingPolicy, onPoolExhausted func(pool resources.Pool, until time.Time)) {
+	r.zoneRecovery, r.onPoolExhausted = zones, onPoolExhausted
 }
 
-// SetMachineTypes tells the renter of the machine types.
+// SetMachineTypes sets the machine types that the cloud offers.
 func (r *Autoscaler) SetMachineTypes(types []wire.MachineType) {
-	r.Send(func() { r.machineTypes = types })
+	r.Send(func() { r.machineTypes.types = types })
 }
 
-// MachinesReachable tells the renter of machines that reported to some node.
+// MachinesReachable tells of machines whose heartbeats reached some controller.
 func (r *Autoscaler) MachinesReachable(machines []wire.MachineID) {
 	now := time.Now()
-	r.Post(func() {
-		for _, m := range machines {
-			c := r.livenessOf(m)
-			c.lastReachable, c.outboundPartitioned = now, false
-		}
-	})
+	r.Post(func() { r.liveness.heartbeatsReceived(machines, now) })
 }
 
-func (r *Autoscaler) apply(d statecache.Update) {
-	r.revision, r.freshAsOf = d.Revision, d.FreshAsOf
+// apply follows an update of the cache.
+func (r *Autoscaler) apply(u statecache.Update) {
+	r.revision, r.freshAsOf = u.Revision, u.FreshAsOf
 	now := time.Now()
-	for _, c := range d.Changes {
-		for _, b := range r.view.Apply(c) {
-			r.applyMachineChange(b, now)
+	for _, change := range u.Changes {
+		for _, machineChange := range r.view.Apply(change) {
+			r.applyMachineChange(machineChange, now)
 		}
-		switch c.Kind {
+		switch change.Kind {
 		case statecache.KindMachineGroup:
-			if g, _ := c.Record.(*statecache.MachineGroup); g != nil {
-				r.detectFaultyMachines(g.Terminations)
-				r.runtimes.Observe(g.Terminations, r.view.Jobs)
+			if group, _ := change.Record.(*statecache.MachineGroup); group != nil {
+				r.detectFaultyMachines(group.Terminations)
+				r.jobs.observeTerminations(group.Terminations, r.view.Jobs)
 			}
 		case statecache.KindJob:
-			id := wire.JobID(c.Name)
-			j, _ := c.Record.(*statecache.Job)
-			delete(r.activeJobs, id)
-			delete(r.blockedJobs, id)
-			switch {
-			case j == nil || !j.Active() || j.Spec == nil:
-				r.runtimes.Forget(id)
-				delete(r.latePipelines, id)
-			case j.Blocked:
-				r.blockedJobs[id] = j
-			default:
-				r.activeJobs[id] = j
-			}
+			job, _ := change.Record.(*statecache.Job)
+			r.applyJob(wire.JobID(change.Name), job)
 		}
 	}
 }
 
-func (r *Autoscaler) applyMachineChange(c statecache.MachineChange, now time.Time) {
-	m, old, b := c.Machine, c.Old, c.New
-	for _, t := range statecache.UnboundTasks(old, b) {
-		delete(r.boundSince, t.TaskID())
-	}
-	if b == nil {
-		delete(r.liveness, m)
-		delete(r.pendingUpdates, m)
-		r.terminatedAt[m] = now
-		delete(r.exhaustedPools, resources.Pool{MachineType: old.MachineType, Zone: old.Zone, Spot: old.Spot})
-		return
-	}
-	known := r.livenessOf(m)
-	if known.lastReachable.IsZero() && b.Incarnation > 0 || old != nil && old.Suspected && !b.Suspected || r.hasRejoined(old, b) {
-		known.lastReachable = now // somebody hears it
+// applyJob follows a job's new record, nil if there is none any more.
+func (r *Autoscaler) applyJob(id wire.JobID, job *statecache.Job) {
+	if ended := r.jobs.update(id, job); ended {
+		r.risks.forget(id)
 	}
-	if b.Suspected && (old == nil || !old.Suspected) {
-		known.suspectedAt = now
-	}
-	for i := range b.Bindings {
-		if t := &b.Bindings[i]; old == nil || old.FindBinding(t.Job, t.TaskIndex) == nil {
-			r.boundSince[t.TaskID()] = now
-		}
-	}
-}
-
-// hasRejoined tells whether a row shows a machine to be back: only a report of its own
-// begins a new session. When a zone returns, who hears it may not have its streams to the
-// leader open yet, and the leader would return machines that have just come back.
-func (r *Autoscaler) hasRejoined(old, b *statecache.Machine) bool {
-	return r.zoneRecovery != nil && old != nil && b.Incarnation > old.Incarnation
-}
-
-// isLeader tells whether this process leads and its view can be trusted.
-func (r *Autoscaler) isLeader() bool {
-	_, ok := r.leadership()
-	return ok
 }
 
-// leadership is the leadership of this process, if it is confirmed.
-func (r *Autoscaler) leadership() (election.Leadership, bool) {
-	lead, ok := election.ConfirmLeadership(r.view, r.incarnation, r.revision, r.freshAsOf, r.config.Params.Workers.Heartbeats(maxViewAgeHeartbeats))
-	if ok && r.term != lead.Term() {
-		r.term, r.provisionCount = lead.Term(), 0
-		now := time.Now()
-		for _, c := range r.liveness { // silence counts from here
-			if !c.lastReachable.IsZero() {
-				c.lastReachable = now
-			}
-		}
-	}
-	return lead, ok
-}
-
-// maxViewAgeHeartbeats is how old a view may be to lead by it, in report intervals.
-const maxViewAgeHeartbeats = 2
-
-// runCycle is one round of the design's loop.
-func (r *Autoscaler) runCycle() {
-	if !r.isLeader() || len(r.machineTypes) == 0 {
+// applyMachineChange follows a machine's new record.
+func (r *Autoscaler) applyMachineChange(change statecache.MachineChange, now time.Time) {
+	r.jobs.applyMachineChange(change, now)
+	if change.New == nil {
+		r.liveness.forget(change.Machine)
+		r.updates.forget(change.Machine)
+		r.terminations.observe(change.Machine, now)
+		r.provisioning.clearExhausted(machinePool(change.Old))
 		return
 	}
-	r.listInstances()
-	for name, intent := range r.view.ProvisioningIntents {
-		r.provision(name, intent) // a lost call, of ours or of an earlier leader
+	r.liveness.of(change.Machine).applyRecord(change.Old, change.New, now)
+	if r.hasRejoined(change.Old, change.New) {
+		r.liveness.of(change.Machine).lastReachable = now
 	}
-	r.planAndApply()
 }
 
-// planAndApply plans and acts on the plan.
-func (r *Autoscaler) planAndApply() {
-	if !r.isLeader() || len(r.machineTypes) == 0 || r.deferPlanning() {
-		return
-	}
-	r.lastPlanned = time.Now()
-	in := r.planningInput()
-	p := planner.Compute(in)
-	r.logPlanningCycle(&in, &p)
-	r.scaleOutAll(p.ScaleOut)
-	for _, m := range p.ScaleIn {
-		r.scaleIn(m, drainReasonIdle)
-	}
-	for m, b := range r.view.Machines {
-		if b.DrainReason != "" && !b.Terminating && b.Incarnation > 0 && len(b.Bindings) == 0 {
-			r.scaleIn(m, b.DrainReason)
-		}
-	}
+// hasRejoined tells whether a record shows a machine to be back: only a heartbeat of its own
+// begins a new incarnation. When a zone returns, the controller that receives it may not have
+// its streams to the leader open yet, and the leader would scale in machines that have just
+// come back.
+func (r *Autoscaler) hasRejoined(old, next *statecache.Machine) bool {
+	return r.zoneRecovery != nil && old != nil && next.Incarnation > old.Incarnation
 }
 
-// maxSkippedCycles bounds for how long planning waits for processor time.
-const maxSkippedCycles = 4
-
-// deferPlanning tells whether planning should wait, because the processor has more urgent
-// work to do.
-func (r *Autoscaler) deferPlanning() bool {
-	longest := r.config.Operator.PlanningIntervals(maxSkippedCycles)
-	return r.overload.Level() >= overload.Behind && time.Since(r.lastPlanned) < longest
-}
-
-// commit makes a change within the leader's part of the writes; reply runs in
-// the actor.
+// commit makes a change within the leader's part of the writes; reply runs in the actor.
 func (r *Autoscaler) commit(c statecache.Commit, reply func(statecache.Outcome)) {
-	r.writeLimiter.SetLimit(rate.Limit(r.storeLimits.WriteRate(&r.config.Params.Store) * (1 - r.config.Operator.SchedulerWriteShare)))
-	wait := r.writeLimiter.ReserveN(time.Now(), min(c.Ops(), r.writeLimiter.Burst())).Delay()
-	r.After(wait, func() {
-		r.cache.Commit(c, func(out statecache.Outcome) { r.Send(func() { reply(out) }) })
+	r.After(r.writes.reserve(c.Ops()), func() {
+		r.cache.Commit(c, func(outcome statecache.Outcome) { r.Send(func() { reply(outcome) }) })
 	})
 }
+
+// callOutside makes a call that takes its time, to the cloud or a worker, outside the actor,
+// and has its result handled inside. The call ends with the actor's context.
+func callOutside[T any](r *Autoscaler, call func(ctx context.Context) (T, error), handle func(T, error)) {
+	go func() {
+		result, err := call(r.ctx)
+		r.Send(func() { handle(result, err) })
+	}()
+}
--- a/internal/autoscaler/planning_input_test.go
+++ b/internal/autoscaler/deadline_risk_test.go
@@ -12,9 +12,9 @@
 	"lynxledge/wire"
 )
 
-// Operators are told early that a pipeline will be late and which stage holds it up, once
-// for each change, and when it is in time again.
-func TestLatePipelinesAreReportedOnce(t *testing.T) {
+// A predicted deadline miss of a pipeline and the stage that blocks it are logged once for each
+// change, and so is the end of the risk.
+func TestDeadlineRisksAreLoggedOnce(t *testing.T) {
 	var log bytes.Buffer
 	before := slog.Default()
 	slog.SetDefault(slog.New(slog.NewTextHandler(&log, nil)))
@@ -27,26 +27,23 @@
 		SubmittedAt: now.UnixMilli(),
 		Blocked:     true,
 	}
-	r := &Autoscaler{
-		blockedJobs:   map[wire.JobID]*statecache.Job{"req-000009": last},
-		latePipelines: map[wire.JobID]wire.JobID{},
-		runtimes:      estimate.NewRuntimeEstimator(),
-	}
+	r := &Autoscaler{jobs: newJobTracker(), risks: newDeadlineRisks()}
+	r.jobs.update("req-000009", last)
 	for _, step := range []struct {
-		held estimate.DependencyWait
+		wait estimate.DependencyWait
 		want string // in what is logged; nothing if empty
 	}{
 		{estimate.DependencyWait{Wait: 60, BlockedBy: "req-000001"}, ""},
-		{estimate.DependencyWait{Wait: 120, BlockedBy: "req-000001"}, "held_up_by=req-000001"},
+		{estimate.DependencyWait{Wait: 120, BlockedBy: "req-000001"}, "blocked_by=req-000001"},
 		{estimate.DependencyWait{Wait: 130, BlockedBy: "req-000001"}, ""},
-		{estimate.DependencyWait{Wait: 130, BlockedBy: "req-000002"}, "held_up_by=req-000002"},
-		{estimate.DependencyWait{Wait: 50, BlockedBy: "req-000002"}, "pipeline is in time again"},
+		{estimate.DependencyWait{Wait: 130, BlockedBy: "req-000002"}, "blocked_by=req-000002"},
+		{estimate.DependencyWait{Wait: 50, BlockedBy: "req-000002"}, "pipeline deadline risk cleared"},
 		{estimate.DependencyWait{Wait: 50, BlockedBy: "req-000002"}, ""},
 	} {
 		log.Reset()
-		r.logDeadlineRisk("req-000009", step.held, now)
+		r.logDeadlineRisks(map[wire.JobID]estimate.DependencyWait{"req-000009": step.wait}, now)
 		if got := log.String(); (step.want == "") != (got == "") || !strings.Contains(got, step.want) {
-			t.Errorf("%+v: logged %q, want %q", step.held, got, step.want)
+			t.Errorf("%+v: logged %q, want %q", step.wait, got, step.want)
 		}
 	}
 }
--- a/internal/autoscaler/instances.go
+++ b/internal/autoscaler/instances.go
@@ -11,76 +11,111 @@
 	"lynxledge/wire"
 )
 
-// listRateShare is the part of the leader's calls to the cloud that reading its list may
-// take: a fleet's list has many pages, and rentals wait behind them.
-const listRateShare = 0.25
+const (
+	// listRateShare is the part of the leader's calls to the cloud that listing the instances
+	// may take: the list of a large deployment has many pages, and provisioning waits behind
+	// them.
+	listRateShare = 0.25
 
-// listInterval is the least time between two readings of a list of so many machines.
-func (r *Autoscaler) listInterval(machines int) time.Duration {
+	// adoptionDelayLags, in list lags, is for how long after its start this process adopts
+	// nothing: machines that were terminated before are no longer listed then.
+	adoptionDelayLags = 3
+
+	// terminatedRetentionLags, in list lags, is for how long a terminated machine is
+	// remembered, so that it isn't adopted from a list that still shows it.
+	terminatedRetentionLags = 6
+)
+
+// instanceListing is when the cloud's instances were listed.
+type instanceListing struct {
+	startedAt   time.Time // start of this process
+	inFlight    bool
+	lastStarted time.Time
+}
+
+// begin takes note that the instances are listed now; false if a listing is under way or the
+// last one is too recent.
+func (l *instanceListing) begin(interval time.Duration) bool {
+	if l.inFlight || time.Since(l.lastStarted) < interval {
+		return false
+	}
+	l.inFlight, l.lastStarted = true, time.Now()
+	return true
+}
+
+// listInterval is the least time between two listings of so many machines.
+func listInterval(cfg *config.Config, machines int) time.Duration {
 	pages := machines/wire.MaxInstancesPerPage + 1
-	return config.Seconds(float64(pages) / (r.config.Params.Cloud.RequestRate * r.config.Operator.CloudRateShare * listRateShare))
+	return config.Seconds(float64(pages) / (cfg.Params.Cloud.RequestRate * cfg.Operator.CloudRateShare * listRateShare))
 }
 
-// listInstances reads the cloud's machines and deals with what is unexpected.
+// listInstances lists the cloud's instances and reconciles them with the view.
 func (r *Autoscaler) listInstances() {
-	if r.listInFlight || time.Since(r.lastListed) < r.listInterval(len(r.view.Machines)) {
+	if !r.instances.begin(listInterval(r.config, len(r.view.Machines))) {
 		return
 	}
-	r.listInFlight, r.lastListed = true, time.Now()
-	go func() {
-		hosts, err := r.cloud.List(r.ctx)
-		r.Send(func() {
-			r.listInFlight = false
-			if err != nil {
-				slog.Info("machine list not read", "err", err)
-				return
-			}
-			if lead, ok := r.leadership(); ok {
-				r.reconcileInstances(lead, hosts)
-			}
-		})
-	}()
+	callOutside(r, r.cloud.List, r.handleListed)
 }
 
-// reconcileInstances adopts unexpected machines and closes failed ones.
-func (r *Autoscaler) reconcileInstances(lead election.Leadership, hosts []wire.Instance) {
-	now := time.Now()
-	lag := r.config.Params.Cloud.ListLag
-	for m, t := range r.terminatedAt {
-		if now.Sub(t) > 6*lag {
-			delete(r.terminatedAt, m)
-		}
+// handleListed takes the cloud's list of instances.
+func (r *Autoscaler) handleListed(instances []wire.Instance, err error) {
+	r.instances.inFlight = false
+	if err != nil {
+		slog.Info("instances not listed", "error", err)
+		return
+	}
+	if lead, ok := r.leadership(); ok {
+		r.reconcileInstances(lead, instances)
 	}
-	renting := map[resources.Pool]bool{}
-	for _, i := range r.view.ProvisioningIntents {
-		renting[poolOf(i)] = true
+}
+
+// reconcileInstances adopts unexpected instances and scales in failed ones.
+func (r *Autoscaler) reconcileInstances(lead election.Leadership, instances []wire.Instance) {
+	now := time.Now()
+	r.terminations.forgetOlder(terminatedRetentionLags*r.config.Params.Cloud.ListLag, now)
+	provisioning := map[resources.Pool]bool{}
+	for _, intent := range r.view.ProvisioningIntents {
+		provisioning[intentPool(intent)] = true
 	}
 	c := statecache.Commit{Preconditions: []wire.Precondition{lead.Precondition()}}
-	for _, h := range hosts {
-		id := h.ID
-		b := r.view.Machines[id]
-		if b != nil {
-			if h.State == wire.InstanceFailed {
-				r.scaleIn(id, statecache.DrainFailed)
+	for i := range instances {
+		instance := &instances[i]
+		if r.view.Machines[instance.ID] != nil {
+			if instance.State == wire.InstanceFailed {
+				r.scaleIn(instance.ID, statecache.DrainFailed)
 			}
 			continue
 		}
-		// A machine that was returned is listed for a while. What this process
-		// saw returned it remembers; for the rest it waits until no list shows it.
-		_, late := r.terminatedAt[id]
-		if late || now.Sub(r.startedAt) < 3*lag || !wire.ValidMachineName(string(id)) || renting[resources.Pool{MachineType: h.MachineType, Zone: h.Zone, Spot: h.Spot}] ||
-			len(c.Puts) >= r.config.Params.Store.TxnOpsLimit() {
-			continue
+		if len(c.Puts) < r.config.Params.Store.TxnOpsLimit() && !provisioning[instancePool(instance)] && r.mayAdopt(instance, now) {
+			r.addAdopted(&c, instance, now)
 		}
-		slog.Info("unexpected machine adopted", "machine", id, "type", h.MachineType, "zone", h.Zone, "spot", h.Spot)
-		group := statecache.AdoptedGroupName(id)
-		key := statecache.Key(statecache.KindMachineGroup, group)
-		c.Preconditions = append(c.Preconditions, wire.Precondition{Key: key})
-		rentedAt := now.UnixMilli() - int64(float64(h.Age)*1000)
-		record := statecache.NewMachineGroup(group, h.MachineType, h.Zone, h.Spot, rentedAt, []wire.MachineID{id}, statecache.FirstToken(r.term))
-		c.Puts = append(c.Puts, statecache.Put{Key: key, Record: record})
 	}
 	if len(c.Puts) > 0 {
 		r.commit(c, func(statecache.Outcome) {})
 	}
 }
+
+// mayAdopt tells whether an instance that has no record is to be adopted. A machine that was
+// terminated is listed for a while: those whose termination this process saw it remembers; for
+// the rest it waits until no list shows them.
+func (r *Autoscaler) mayAdopt(instance *wire.Instance, now time.Time) bool {
+	return !r.terminations.wasTerminated(instance.ID) &&
+		now.Sub(r.instances.startedAt) >= adoptionDelayLags*r.config.Params.Cloud.ListLag &&
+		wire.ValidMachineName(string(instance.ID))
+}
+
+// addAdopted adds the record of an adopted instance to a commit.
+func (r *Autoscaler) addAdopted(c *statecache.Commit, instance *wire.Instance, now time.Time) {
+	slog.Info("unexpected machine adopted",
+		"machine", instance.ID,
+		"type", instance.MachineType,
+		"zone", instance.Zone,
+		"spot", instance.Spot)
+	group := statecache.AdoptedGroupName(instance.ID)
+	key := statecache.Key(statecache.KindMachineGroup, group)
+	provisionedAt := now.UnixMilli() - int64(float64(instance.Age)*1000)
+	record := statecache.NewMachineGroup(group, instance.MachineType, instance.Zone, instance.Spot, provisionedAt,
+		[]wire.MachineID{instance.ID}, statecache.FirstToken(r.term))
+	c.Preconditions = append(c.Preconditions, wire.Precondition{Key: key})
+	c.Puts = append(c.Puts, statecache.Put{Key: key, Record: record})
+}
--- a/internal/autoscaler/planning_input.go
+++ b/internal/autoscaler/planning_input.go
@@ -2,8 +2,8 @@
 
 import (
 	"fmt"
-	"log/slog"
 	"math"
+	"slices"
 	"time"
 
 	"lynxledge/internal/config"
@@ -16,205 +16,225 @@
 	"lynxledge/wire"
 )
 
-// logPlanningCycle logs what a pass saw.
-func (r *Autoscaler) logPlanningCycle(in *planner.Input, p *planner.Plan) {
-	if !slog.Default().Enabled(r.ctx, slog.LevelDebug) {
-		return
-	}
-	starting, idle, tasks, waiting := 0, 0, 0, 0
-	for i := range in.Machines {
-		m := &in.Machines[i]
-		tasks += len(m.Tasks)
-		switch {
-		case m.ReadyInSeconds > 0:
-			starting++
-		case len(m.Tasks) == 0:
-			idle++
-		}
-	}
-	for i := range in.Demands {
-		waiting += in.Demands[i].Count
-	}
-	rents := 0
-	for _, rent := range p.ScaleOut {
-		rents += rent.Count
-	}
-	slog.Debug("pass", "machines", len(in.Machines), "starting", starting, "idle", idle, "tasks", tasks, "demands", len(in.Demands),
-		"waiting", waiting, "rent", rents, "return", len(p.ScaleIn), "unmet", p.UnmetTasks)
-}
+// overdueDeadlineMultiple is how many times its last deadline a job may wait for cheap
+// machines before any machine will do.
+const overdueDeadlineMultiple = 4
 
-// planningInput puts together what the plan looks at.
-func (r *Autoscaler) planningInput() planner.Input {
-	now := time.Now()
-	ops := r.config.Operator
+// planningInput gathers what a planning cycle is computed from.
+func (r *Autoscaler) planningInput(now time.Time, waits map[wire.JobID]estimate.DependencyWait) planner.Input {
+	ops := &r.config.Operator
+	gather := inputGatherer{
+		config:           r.config,
+		view:             r.view,
+		jobs:             r.jobs,
+		machineTypes:     &r.machineTypes,
+		now:              now,
+		schedulablePools: schedulablePools(r.view),
+	}
 	in := planner.Input{
-		MachineTypes: r.machineTypes, BootLagSeconds: ops.BootLag.Seconds(), PlanningIntervalSeconds: ops.PlanningInterval.Seconds(), BillingPeriodSeconds: ops.BillingPeriod.Seconds(), HeadroomShare: ops.HeadroomShare, MaxPriceMultiple: ops.MaxPriceMultiple,
-		Exhausted: func(p resources.Pool) bool { return now.Before(r.exhaustedPools[p]) },
+		MachineTypes:            r.machineTypes.types,
+		Exhausted:               func(pool resources.Pool) bool { return r.provisioning.isExhausted(pool, now) },
+		BootLagSeconds:          ops.BootLag.Seconds(),
+		PlanningIntervalSeconds: ops.PlanningInterval.Seconds(),
+		BillingPeriodSeconds:    ops.BillingPeriod.Seconds(),
+		HeadroomShare:           ops.HeadroomShare,
+		MaxPriceMultiple:        ops.MaxPriceMultiple,
 	}
 	if recovery.Recovering(r.view.ZoneRecoveries) {
 		in.AvoidedZone = func(zone wire.Zone) bool { return r.zoneRecovery.IsLost(r.view.ZoneRecoveries, zone) }
 	}
-	withheld := r.zoneRecovery.WithheldFor(now, r.view)
+	in.Demands = slices.Concat(gather.runnableDemands(), gather.upcomingDemands(waits), gather.replacementDemands())
+	in.Machines = append(gather.machines(r.zoneRecovery.WithheldFor(now, r.view)), gather.unnamedMachines()...)
+	return in
+}
+
+// inputGatherer gathers the demands and machines of one planning cycle.
+type inputGatherer struct {
+	config           *config.Config
+	view             *statecache.View
+	jobs             *jobTracker
+	machineTypes     *machineCatalog
+	now              time.Time
+	schedulablePools map[resources.Pool]bool // pools that a schedulable machine is of
+}
+
+func schedulablePools(view *statecache.View) map[resources.Pool]bool {
 	pools := map[resources.Pool]bool{}
-	for _, b := range r.view.Machines {
-		if b.Schedulable() {
-			pools[resources.Pool{MachineType: b.MachineType, Zone: b.Zone, Spot: b.Spot}] = true
-		}
-	}
-	add := func(id wire.JobID, j *statecache.Job, wait time.Duration) {
-		n := r.view.PendingTasks(id, j)
-		if n <= 0 {
-			return
-		}
-		// The first deadline that a machine rented now can still keep.
-		age, due := config.Milliseconds(now.UnixMilli()-j.RunnableSince()), time.Duration(0)
-		runSeconds := r.runtimes.Estimate(j.Spec)
-		run := config.Seconds(runSeconds)
-		deadlines := estimate.Deadlines(r.config, j, run, age, age+wait)
-		for _, d := range deadlines {
-			if due = d - age; ops.BootLag+run <= due {
-				break
-			}
+	for _, m := range view.Machines {
+		if m.Schedulable() {
+			pools[machinePool(m)] = true
 		}
-		in.Demands = append(in.Demands, planner.Demand{
-			Job: j.Spec, Count: r.limitedByQuota(j, n), RuntimeSeconds: runSeconds, Zones: placement.ZoneCountsOf(r.view, id),
-			DeadlineSeconds: due.Seconds(), Late: !j.Spec.IsService() && ops.BootLag+run > due, Overdue: age > overdueDeadlineMultiple*deadlines[len(deadlines)-1] && !r.hasSuitableMachine(j.Spec, pools),
-		})
-	}
-	for id, j := range r.activeJobs {
-		add(id, j, 0)
 	}
-	// A stage that is not ready yet has its load in its own window: its machines are
-	// rented when they would be up as it becomes ready, not long before.
-	for id, h := range r.dependencyWaits(now) {
-		r.logDeadlineRisk(id, h, now)
-		if wait := config.Seconds(h.Wait); wait <= ops.BootLag+ops.PlanningInterval {
-			add(id, r.blockedJobs[id], wait)
+	return pools
+}
+
+// runnableDemands returns the pending tasks of runnable jobs.
+func (g *inputGatherer) runnableDemands() []planner.Demand {
+	var demands []planner.Demand
+	for id, job := range g.jobs.active {
+		if demand, ok := g.demand(id, job, 0); ok {
+			demands = append(demands, demand)
 		}
 	}
-	for name, b := range r.view.Machines {
-		m := planner.Machine{
-			Name: name, Pool: resources.Pool{MachineType: b.MachineType, Zone: b.Zone, Spot: b.Spot},
-			AgeSeconds: (float64(now.UnixMilli()) - float64(b.ProvisionedAt)) / 1000, Schedulable: b.DrainReason == "" && !b.Terminating && !b.Suspected,
-		}
-		if b.Incarnation == 0 {
-			m.ReadyInSeconds = math.Max(0, r.bootSeconds(b.MachineType)-m.AgeSeconds)
-			// A boot that drags on may never end: it covers no load any more.
-			m.Schedulable = m.Schedulable && !r.isBootOverdue(b, now)
+	return demands
+}
+
+// upcomingDemands returns the tasks of blocked jobs that become runnable soon. Their load
+// counts in their own window: their machines are provisioned so that they are up as the job
+// becomes runnable, not long before.
+func (g *inputGatherer) upcomingDemands(waits map[wire.JobID]estimate.DependencyWait) []planner.Demand {
+	ops := &g.config.Operator
+	var demands []planner.Demand
+	for id, dependencies := range waits {
+		wait := config.Seconds(dependencies.Wait)
+		if wait > ops.BootLag+ops.PlanningInterval {
+			continue
 		}
-		m.ReadyInSeconds = max(m.ReadyInSeconds, withheld[name])
-		for i := range b.Bindings {
-			t := &b.Bindings[i]
-			j := r.view.Jobs[t.Job]
-			if j == nil || j.Spec == nil {
-				continue
-			}
-			if b.Suspected && j.Active() && j.Spec.IsService() { // may have to be replaced
-				zones := placement.ZoneCountsOf(r.view, t.Job)
-				zones[b.Zone]--
-				in.Demands = append(in.Demands, planner.Demand{Job: j.Spec, Count: 1, Zones: zones})
-			}
-			left := math.Inf(1)
-			if !j.Spec.IsService() {
-				left = math.Max(0, r.runtimes.Estimate(j.Spec)-now.Sub(r.boundSince[t.TaskID()]).Seconds())
-			}
-			m.Tasks = append(m.Tasks, planner.RunningTask{Job: j.Spec, RemainingSeconds: left})
+		if demand, ok := g.demand(id, g.jobs.blocked[id], wait); ok {
+			demands = append(demands, demand)
 		}
-		in.Machines = append(in.Machines, m)
 	}
-	for _, intent := range r.view.ProvisioningIntents { // rented, though not known by name yet
-		for i := range intent.Count {
-			in.Machines = append(in.Machines, planner.Machine{
-				Name: wire.MachineID(fmt.Sprintf("rented-%d", i)), Pool: poolOf(intent), Schedulable: true,
-				ReadyInSeconds: r.bootSeconds(intent.MachineType),
-			})
+	return demands
+}
+
+// demand returns the pending tasks of a job that is runnable after a wait, if there are any.
+func (g *inputGatherer) demand(id wire.JobID, job *statecache.Job, wait time.Duration) (demand planner.Demand, ok bool) {
+	pending := g.view.PendingTasks(id, job)
+	if pending <= 0 {
+		return planner.Demand{}, false
+	}
+	runtimeSeconds := g.jobs.runtimeSeconds(job.Spec)
+	runtime := config.Seconds(runtimeSeconds)
+	age := config.Milliseconds(g.now.UnixMilli() - job.RunnableSince())
+	deadlines := estimate.Deadlines(g.config, job, runtime, age, age+wait)
+	leadTime := g.config.Operator.BootLag + runtime
+	untilDeadline := firstFeasible(deadlines, age, leadTime)
+	lastDeadline := deadlines[len(deadlines)-1]
+	return planner.Demand{
+		Job:             job.Spec,
+		Count:           g.limitByQuota(job.Spec, pending),
+		DeadlineSeconds: untilDeadline.Seconds(),
+		RuntimeSeconds:  runtimeSeconds,
+		Late:            !job.Spec.IsService() && leadTime > untilDeadline,
+		Overdue:         age > overdueDeadlineMultiple*lastDeadline && !g.hasSuitableMachine(job.Spec),
+		Zones:           placement.ZoneCountsOf(g.view, id),
+	}, true
+}
+
+// firstFeasible returns the time from an age until the first deadline that a machine
+// provisioned now can still meet, or until the last deadline.
+func firstFeasible(deadlines []time.Duration, age, leadTime time.Duration) (untilDeadline time.Duration) {
+	for _, deadline := range deadlines {
+		untilDeadline = deadline - age
+		if leadTime <= untilDeadline {
+			break
 		}
 	}
-	return in
+	return untilDeadline
 }
 
-// dependencyWaits tells in how many seconds each blocked job could run.
-func (r *Autoscaler) dependencyWaits(now time.Time) map[wire.JobID]estimate.DependencyWait {
-	if len(r.blockedJobs) == 0 {
-		return nil
+// limitByQuota returns how many of so many pending tasks the team's quota lets run at once.
+func (g *inputGatherer) limitByQuota(spec *wire.Job, pending int) int {
+	quota, ok := g.config.Params.TeamQuota(spec.Team)
+	if ok && quota.MaxCPUs > 0 {
+		pending = min(pending, int(quota.MaxCPUs/spec.CPUs))
 	}
-	run := func(id wire.JobID) float64 {
-		if j := r.view.Jobs[id]; j != nil && j.Spec != nil {
-			return r.runtimes.Estimate(j.Spec)
-		}
-		return 0
+	if ok && quota.MaxGPUs > 0 && spec.GPUs > 0 {
+		pending = min(pending, int(quota.MaxGPUs/spec.GPUs))
 	}
-	left := func(id wire.JobID) float64 {
-		j, whole := r.activeJobs[id], run(id)
-		if j == nil {
-			return 0
+	return pending
+}
+
+// hasSuitableMachine tells whether any schedulable machine may run the job's tasks: then it
+// waits its turn, however late it is. More expensive machines would not make it any less late.
+func (g *inputGatherer) hasSuitableMachine(spec *wire.Job) bool {
+	for pool := range g.schedulablePools {
+		t := g.machineTypes.find(pool.MachineType)
+		if t != nil && slices.Contains(t.Zones, pool.Zone) &&
+			placement.Allowed(spec, pool.MachineType, pool.Zone, pool.Spot) &&
+			resources.OfTask(spec).Fits(resources.OfMachineType(t)) {
+			return true
 		}
-		if r.view.PendingTasks(id, j) > 0 {
-			return whole
+	}
+	return false
+}
+
+// replacementDemands returns a demand for each replica on a suspected machine: it may have to
+// be replaced.
+func (g *inputGatherer) replacementDemands() []planner.Demand {
+	var demands []planner.Demand
+	for _, m := range g.view.Machines {
+		if !m.Suspected {
+			continue
 		}
-		most := 0.0
-		for n := range r.view.Bindings[id] {
-			most = max(most, whole-now.Sub(r.boundSince[wire.NewTaskID(id, n)]).Seconds())
+		for i := range m.Bindings {
+			id := m.Bindings[i].Job
+			job := g.view.Jobs[id]
+			if job == nil || job.Spec == nil || !job.Active() || !job.Spec.IsService() {
+				continue
+			}
+			zones := placement.ZoneCountsOf(g.view, id)
+			zones[m.Zone]--
+			demands = append(demands, planner.Demand{Job: job.Spec, Count: 1, Zones: zones})
 		}
-		return most
 	}
-	return estimate.DependencyWaits(r.blockedJobs, r.view.Active, left, run)
+	return demands
 }
 
-// logDeadlineRisk says early that a pipeline will miss its deadline, and which stage makes
-// it: once for each change.
-func (r *Autoscaler) logDeadlineRisk(last wire.JobID, h estimate.DependencyWait, now time.Time) {
-	j := r.blockedJobs[last]
-	if j.Spec.Deadline == nil {
-		return
-	}
-	end := float64(now.UnixMilli()-j.SubmittedAt)/1000 + h.Wait + r.runtimes.Estimate(j.Spec)
-	late := end - float64(*j.Spec.Deadline)
-	by := wire.JobID("")
-	if late > 0 {
-		by = h.BlockedBy
-	}
-	if r.latePipelines[last] == by {
-		return
-	}
-	if by == "" {
-		delete(r.latePipelines, last)
-		slog.Info("pipeline is in time again", "last", last, "class", j.Spec.Class)
-		return
+// machines returns the machines of the view with their tasks. withheldSeconds is when machines
+// that are up will take tasks, of those that don't yet.
+func (g *inputGatherer) machines(withheldSeconds map[wire.MachineID]float64) []planner.Machine {
+	machines := make([]planner.Machine, 0, len(g.view.Machines))
+	for name, record := range g.view.Machines {
+		m := planner.Machine{
+			Name:        name,
+			Pool:        machinePool(record),
+			AgeSeconds:  (float64(g.now.UnixMilli()) - float64(record.ProvisionedAt)) / 1000,
+			Tasks:       g.runningTasks(record),
+			Schedulable: record.DrainReason == "" && !record.Terminating && !record.Suspected,
+		}
+		if record.Incarnation == 0 {
+			m.ReadyInSeconds = math.Max(0, g.machineTypes.bootSeconds(record.MachineType)-m.AgeSeconds)
+			// A boot that is overdue may never end: it covers no load any more.
+			m.Schedulable = m.Schedulable && !g.machineTypes.isBootOverdue(record, g.now)
+		}
+		m.ReadyInSeconds = max(m.ReadyInSeconds, withheldSeconds[name])
+		machines = append(machines, m)
 	}
-	r.latePipelines[last] = by
-	slog.Info("pipeline will miss its deadline", "last", last, "class", j.Spec.Class, "held_up_by", by, "late_s", math.Ceil(late))
+	return machines
 }
 
-// overdueDeadlineMultiple is how many times its last deadline a job may wait for cheap
-// machines before any machine will do.
-const overdueDeadlineMultiple = 4
-
-// hasSuitableMachine tells whether any machine that is up may run the job's tasks: then it
-// waits its turn, however late it is. Dearer machines would not make it any
-// less late.
-func (r *Autoscaler) hasSuitableMachine(j *wire.Job, pools map[resources.Pool]bool) bool {
-	for i := range r.machineTypes {
-		t := &r.machineTypes[i]
-		for _, z := range t.Zones {
-			for _, spot := range []bool{false, true} {
-				if pools[resources.Pool{MachineType: t.Name, Zone: z, Spot: spot}] && placement.Allowed(j, t.Name, z, spot) && resources.OfTask(j).Fits(resources.OfMachineType(t)) {
-					return true
-				}
-			}
+// runningTasks returns the tasks bound to a machine.
+func (g *inputGatherer) runningTasks(m *statecache.Machine) []planner.RunningTask {
+	var tasks []planner.RunningTask
+	for i := range m.Bindings {
+		binding := &m.Bindings[i]
+		job := g.view.Jobs[binding.Job]
+		if job == nil || job.Spec == nil {
+			continue
+		}
+		remainingSeconds := math.Inf(1)
+		if !job.Spec.IsService() {
+			remainingSeconds = g.jobs.remainingSeconds(binding.TaskID(), g.jobs.runtimeSeconds(job.Spec), g.now)
 		}
+		tasks = append(tasks, planner.RunningTask{Job: job.Spec, RemainingSeconds: remainingSeconds})
 	}
-	return false
+	return tasks
 }
 
-// limitedByQuota is how many of n waiting tasks the team's limit lets run at once.
-func (r *Autoscaler) limitedByQuota(j *statecache.Job, n int) int {
-	team, ok := r.config.Params.TeamQuota(j.Spec.Team)
-	if ok && team.MaxCPUs > 0 {
-		n = min(n, int(team.MaxCPUs/j.Spec.CPUs))
-	}
-	if ok && team.MaxGPUs > 0 && j.Spec.GPUs > 0 {
-		n = min(n, int(team.MaxGPUs/j.Spec.GPUs))
+// unnamedMachines returns the machines that are being provisioned, whose names are not known
+// yet.
+func (g *inputGatherer) unnamedMachines() []planner.Machine {
+	var machines []planner.Machine
+	for _, intent := range g.view.ProvisioningIntents {
+		for i := range intent.Count {
+			machines = append(machines, planner.Machine{
+				Name:           wire.MachineID(fmt.Sprintf("requested-%d", i)),
+				Pool:           intentPool(intent),
+				ReadyInSeconds: g.machineTypes.bootSeconds(intent.MachineType),
+				Schedulable:    true,
+			})
+		}
 	}
-	return n
+	return machines
 }
