--- /dev/null
+++ b/internal/autoscaler/planning_demands_test.go
@@ -0,0 +1,71 @@
+package autoscaler
+
+import (
+	"testing"
+	"time"
+
+	"lynxledge/internal/config"
+	"lynxledge/internal/resources"
+	"lynxledge/wire"
+)
+
+// The deadline that counts is the first that a machine provisioned now can still meet, else the
+// last one.
+func TestFirstFeasibleDeadline(t *testing.T) {
+	deadlines := []time.Duration{10 * time.Second, 60 * time.Second, 100 * time.Second}
+	for _, c := range []struct{ age, leadTime, want time.Duration }{
+		{0, 5 * time.Second, 10 * time.Second},
+		{0, 20 * time.Second, 60 * time.Second},
+		{20 * time.Second, 40 * time.Second, 40 * time.Second},
+		{90 * time.Second, 40 * time.Second, 10 * time.Second},
+	} {
+		if got := firstFeasible(deadlines, c.age, c.leadTime); got != c.want {
+			t.Errorf("at %v with a lead time of %v: %v, want %v", c.age, c.leadTime, got, c.want)
+		}
+	}
+}
+
+// A team's quota limits the tasks that machines are provisioned for.
+func TestDemandIsLimitedByQuota(t *testing.T) {
+	cfg := &config.Config{}
+	cfg.Params.Teams = []config.TeamQuota{{Name: "red", MaxCPUs: 20, MaxGPUs: 2}, {Name: "blue"}}
+	gather := inputGatherer{config: cfg}
+	for _, c := range []struct {
+		job  wire.Job
+		want int
+	}{
+		{wire.Job{Team: "red", CPUs: 4}, 5},
+		{wire.Job{Team: "red", CPUs: 4, GPUs: 1}, 2},
+		{wire.Job{Team: "red", CPUs: 1}, 10},
+		{wire.Job{Team: "blue", CPUs: 4}, 10},
+	} {
+		if got := gather.limitByQuota(&c.job, 10); got != c.want {
+			t.Errorf("%+v: %d tasks, want %d", c.job, got, c.want)
+		}
+	}
+}
+
+// A machine suits a job if its pool is allowed and offered and its type is large enough.
+func TestSuitableMachine(t *testing.T) {
+	catalog := machineCatalog{types: []wire.MachineType{{Name: "s", CPUs: 4, MemoryGB: 16, Zones: []wire.Zone{"a"}}}}
+	pools := map[resources.Pool]bool{{MachineType: "s", Zone: "a", Spot: true}: true}
+	gather := inputGatherer{machineTypes: &catalog, schedulablePools: pools}
+	for _, c := range []struct {
+		job  wire.Job
+		want bool
+	}{
+		{wire.Job{CPUs: 4, MemoryGB: 1, AllowSpot: true}, true},
+		{wire.Job{CPUs: 4, MemoryGB: 1}, false},
+		{wire.Job{CPUs: 5, MemoryGB: 1, AllowSpot: true}, false},
+		{wire.Job{CPUs: 4, MemoryGB: 1, AllowSpot: true, Zone: "b"}, false},
+	} {
+		if got := gather.hasSuitableMachine(&c.job); got != c.want {
+			t.Errorf("%+v: %v", c.job, got)
+		}
+	}
+	delete(pools, resources.Pool{MachineType: "s", Zone: "a", Spot: true})
+	pools[resources.Pool{MachineType: "s", Zone: "b", Spot: true}] = true // no longer offered there
+	if gather.hasSuitableMachine(&wire.Job{CPUs: 4, MemoryGB: 1, AllowSpot: true}) {
+		t.Error("a pool that is not offered suits")
+	}
+}
--- /dev/null
+++ b/internal/autoscaler/planning_machines.go
@@ -0,0 +1,68 @@
+package autoscaler
+
+import (
+	"fmt"
+	"math"
+
+	"lynxledge/internal/planner"
+	"lynxledge/internal/statecache"
+	"lynxledge/wire"
+)
+
+// machines returns the machines of the view with their tasks. withheldSeconds is when machines
+// that are up will take tasks, of those that don't yet.
+func (g *inputGatherer) machines(withheldSeconds map[wire.MachineID]float64) []planner.Machine {
+	machines := make([]planner.Machine, 0, len(g.view.Machines))
+	for name, record := range g.view.Machines {
+		m := planner.Machine{
+			Name:        name,
+			Pool:        machinePool(record),
+			AgeSeconds:  (float64(g.now.UnixMilli()) - float64(record.ProvisionedAt)) / 1000,
+			Tasks:       g.runningTasks(record),
+			Schedulable: record.DrainReason == "" && !record.Terminating && !record.Suspected,
+		}
+		if record.Incarnation == 0 {
+			m.ReadyInSeconds = math.Max(0, g.machineTypes.bootSeconds(record.MachineType)-m.AgeSeconds)
+			// A boot that is overdue may never end: it covers no load any more.
+			m.Schedulable = m.Schedulable && !g.machineTypes.isBootOverdue(record, g.now)
+		}
+		m.ReadyInSeconds = max(m.ReadyInSeconds, withheldSeconds[name])
+		machines = append(machines, m)
+	}
+	return machines
+}
+
+// runningTasks returns the tasks bound to a machine.
+func (g *inputGatherer) runningTasks(m *statecache.Machine) []planner.RunningTask {
+	var tasks []planner.RunningTask
+	for i := range m.Bindings {
+		binding := &m.Bindings[i]
+		job := g.view.Jobs[binding.Job]
+		if job == nil || job.Spec == nil {
+			continue
+		}
+		remainingSeconds := math.Inf(1)
+		if !job.Spec.IsService() {
+			remainingSeconds = g.jobs.remainingSeconds(binding.TaskID(), g.jobs.runtimeSeconds(job.Spec), g.now)
+		}
+		tasks = append(tasks, planner.RunningTask{Job: job.Spec, RemainingSeconds: remainingSeconds})
+	}
+	return tasks
+}
+
+// unnamedMachines returns the machines that are being provisioned, whose names are not known
+// yet.
+func (g *inputGatherer) unnamedMachines() []planner.Machine {
+	var machines []planner.Machine
+	for _, intent := range g.view.ProvisioningIntents {
+		for i := range intent.Count {
+			machines = append(machines, planner.Machine{
+				Name:           wire.MachineID(fmt.Sprintf("requested-%d", i)),
+				Pool:           intentPool(intent),
+				ReadyInSeconds: g.machineTypes.bootSeconds(intent.MachineType),
+				Schedulable:    true,
+			})
+		}
+	}
+	return machines
+}
--- /dev/null
+++ b/internal/autoscaler/provisioning_test.go
@@ -0,0 +1,79 @@
+package autoscaler
+
+import (
+	"testing"
+	"time"
+
+	"lynxledge/internal/resources"
+	"lynxledge/internal/statecache"
+	"lynxledge/wire"
+)
+
+// No intent has the name of an earlier one, in the same term or another.
+func TestIntentNamesAreUnique(t *testing.T) {
+	tracker := newProvisioningTracker()
+	names := map[string]bool{}
+	for term := range uint64(3) {
+		tracker.beginTerm(term + 1)
+		for range 3 {
+			names[tracker.nextIntentName()] = true
+		}
+	}
+	if len(names) != 9 {
+		t.Errorf("%d names for 9 intents: %v", len(names), names)
+	}
+}
+
+// A pool is busy while an intent of it is stored or under way.
+func TestBusyPools(t *testing.T) {
+	tracker := newProvisioningTracker()
+	inFlight, stored := resources.Pool{MachineType: "s", Zone: "a"}, resources.Pool{MachineType: "s", Zone: "b", Spot: true}
+	if !tracker.begin("r-1-1", inFlight) || tracker.begin("r-1-1", inFlight) {
+		t.Error("an intent is under way twice")
+	}
+	busy := tracker.busyPools(map[string]*statecache.ProvisioningIntent{"r-1-2": {MachineType: "s", Zone: "b", Spot: true}})
+	if len(busy) != 2 || !busy[inFlight] || !busy[stored] {
+		t.Errorf("busy: %v", busy)
+	}
+	tracker.finish("r-1-1")
+	if busy := tracker.busyPools(nil); len(busy) != 0 {
+		t.Errorf("busy with nothing under way: %v", busy)
+	}
+}
+
+// An exhausted pool is left alone until its time, or until a machine of it goes back.
+func TestExhaustedPools(t *testing.T) {
+	tracker := newProvisioningTracker()
+	pool, now := resources.Pool{MachineType: "s", Zone: "a"}, time.Now()
+	tracker.markExhausted(pool, now.Add(time.Minute))
+	if !tracker.isExhausted(pool, now) || tracker.isExhausted(pool, now.Add(time.Minute)) {
+		t.Error("not exhausted for a minute")
+	}
+	tracker.clearExhausted(pool)
+	if tracker.isExhausted(pool, now) {
+		t.Error("exhausted after a machine went back")
+	}
+}
+
+// A batch whose machines fill several commits keeps its intent as it is until the last of them;
+// then the intent goes on to the next batch.
+func TestBatchIsRecordedInGroups(t *testing.T) {
+	machines := []wire.MachineID{"i-1", "i-2", "i-3", "i-4", "i-5"}
+	intent := &statecache.ProvisioningIntent{MachineType: "s", Zone: "a", Count: 8, Batch: 2}
+	batch := &provisionedBatch{intentName: "r-1-1", intent: intent, remaining: 3}
+	var c statecache.Commit
+	unrecorded := batch.addGroups(&c, machines, 2, 2, statecache.FirstToken(1))
+	if len(c.Puts) != 2 || len(c.Preconditions) != 2 || len(unrecorded) != 1 || unrecorded[0] != "i-5" {
+		t.Fatalf("%d groups, %v left", len(c.Puts), unrecorded)
+	}
+	if next := batch.next(unrecorded); batch.done(unrecorded) || next.Count != 8 || next.Batch != 2 {
+		t.Errorf("with machines left: %+v", next)
+	}
+	if next := batch.next(nil); batch.done(nil) || next.Count != 3 || next.Batch != 3 {
+		t.Errorf("for the next batch: %+v", next)
+	}
+	batch.remaining = 0
+	if !batch.done(nil) {
+		t.Error("not done with nothing left")
+	}
+}
--- a/internal/autoscaler/update_batch_test.go
+++ b/internal/autoscaler/update_batch_test.go
@@ -53,17 +53,7 @@
 		view := laterTermView(groups, teams)
 		batch := newUpdateBatch(rapid.IntRange(1, maxWrites).Draw(t, "writes"), maxWrites)
 		for _, g := range groups {
-			group := newGroupUpdates(view.UpdateGroup(g.Name))
-			for _, m := range g.Machines {
-				switch rapid.IntRange(0, 3).Draw(t, "update") {
-				case 0:
-					group.add(m.Name, machineUpdate{terminated: true})
-				case 1:
-					group.add(m.Name, machineUpdate{drainReason: "faulty"})
-				case 2:
-					group.add(m.Name, machineUpdate{suspected: true})
-				}
-			}
+			group := drawUpdates(t, view, g)
 			if len(batch.groups) < batch.writes {
 				batch.groups[g.Name] = group
 			}
@@ -73,52 +63,89 @@
 		if waiting != (len(batch.groups) < asked) || batch.commit.Ops() > batch.writes {
 			t.Fatalf("waiting %v with %d groups of %d, %d writes of %d", waiting, len(batch.groups), asked, batch.commit.Ops(), batch.writes)
 		}
-		written := map[wire.MachineID]*statecache.Machine{}
-		split := len(batch.commit.Puts)+len(batch.commit.Deletes) > len(batch.groups)
-		for _, put := range batch.commit.Puts {
-			g := put.Record.(*statecache.MachineGroup)
-			if g.EncodedSize() > limit {
-				t.Fatalf("%s: %d bytes", g.Name, g.EncodedSize())
-			}
-			modRevision := uint64(0)
-			if batch.groups[g.Name] != nil {
-				modRevision = 5
-			}
-			if !slices.Contains(batch.commit.Preconditions, wire.Precondition{Key: put.Key, ModRevision: modRevision}) {
-				t.Fatalf("%s has no precondition on revision %d", put.Key, modRevision)
-			}
-			for _, m := range g.Machines {
-				if written[m.Name] != nil {
-					t.Fatalf("%s twice", m.Name)
-				}
-				written[m.Name] = m
-			}
+		written := checkRecords(t, batch, limit)
+		checkSplitPreconditions(t, batch, view)
+		checkMachinesWritten(t, batch, view, written)
+	})
+}
+
+// drawUpdates draws what is wanted of the machines of a group.
+func drawUpdates(t *rapid.T, view *statecache.View, g *statecache.MachineGroup) *groupUpdates {
+	t.Helper()
+	group := newGroupUpdates(view.UpdateGroup(g.Name))
+	for _, m := range g.Machines {
+		switch rapid.IntRange(0, 3).Draw(t, "update") {
+		case 0:
+			group.add(m.Name, machineUpdate{terminated: true})
+		case 1:
+			group.add(m.Name, machineUpdate{drainReason: "faulty"})
+		case 2:
+			group.add(m.Name, machineUpdate{suspected: true})
+		}
+	}
+	return group
+}
+
+// checkRecords checks the size and the precondition of each record written, and that no machine
+// is in two of them. It returns the machines written.
+func checkRecords(t *rapid.T, batch *updateBatch, limit int) map[wire.MachineID]*statecache.Machine {
+	t.Helper()
+	written := map[wire.MachineID]*statecache.Machine{}
+	for _, put := range batch.commit.Puts {
+		g := put.Record.(*statecache.MachineGroup)
+		if g.EncodedSize() > limit {
+			t.Fatalf("%s: %d bytes", g.Name, g.EncodedSize())
+		}
+		modRevision := uint64(0)
+		if batch.groups[g.Name] != nil {
+			modRevision = 5
 		}
-		for team, modRevision := range view.AssignmentRevisions() {
-			precondition := wire.Precondition{Key: statecache.Key(statecache.KindAssignment, string(team)), ModRevision: modRevision}
-			if split && !slices.Contains(batch.commit.Preconditions, precondition) {
-				t.Fatalf("split without a precondition on %s", team)
+		if !slices.Contains(batch.commit.Preconditions, wire.Precondition{Key: put.Key, ModRevision: modRevision}) {
+			t.Fatalf("%s has no precondition on revision %d", put.Key, modRevision)
+		}
+		for _, m := range g.Machines {
+			if written[m.Name] != nil {
+				t.Fatalf("%s twice", m.Name)
 			}
+			written[m.Name] = m
+		}
+	}
+	return written
+}
+
+// checkSplitPreconditions checks that a split has every assignment as a precondition.
+func checkSplitPreconditions(t *rapid.T, batch *updateBatch, view *statecache.View) {
+	t.Helper()
+	split := len(batch.commit.Puts)+len(batch.commit.Deletes) > len(batch.groups)
+	for team, modRevision := range view.AssignmentRevisions() {
+		precondition := wire.Precondition{Key: statecache.Key(statecache.KindAssignment, string(team)), ModRevision: modRevision}
+		if split && !slices.Contains(batch.commit.Preconditions, precondition) {
+			t.Fatalf("split without a precondition on %s", team)
 		}
-		for name, group := range batch.groups {
-			for _, old := range view.Groups[name].Machines {
-				update, updated := group.machines[old.Name]
-				next := written[old.Name]
-				switch {
-				case update.terminated:
-					if next != nil {
-						t.Fatalf("%s is terminated, and written", old.Name)
-					}
-				case next == nil:
-					t.Fatalf("%s is missing", old.Name)
-				case updated && (next.Suspected != update.suspected || next.DrainReason != update.drainReason || next.FencingToken <= old.FencingToken):
-					t.Fatalf("%s: %+v became %+v", old.Name, update, next)
-				case len(next.Bindings) != len(old.Bindings):
-					t.Fatalf("%s has %d tasks of %d", old.Name, len(next.Bindings), len(old.Bindings))
+	}
+}
+
+// checkMachinesWritten checks that each machine of the batch is written as its update wants.
+func checkMachinesWritten(t *rapid.T, batch *updateBatch, view *statecache.View, written map[wire.MachineID]*statecache.Machine) {
+	t.Helper()
+	for name, group := range batch.groups {
+		for _, old := range view.Groups[name].Machines {
+			update, updated := group.machines[old.Name]
+			next := written[old.Name]
+			switch {
+			case update.terminated:
+				if next != nil {
+					t.Fatalf("%s is terminated, and written", old.Name)
 				}
+			case next == nil:
+				t.Fatalf("%s is missing", old.Name)
+			case updated && (next.Suspected != update.suspected || next.DrainReason != update.drainReason || next.FencingToken <= old.FencingToken):
+				t.Fatalf("%s: %+v became %+v", old.Name, update, next)
+			case len(next.Bindings) != len(old.Bindings):
+				t.Fatalf("%s has %d tasks of %d", old.Name, len(next.Bindings), len(old.Bindings))
 			}
 		}
-	})
+	}
 }
 
 // A record for whose parts the transaction has no room waits, and doesn't hold up the
