--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -47,7 +47,7 @@
 	freshAsOf time.Time
 	term      uint64 // of the leadership that the state below belongs to
 
-	writes       *writePacer
+	writes       *writeBudget
 	machineTypes machineCatalog
 	jobs         *jobTracker
 	risks        *deadlineRisks
@@ -88,7 +88,7 @@
 		onProbeResponse: o.OnProbeResponse,
 		overload:        o.Overload,
 		view:            statecache.NewUnfinishedView(statecache.ChunkTasks(cfg.Params.Store.MaxValueKB)),
-		writes:          newWritePacer(cfg, o.StoreLimits),
+		writes:          newWriteBudget(cfg, o.StoreLimits),
 		machineTypes:    machineCatalog{defaultBootSeconds: cfg.Operator.BootLag.Seconds()},
 		jobs:            newJobTracker(),
 		risks:           newDeadlineRisks(),
--- a/internal/autoscaler/faulty.go
+++ b/internal/autoscaler/faulty.go
@@ -23,7 +23,7 @@
 		if len(l.failedJobs) >= faultyJobThreshold && m.DrainReason == "" && r.isLeader() {
 			slog.Warn("faulty machine detected",
 				"machine", t.Machine,
-				"type", m.MachineType,
+				"machine_type", m.MachineType,
 				"zone", m.Zone,
 				"failed_jobs", len(l.failedJobs))
 			r.enqueueUpdate(t.Machine, machineUpdate{drainReason: drainReasonFaulty})
--- a/internal/autoscaler/instances.go
+++ b/internal/autoscaler/instances.go
@@ -108,7 +108,7 @@
 func (r *Autoscaler) addAdopted(c *statecache.Commit, instance *wire.Instance, now time.Time) {
 	slog.Info("unexpected machine adopted",
 		"machine", instance.ID,
-		"type", instance.MachineType,
+		"machine_type", instance.MachineType,
 		"zone", instance.Zone,
 		"spot", instance.Spot)
 	group := statecache.AdoptedGroupName(instance.ID)
--- a/internal/autoscaler/scale_out.go
+++ b/internal/autoscaler/scale_out.go
@@ -62,7 +62,7 @@
 		if outcome == statecache.Committed {
 			slog.Info("provisioning intent recorded",
 				"intent", name,
-				"type", request.MachineType,
+				"machine_type", request.MachineType,
 				"zone", request.Zone,
 				"spot", request.Spot,
 				"count", request.Count,
@@ -134,7 +134,7 @@
 	slog.Info("capacity shortfall",
 		"intent", batch.intentName,
 		"batch", intent.Batch,
-		"type", intent.MachineType,
+		"machine_type", intent.MachineType,
 		"zone", intent.Zone,
 		"spot", intent.Spot,
 		"requested", intent.Count,
--- a/internal/autoscaler/update_batch.go
+++ b/internal/autoscaler/update_batch.go
@@ -99,11 +99,11 @@
 	// A transaction has room for a few preconditions per write: the leader's, those of the
 	// records, and as many assignments as writes.
 	if err != nil || !update.TrimToFit(maxValueBytes) || assignments > b.maxWrites {
-		slog.Error("machine group update not written: record too large", "group", update.Name, "bytes", update.EncodedSize(), "error", err)
+		slog.Error("group split failed, nothing written", "group", update.Name, "bytes", update.EncodedSize(), "error", err)
 		return false
 	}
 	for _, part := range parts {
-		slog.Debug("machine group split", "group", update.Name, "part", part.Name, "machines", len(part.Machines))
+		slog.Debug("group split", "group", update.Name, "new_group", part.Name, "machines", len(part.Machines))
 	}
 	update.AddSplitTo(&b.commit, parts)
 	return true
--- a/internal/autoscaler/update_queue.go
+++ b/internal/autoscaler/update_queue.go
@@ -136,7 +136,7 @@
 			"reason", update.drainReason,
 			"tasks", len(m.Bindings),
 			"age_seconds", (time.Now().UnixMilli()-m.ProvisionedAt)/1000,
-			"type", m.MachineType,
+			"machine_type", m.MachineType,
 			"zone", m.Zone,
 			"spot", m.Spot)
 	}
--- a/internal/autoscaler/write_pacer.go
+++ b/internal/autoscaler/write_budget.go
@@ -9,17 +9,17 @@
 	"lynxledge/internal/storelimits"
 )
 
-// writePacer keeps the leader's commits within its part of the store's write rate: what the
+// writeBudget keeps the leader's commits within its part of the store's write rate: what the
 // schedulers' share leaves.
-type writePacer struct {
+type writeBudget struct {
 	config  *config.Config
 	limits  *storelimits.Tracker
 	limiter *rate.Limiter
 }
 
-func newWritePacer(cfg *config.Config, limits *storelimits.Tracker) *writePacer {
+func newWriteBudget(cfg *config.Config, limits *storelimits.Tracker) *writeBudget {
 	leaderRate := cfg.Params.Store.WriteRate * (1 - cfg.Operator.SchedulerWriteShare)
-	return &writePacer{
+	return &writeBudget{
 		config:  cfg,
 		limits:  limits,
 		limiter: rate.NewLimiter(rate.Limit(leaderRate), cfg.Params.Store.TxnOpsLimit()),
@@ -28,16 +28,16 @@
 
 // reserve takes so many writes out of the rate that is in force now, and returns for how long
 // to wait before they are made.
-func (p *writePacer) reserve(writes int) time.Duration {
-	leaderRate := p.limits.WriteRate(&p.config.Params.Store) * (1 - p.config.Operator.SchedulerWriteShare)
-	p.limiter.SetLimit(rate.Limit(leaderRate))
-	return p.limiter.ReserveN(time.Now(), min(writes, p.limiter.Burst())).Delay()
+func (b *writeBudget) reserve(writes int) time.Duration {
+	leaderRate := b.limits.WriteRate(&b.config.Params.Store) * (1 - b.config.Operator.SchedulerWriteShare)
+	b.limiter.SetLimit(rate.Limit(leaderRate))
+	return b.limiter.ReserveN(time.Now(), min(writes, b.limiter.Burst())).Delay()
 }
 
 // available returns how many writes may be made at once; negative while reserved ones wait.
-func (p *writePacer) available() int { return int(p.limiter.Tokens()) }
+func (b *writeBudget) available() int { return int(b.limiter.Tokens()) }
 
 // timeFor returns the time in which so many more writes become available.
-func (p *writePacer) timeFor(writes int) time.Duration {
-	return config.Seconds(float64(writes) / float64(p.limiter.Limit()))
+func (b *writeBudget) timeFor(writes int) time.Duration {
+	return config.Seconds(float64(writes) / float64(b.limiter.Limit()))
 }
--- a/internal/planner/capacity_slot.go
+++ b/internal/planner/capacity_slot.go
@@ -19,9 +19,9 @@
 // taskEnd is the end of a task, which frees its share of the machine.
 type taskEnd struct{ atSeconds, share float64 }
 
-// freeAt returns the earliest time at which a share of the machine is free, in seconds from
+// freeAtSeconds returns the earliest time at which a share of the machine is free, in seconds from
 // now; +Inf if it never is.
-func (s *capacitySlot) freeAt(share float64) float64 {
+func (s *capacitySlot) freeAtSeconds(share float64) float64 {
 	free := 1.0
 	for _, end := range s.taskEnds {
 		free -= end.share
--- a/internal/planner/existing.go
+++ b/internal/planner/existing.go
@@ -22,19 +22,19 @@
 // poolFit is what the machines of a pool mean to a demand. It is the same for all of them, so
 // it is computed once for each demand.
 type poolFit struct {
-	allowed            bool
-	share              float64 // of a machine, that a task takes
-	latestStart        float64 // on a machine that is up, in seconds
-	latestStartBooting float64 // on a machine that is not up yet, in seconds
-	preferred          bool    // spot exactly if the job allows it
+	allowed                   bool
+	share                     float64 // of a machine, that a task takes
+	latestStartSeconds        float64 // on a machine that is up
+	latestBootingStartSeconds float64 // on a machine that is not up yet
+	preferred                 bool    // spot exactly if the job allows it
 }
 
-// latestStartOn returns by when a task must be able to start on a slot.
-func (f *poolFit) latestStartOn(slot *capacitySlot) float64 {
+// latestStartSecondsOn returns by when a task must be able to start on a slot.
+func (f *poolFit) latestStartSecondsOn(slot *capacitySlot) float64 {
 	if slot.machine.ReadyInSeconds > 0 {
-		return f.latestStartBooting
+		return f.latestBootingStartSeconds
 	}
-	return f.latestStart
+	return f.latestStartSeconds
 }
 
 // coverByExisting puts up to count tasks on the existing machines, the one that is free first
@@ -43,31 +43,31 @@
 // covers load from its provisioning on: another one would not be up sooner, and every planning
 // cycle would provision it again. It returns how many tasks are covered.
 func (c *cycle) coverByExisting(d *pendingDemand, count int) (covered int) {
-	fits, latestStart := c.poolFits(d)
+	fits, latestStartSeconds := c.poolFits(d)
 	queue := c.queueFor(shapeOf(d), fits)
 	passedOver := c.passedOver[:0] // slots that later demands may use
 	for covered < count && queue.Len() > 0 {
 		first := queue.candidates[0]
 		slot := c.slots[first.slot]
 		fit := &fits[slot.pool]
-		if freeAt := slot.freeAt(fit.share); freeAt > first.freeAt {
-			queue.postponeFirst(freeAt)
+		if freeAtSeconds := slot.freeAtSeconds(fit.share); freeAtSeconds > first.freeAtSeconds {
+			queue.postponeFirst(freeAtSeconds)
 			continue
 		}
-		if first.freeAt > latestStart {
+		if first.freeAtSeconds > latestStartSeconds {
 			break
 		}
 		zone := slot.machine.Pool.Zone
-		if first.freeAt > fit.latestStartOn(slot) || !d.zones.Allows(d.Job, zone) {
+		if first.freeAtSeconds > fit.latestStartSecondsOn(slot) || !d.zones.Allows(d.Job, zone) {
 			passedOver = append(passedOver, first)
 			queue.dropFirst()
 			continue
 		}
-		slot.addTask(first.freeAt+d.occupiedSeconds, fit.share)
+		slot.addTask(first.freeAtSeconds+d.occupiedSeconds, fit.share)
 		slot.inUse = true
 		d.zones[zone]++
 		covered++
-		queue.postponeFirst(slot.freeAt(fit.share))
+		queue.postponeFirst(slot.freeAtSeconds(fit.share))
 	}
 	for _, skipped := range passedOver {
 		queue.add(skipped)
@@ -88,8 +88,8 @@
 		if !fit.allowed {
 			continue
 		}
-		if at := slot.freeAt(fit.share); !math.IsInf(at, 1) {
-			queue.candidates = append(queue.candidates, candidate{freeAt: at, slot: int32(i), preferred: fit.preferred})
+		if at := slot.freeAtSeconds(fit.share); !math.IsInf(at, 1) {
+			queue.candidates = append(queue.candidates, candidate{freeAtSeconds: at, slot: int32(i), preferred: fit.preferred})
 		}
 	}
 	heap.Init(queue)
@@ -98,26 +98,26 @@
 
 // poolFits returns what each of the existing pools means to a demand, and the latest start on
 // any of them.
-func (c *cycle) poolFits(d *pendingDemand) (fits []poolFit, latestStart float64) {
+func (c *cycle) poolFits(d *pendingDemand) (fits []poolFit, latestStartSeconds float64) {
 	fits = make([]poolFit, len(c.existingPools.pools))
-	latestStartUp := c.BootLagSeconds
+	latestStartUpSeconds := c.BootLagSeconds
 	if !d.unbounded {
-		latestStartUp = max(latestStartUp, d.DeadlineSeconds-d.occupiedSeconds)
+		latestStartUpSeconds = max(latestStartUpSeconds, d.DeadlineSeconds-d.occupiedSeconds)
 	}
-	latestStart = latestStartUp
+	latestStartSeconds = latestStartUpSeconds
 	for i, pool := range c.existingPools.pools {
 		if !c.pools.allows(d.Demand, pool) {
 			continue
 		}
 		machineType := c.pools.machineTypes[pool.MachineType]
 		fits[i] = poolFit{
-			allowed:            true,
-			share:              d.need.Share(resources.OfMachineType(machineType)),
-			latestStart:        latestStartUp,
-			latestStartBooting: max(latestStartUp, float64(machineType.BootTime)),
-			preferred:          pool.Spot == d.Job.AllowSpot,
+			allowed:                   true,
+			share:                     d.need.Share(resources.OfMachineType(machineType)),
+			latestStartSeconds:        latestStartUpSeconds,
+			latestBootingStartSeconds: max(latestStartUpSeconds, float64(machineType.BootTime)),
+			preferred:                 pool.Spot == d.Job.AllowSpot,
 		}
-		latestStart = max(latestStart, fits[i].latestStartBooting)
+		latestStartSeconds = max(latestStartSeconds, fits[i].latestBootingStartSeconds)
 	}
-	return fits, latestStart
+	return fits, latestStartSeconds
 }
--- a/internal/planner/existing_test.go
+++ b/internal/planner/existing_test.go
@@ -23,8 +23,8 @@
 			if !fit.allowed || !d.zones.Allows(d.Job, slot.machine.Pool.Zone) {
 				continue
 			}
-			at := slot.freeAt(fit.share)
-			if at > fit.latestStartOn(slot) || math.IsInf(at, 1) {
+			at := slot.freeAtSeconds(fit.share)
+			if at > fit.latestStartSecondsOn(slot) || math.IsInf(at, 1) {
 				continue
 			}
 			if best == nil || at < bestAt || at == bestAt && fit.preferred && !fits[best.pool].preferred {
--- a/internal/planner/slot_queue.go
+++ b/internal/planner/slot_queue.go
@@ -32,9 +32,9 @@
 // candidate is a slot that may take a task. A planning cycle has one for each slot and shape:
 // they hold no pointers.
 type candidate struct {
-	freeAt    float64 // when the task could start there, or a time before that
-	slot      int32   // index of the slot
-	preferred bool    // spot exactly if the job allows it
+	freeAtSeconds float64 // when the task could start there, or a time before that
+	slot          int32   // index of the slot
+	preferred     bool    // spot exactly if the job allows it
 }
 
 // candidates is a heap, the slot that is free first on top. The tasks put on slots since make
@@ -44,8 +44,8 @@
 func (c candidates) Len() int { return len(c) }
 func (c candidates) Less(i, k int) bool {
 	a, b := &c[i], &c[k]
-	if a.freeAt != b.freeAt {
-		return a.freeAt < b.freeAt
+	if a.freeAtSeconds != b.freeAtSeconds {
+		return a.freeAtSeconds < b.freeAtSeconds
 	}
 	if a.preferred != b.preferred {
 		return a.preferred
@@ -88,12 +88,12 @@
 }
 
 // postponeFirst sets the time at which the top is free; +Inf drops it.
-func (q *slotQueue) postponeFirst(freeAt float64) {
-	if math.IsInf(freeAt, 1) {
+func (q *slotQueue) postponeFirst(freeAtSeconds float64) {
+	if math.IsInf(freeAtSeconds, 1) {
 		q.dropFirst()
 		return
 	}
-	q.candidates[0].freeAt = freeAt
+	q.candidates[0].freeAtSeconds = freeAtSeconds
 	heap.Fix(q, 0)
 }
 
