--- a/internal/autoscaler/instances.go
+++ b/internal/autoscaler/instances.go
@@ -113,9 +113,16 @@
 		"spot", instance.Spot)
 	group := statecache.AdoptedGroupName(instance.ID)
 	key := statecache.Key(statecache.KindMachineGroup, group)
-	provisionedAt := now.UnixMilli() - int64(float64(instance.Age)*1000)
-	record := statecache.NewMachineGroup(group, instance.MachineType, instance.Zone, instance.Spot, provisionedAt,
-		[]wire.MachineID{instance.ID}, statecache.FirstToken(r.term))
+	provisionedAt := statecache.TimestampOf(now) - statecache.Timestamp(float64(instance.Age)*1000)
+	record := statecache.NewMachineGroup(statecache.GroupOptions{
+		Name:          group,
+		MachineType:   instance.MachineType,
+		Zone:          instance.Zone,
+		Spot:          instance.Spot,
+		ProvisionedAt: provisionedAt,
+		Machines:      []wire.MachineID{instance.ID},
+		FencingToken:  statecache.FirstToken(r.term),
+	})
 	c.Preconditions = append(c.Preconditions, wire.Precondition{Key: key})
 	c.Puts = append(c.Puts, statecache.Put{Key: key, Record: record})
 }
--- a/internal/autoscaler/machine_catalog.go
+++ b/internal/autoscaler/machine_catalog.go
@@ -52,7 +52,7 @@
 // type's boot time.
 func (c *machineCatalog) bootExceeds(m *statecache.Machine, multiple float64, now time.Time) bool {
 	bootTime := config.Seconds(multiple * c.bootSeconds(m.MachineType))
-	return m.Incarnation == 0 && now.Sub(time.UnixMilli(m.ProvisionedAt)) > bootTime
+	return m.Incarnation == 0 && now.Sub(m.ProvisionedAt.Time()) > bootTime
 }
 
 // machinePool returns the pool of a machine.
--- a/internal/autoscaler/planning_demands.go
+++ b/internal/autoscaler/planning_demands.go
@@ -54,7 +54,7 @@
 	}
 	runtimeSeconds := g.jobs.runtimeSeconds(job.Spec)
 	runtime := config.Seconds(runtimeSeconds)
-	age := config.Milliseconds(g.now.UnixMilli() - job.RunnableSince())
+	age := config.Milliseconds(int64(statecache.TimestampOf(g.now) - job.RunnableSince()))
 	deadlines := estimate.Deadlines(g.config, job, runtime, age, age+wait)
 	leadTime := g.config.Operator.BootLag + runtime
 	untilDeadline := firstFeasible(deadlines, age, leadTime)
--- a/internal/autoscaler/provisioned_batch.go
+++ b/internal/autoscaler/provisioned_batch.go
@@ -35,7 +35,7 @@
 func (b *provisionedBatch) next(unrecorded []wire.MachineID) *statecache.ProvisioningIntent {
 	next := *b.intent
 	if len(unrecorded) == 0 && b.remaining > 0 {
-		next.Count, next.Batch, next.RequestedAt = b.remaining, b.intent.Batch+1, time.Now().UnixMilli()
+		next.Count, next.Batch, next.RequestedAt = b.remaining, b.intent.Batch+1, statecache.TimestampOf(time.Now())
 	}
 	return &next
 }
@@ -48,7 +48,15 @@
 		count := min(perGroup, len(machines))
 		group := fmt.Sprintf("%s.%s", b.intentName, machines[0])
 		key := statecache.Key(statecache.KindMachineGroup, group)
-		record := statecache.NewMachineGroup(group, intent.MachineType, intent.Zone, intent.Spot, intent.RequestedAt, machines[:count], token)
+		record := statecache.NewMachineGroup(statecache.GroupOptions{
+			Name:          group,
+			MachineType:   intent.MachineType,
+			Zone:          intent.Zone,
+			Spot:          intent.Spot,
+			ProvisionedAt: intent.RequestedAt,
+			Machines:      machines[:count],
+			FencingToken:  token,
+		})
 		c.Preconditions = append(c.Preconditions, wire.Precondition{Key: key})
 		c.Puts = append(c.Puts, statecache.Put{Key: key, Record: record})
 		machines = machines[count:]
--- a/internal/autoscaler/scale_out.go
+++ b/internal/autoscaler/scale_out.go
@@ -50,7 +50,7 @@
 		Spot:            request.Spot,
 		Count:           request.Count,
 		TasksPerMachine: request.TasksPerMachine,
-		RequestedAt:     time.Now().UnixMilli(),
+		RequestedAt:     statecache.TimestampOf(time.Now()),
 	}
 	key := statecache.Key(statecache.KindProvisioningIntent, name)
 	r.provisioning.begin(name, request.Pool)
--- a/internal/autoscaler/update_queue.go
+++ b/internal/autoscaler/update_queue.go
@@ -135,7 +135,7 @@
 			"machine", machine,
 			"reason", update.drainReason,
 			"tasks", len(m.Bindings),
-			"age_seconds", (time.Now().UnixMilli()-m.ProvisionedAt)/1000,
+			"age_seconds", (statecache.TimestampOf(time.Now())-m.ProvisionedAt)/1000,
 			"machine_type", m.MachineType,
 			"zone", m.Zone,
 			"spot", m.Spot)
