--- a/cmd/lynxledge/world_test.go
+++ b/cmd/lynxledge/world_test.go
@@ -108,6 +108,20 @@
 	d.handlers[node] = h
 }
 
+// lockedSource is a source of random numbers that several goroutines draw from: the test's own
+// and those of users who ask as a job ends.
+type lockedSource struct {
+	mu     sync.Mutex
+	source rand.Source
+}
+
+// Uint64 draws the next number.
+func (s *lockedSource) Uint64() uint64 {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.source.Uint64()
+}
+
 // scale is the size of a cluster.
 type scale struct {
 	nodes int
@@ -136,7 +150,7 @@
 	w := &world{
 		ctx: ctx, cfg: cfg, rules: simulation.NewInvariantChecker(cfg.Params), state: simulation.NewStore(),
 		net: simulation.NewNetwork(seed, 5*time.Millisecond),
-		up:  map[string]context.CancelFunc{}, peerDoors: map[string]http.Handler{}, nodeActors: map[string][]*actor.Actor{}, rng: rand.New(rand.NewPCG(seed, 9)), types: size.types,
+		up:  map[string]context.CancelFunc{}, peerDoors: map[string]http.Handler{}, nodeActors: map[string][]*actor.Actor{}, rng: rand.New(&lockedSource{source: rand.NewPCG(seed, 9)}), types: size.types,
 		zones: size.zones,
 	}
 	w.pipes = simulation.NewPipes(w.net)
