--- a/cmd/lynxledge/acts_test.go
+++ b/cmd/lynxledge/acts_test.go
@@ -151,13 +151,8 @@
 // meetEnds has users ask, cancel or submit again at the very moment at which a
 // job's last task completes.
 func (w *world) meetEnds(which int) {
-	w.rules.OnJobEnd(func(id string) {
-		var job *wire.Job
-		for _, j := range w.known {
-			if j.ID == id {
-				job = j
-			}
-		}
+	w.rules.OnJobEnd(func(job *wire.Job) {
+		id := job.ID
 		for i := range 3 {
 			switch (which + i) % 3 {
 			case 0:
--- a/internal/simulation/invariants.go
+++ b/internal/simulation/invariants.go
@@ -23,7 +23,7 @@
 	started    int
 	late       int // tasks ordered to start after their job's confirmed cancellation
 	over       bool
-	atEnd      func(job string)
+	atEnd      func(*wire.Job)
 	free       map[string]*freeRoom // of machines that are up, by name
 }
 
@@ -87,7 +87,7 @@
 
 // OnJobEnd sets what happens at the moment at which the last task of an array
 // completes.
-func (r *InvariantChecker) OnJobEnd(f func(job string)) {
+func (r *InvariantChecker) OnJobEnd(f func(*wire.Job)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.atEnd = f
@@ -181,7 +181,7 @@
 	fresh := !t.completed[n]
 	t.completed[n] = true
 	if r.atEnd != nil && fresh && len(t.completed) == t.job.TaskCount {
-		go r.atEnd(id)
+		go r.atEnd(t.job)
 	}
 }
 
