--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -34,6 +34,7 @@
 	Revision   uint64
 }
 
+// Error names the keys whose preconditions failed.
 func (c *ConflictError) Error() string { return fmt.Sprintf("guards failed: %v", c.FailedKeys) }
 
 // Client talks to the state service.
--- a/internal/resources/resources.go
+++ b/internal/resources/resources.go
@@ -16,7 +16,8 @@
 // OfMachineType is what a machine of a type has.
 func OfMachineType(t *wire.MachineType) Vector { return Vector{t.CPUs, t.GPUs, t.MemoryGB} }
 
-const RoundingTolerance = 1e-6 // sums of decimal amounts
+// RoundingTolerance is by how much sums of decimal amounts may differ from what they stand for.
+const RoundingTolerance = 1e-6
 
 // Plus adds o n times.
 func (r Vector) Plus(o Vector, n float64) Vector {
--- a/wire/job.go
+++ b/wire/job.go
@@ -42,6 +42,7 @@
 
 var priorityNames = [...]string{"idle", "normal", "high", "prod"}
 
+// String is the protocol's word for the priority.
 func (r Priority) String() string { return priorityNames[r] }
 
 // MarshalJSON writes the protocol's word.
