--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -13,6 +13,7 @@
 	separator string
 }
 
+// Error names the field and what is wrong with it.
 func (e *FieldError) Error() string { return e.Field + e.separator + e.Reason }
 
 // fieldMust returns the error of a field whose reason continues its name: "x must be y".
@@ -33,6 +34,8 @@
 	Err error // the validator's
 }
 
+// Error says that the settings do not match their schema, and where.
 func (e *SchemaError) Error() string { return describeSchemaViolation(e.Err) }
 
+// Unwrap returns the validator's error.
 func (e *SchemaError) Unwrap() error { return e.Err }
