--- a/cmd/lynxledge/loopback_test.go
+++ b/cmd/lynxledge/loopback_test.go
@@ -146,11 +146,7 @@
 		c.start(p)
 	}
 	c.orderChecker = history.NewRecoveryOrderChecker(cfg.Params, zoneMachineTypes, c.store.FirstSentAt, false)
-	observer := statecache.Start(ctx, &simulation.StoreConn{Store: c.store, Network: c.network, Member: "observer", Timeout: time.Second}, statecache.Options{
-		ChunkTasks: statecache.ChunkTasks(cfg.Params.Store.MaxValueKB), WatchHold: 5 * time.Second, MaxViewAge: time.Second, Backoff: 100 * time.Millisecond,
-	})
-	observer.Subscribe(c.orderChecker.Apply)
-	observer.Run()
+	observe(ctx, c.store, c.network, cfg.Params.Store, c.orderChecker.Apply)
 	return c
 }
 
--- a/cmd/lynxledge/sim_zones_test.go
+++ b/cmd/lynxledge/sim_zones_test.go
@@ -5,6 +5,7 @@
 	"encoding/json"
 	"fmt"
 	"net/http"
+	"slices"
 	"strings"
 	"testing"
 	"testing/synctest"
@@ -18,14 +19,17 @@
 	"lynxledge/wire"
 )
 
+// allZones are the zones of zone clusters.
+var allZones = []wire.Zone{"a", "b", "c"}
+
 // zoneMachineTypes are machines in three zones.
 var zoneMachineTypes = []wire.MachineType{
-	{Name: "s", CPUs: 4, MemoryGB: 16, CacheGB: 20, ImageFetchGBps: 1, HourlyPrice: 1, HourlySpotPrice: 0.4, BootTime: 20, Zones: []wire.Zone{"a", "b", "c"}},
+	{Name: "s", CPUs: 4, MemoryGB: 16, CacheGB: 20, ImageFetchGBps: 1, HourlyPrice: 1, HourlySpotPrice: 0.4, BootTime: 20, Zones: allZones},
 }
 
 // zoneClusterSize is a cluster over three zones with a controller in each.
 func zoneClusterSize(recovery bool) clusterSize {
-	s := clusterSize{members: 3, machineTypes: zoneMachineTypes, poolSize: 8, memberZones: []wire.Zone{"a", "b", "c"}}
+	s := clusterSize{members: 3, machineTypes: zoneMachineTypes, poolSize: 8, memberZones: allZones}
 	if recovery {
 		s.operatorSettings = func(o *config.OperatorSettings) {
 			section := config.DefaultZoneRecovery()
@@ -35,26 +39,26 @@
 	return s
 }
 
-// zoneCluster is a world with services and a steady flow of arrays, whose history is
+// zoneCluster is a cluster with services and a steady flow of arrays, whose history is
 // checked.
 type zoneCluster struct {
 	*cluster
 	orderChecker   *history.RecoveryOrderChecker
 	services       []*wire.Job
-	restored       map[wire.JobID]time.Duration // service: from the loss until it was whole again
+	restored       map[wire.JobID]time.Duration // service: from the loss until all replicas ran again
 	lostAt         time.Time
 	elapsedSeconds int
 	workload       zoneWorkload
-	partitions     map[wire.Zone]*zonePartition // zones that are cut off
+	partitions     map[wire.Zone]*zonePartition // zones that are partitioned
 }
 
-// zonePartition is a cut of a zone: machines that come up in it are cut off too.
+// zonePartition is the partition of a zone: machines that come up in it are partitioned too.
 type zonePartition struct {
 	holdMessages bool
 	machines     map[wire.MachineID]bool
 }
 
-// zoneWorkload is the work on a zoneWorld.
+// zoneWorkload is the work on a zoneCluster.
 type zoneWorkload struct {
 	pinnedReplicas int // replicas of a service in each zone that is allowed no other
 	services       int // that spread over zones, of 2 to 4 replicas
@@ -63,62 +67,75 @@
 
 var smallZoneWorkload = zoneWorkload{pinnedReplicas: 8, services: 8, arrayTasks: 6}
 
-// newZoneCluster begins with services in all zones, and more arrays than fit.
+// newZoneCluster starts a cluster with services in all zones, and more arrays than fit.
 func newZoneCluster(ctx context.Context, seed uint64, recovery bool) *zoneCluster {
-	return newLoadedZoneCluster(ctx, seed, recovery, zoneClusterSize(recovery), smallZoneWorkload, nil)
+	return newLoadedZoneCluster(ctx, seed, zoneClusterOptions{size: zoneClusterSize(recovery), recovery: recovery, workload: smallZoneWorkload})
 }
 
-func newLoadedZoneCluster(ctx context.Context, seed uint64, recovery bool, size clusterSize, load zoneWorkload, tweak func(*config.Params)) *zoneCluster {
-	c := &zoneCluster{workload: load, cluster: newCluster(ctx, seed, size, func(p *config.Params) {
-		p.Teams = []config.TeamQuota{{Name: "red"}, {Name: "blue"}}
-		p.Zones = []wire.Zone{"a", "b", "c"}
-		if tweak != nil {
-			tweak(p)
-		}
-	})}
-	c.restored = map[wire.JobID]time.Duration{}
-	c.partitions = map[wire.Zone]*zonePartition{}
-	c.orderChecker = history.NewRecoveryOrderChecker(c.cfg.Params, zoneMachineTypes, c.store.FirstSentAt, !recovery)
-	observer := statecache.Start(ctx, &simulation.StoreConn{Store: c.store, Network: c.network, Member: "observer", Timeout: time.Second}, statecache.Options{
-		ChunkTasks: statecache.ChunkTasks(c.cfg.Params.Store.MaxValueKB), WatchHold: 5 * time.Second, MaxViewAge: time.Second, Backoff: 100 * time.Millisecond,
-	})
-	observer.Subscribe(c.orderChecker.Apply)
-	observer.Run()
+// zoneClusterOptions are those of a cluster over three zones.
+type zoneClusterOptions struct {
+	size     clusterSize
+	recovery bool // zone recovery is on
+	workload zoneWorkload
+	adjust   func(*config.Params) // changes the settings; nil: none
+}
+
+func newLoadedZoneCluster(ctx context.Context, seed uint64, options zoneClusterOptions) *zoneCluster {
+	c := &zoneCluster{
+		workload:   options.workload,
+		restored:   map[wire.JobID]time.Duration{},
+		partitions: map[wire.Zone]*zonePartition{},
+		cluster: newCluster(ctx, seed, options.size, func(p *config.Params) {
+			p.Teams = []config.TeamQuota{{Name: "red"}, {Name: "blue"}}
+			p.Zones = slices.Clone(allZones)
+			if options.adjust != nil {
+				options.adjust(p)
+			}
+		}),
+	}
+	c.orderChecker = history.NewRecoveryOrderChecker(c.cfg.Params, zoneMachineTypes, c.store.FirstSentAt, !options.recovery)
+	observe(ctx, c.store, c.network, c.cfg.Params.Store, c.orderChecker.Apply)
 	c.advanceWithArrays(5)
-	for _, zone := range []wire.Zone{"a", "b", "c"} { // fills machines enough for a verdict
-		c.submitService(load.pinnedReplicas, func(j *wire.Job) { j.Zone, j.SpreadZones, j.CPUs = zone, false, 2 })
+	for _, zone := range allZones { // machines enough for the loss of a zone to be recognized
+		c.submitService(c.workload.pinnedReplicas, func(j *wire.Job) { j.Zone, j.SpreadZones, j.CPUs = zone, false, 2 })
 	}
-	for i := range load.services {
+	for i := range c.workload.services {
 		c.submitService(2+i%3, func(j *wire.Job) { j.Priority = wire.Priority(1 + i%3) })
 	}
 	c.advanceWithArrays(75)
 	return c
 }
 
+// observe has a function see every change of the store's records.
+func observe(ctx context.Context, store *simulation.Store, network *simulation.Network, limits config.StoreLimits, apply func(statecache.Update)) {
+	conn := &simulation.StoreConn{Store: store, Network: network, Member: "observer", Timeout: time.Second}
+	observer := statecache.Start(ctx, conn, statecache.Options{
+		ChunkTasks: statecache.ChunkTasks(limits.MaxValueKB), WatchHold: 5 * time.Second, MaxViewAge: time.Second, Backoff: 100 * time.Millisecond,
+	})
+	observer.Subscribe(apply)
+	observer.Run()
+}
+
 // submitService submits a service that spreads over zones.
 func (c *zoneCluster) submitService(replicas int, change func(*wire.Job)) *wire.Job {
-	c.jobCount++
 	j := &wire.Job{
-		ID: wire.JobID(fmt.Sprintf("req-%06d", c.jobCount)), Class: "live", Team: "red", Kind: wire.KindService, Priority: wire.PriorityProduction, TaskCount: replicas,
+		ID: c.nextJobID(), Class: "live", Team: "red", Kind: wire.KindService, Priority: wire.PriorityProduction, TaskCount: replicas,
 		CPUs: 1, MemoryGB: 1, Image: "img", ImageGB: 1, SpreadZones: true,
 	}
 	change(j)
-	c.invariants.Submitted(j, 0)
-	c.submitted = append(c.submitted, j)
 	c.services = append(c.services, j)
-	c.request(http.MethodPost, "/work", j.ID, j)
+	c.submit(j, 0)
 	return j
 }
 
-// advanceWithArrays lets seconds pass, in which arrays arrive, and notes which services are whole.
+// advanceWithArrays lets seconds pass, in which arrays arrive, and notes which services run all
+// replicas.
 func (c *zoneCluster) advanceWithArrays(seconds int) {
 	for range seconds {
 		c.elapsedSeconds++
 		if c.elapsedSeconds%3 == 0 {
-			c.jobCount++
-			c.submitArray(wire.JobID(fmt.Sprintf("req-%06d", c.jobCount)), "blue", c.workload.arrayTasks+c.elapsedSeconds%5, time.Duration(8+c.elapsedSeconds%9)*time.Second, func(j *wire.Job) {
-				j.Priority = wire.Priority(1 + c.elapsedSeconds%2)
-			})
+			tasks, runTime := c.workload.arrayTasks+c.elapsedSeconds%5, time.Duration(8+c.elapsedSeconds%9)*time.Second
+			c.submitArray(c.nextJobID(), "blue", tasks, runTime, func(j *wire.Job) { j.Priority = wire.Priority(1 + c.elapsedSeconds%2) })
 		}
 		c.advance(time.Second)
 		c.extendPartitions()
@@ -126,13 +143,13 @@
 	}
 }
 
-// extendPartitions cuts off what has come up in zones that are.
+// extendPartitions partitions machines that have come up in partitioned zones.
 func (c *zoneCluster) extendPartitions() {
-	for zone, cut := range c.partitions {
-		for _, m := range c.machinesIn(zone) {
-			if !cut.machines[m] {
-				cut.machines[m] = true
-				c.network.Partition(string(m), "", cut.holdMessages)
+	for zone, partition := range c.partitions {
+		for _, machine := range c.machinesIn(zone) {
+			if !partition.machines[machine] {
+				partition.machines[machine] = true
+				c.network.Partition(string(machine), "", partition.holdMessages)
 			}
 		}
 	}
@@ -142,14 +159,15 @@
 	return c.invariants.RunningTasks(j.ID) == j.TaskCount
 }
 
+// recordRestored records when the replicas of each service all run again.
 func (c *zoneCluster) recordRestored() {
 	for _, j := range c.services {
-		_, noted := c.restored[j.ID]
-		switch whole := c.allReplicasRun(j); {
+		_, recorded := c.restored[j.ID]
+		switch allRun := c.allReplicasRun(j); {
 		case c.lostAt.IsZero():
-		case whole && !noted:
+		case allRun && !recorded:
 			c.restored[j.ID] = time.Since(c.lostAt)
-		case !whole && noted:
+		case !allRun && recorded:
 			delete(c.restored, j.ID)
 		}
 	}
@@ -158,34 +176,35 @@
 // machinesIn names the machines that run in a zone.
 func (c *zoneCluster) machinesIn(zone wire.Zone) []wire.MachineID {
 	var names []wire.MachineID
-	for _, h := range c.cloud.Running() {
-		if h.Zone == zone {
-			names = append(names, h.ID)
+	for _, instance := range c.cloud.Running() {
+		if instance.Zone == zone {
+			names = append(names, instance.ID)
 		}
 	}
 	return names
 }
 
-// partitionZone cuts a zone's machines off, and its controllers with them.
-func (c *zoneCluster) partitionZone(zone wire.Zone, hold bool) {
+// membersIn names the controllers of a zone.
+func (c *zoneCluster) membersIn(zone wire.Zone) []string {
+	return slices.DeleteFunc(slices.Clone(c.members), func(member string) bool { return c.zoneOf(member) != zone })
+}
+
+// partitionZone partitions a zone's machines and controllers from everything else.
+func (c *zoneCluster) partitionZone(zone wire.Zone, holdMessages bool) {
 	c.markLost()
-	c.partitions[zone] = &zonePartition{hold, map[wire.MachineID]bool{}}
+	c.partitions[zone] = &zonePartition{holdMessages, map[wire.MachineID]bool{}}
 	c.extendPartitions()
-	for _, n := range c.members {
-		if c.zoneOf(n) == zone {
-			c.network.Partition(n, "", hold)
-		}
+	for _, member := range c.membersIn(zone) {
+		c.network.Partition(member, "", holdMessages)
 	}
 }
 
-// failZone stops a zone's machines for good, and its controllers.
+// failZone stops a zone's machines for good, and crashes its controllers.
 func (c *zoneCluster) failZone(zone wire.Zone) {
 	c.markLost()
 	c.cloud.FailZone(zone)
-	for _, n := range c.members {
-		if c.zoneOf(n) == zone {
-			c.crash(n)
-		}
+	for _, member := range c.membersIn(zone) {
+		c.crash(member)
 	}
 }
 
@@ -195,29 +214,28 @@
 	}
 }
 
-// healZone ends the cut of all but some of a zone's machines.
+// healZone ends the partition or failure of a zone, but for one in so many of its machines that
+// stays partitioned; 0: for none.
 func (c *zoneCluster) healZone(zone wire.Zone, butOneIn int) {
 	c.cloud.RestoreZone(zone)
 	delete(c.partitions, zone)
-	for i, m := range c.machinesIn(zone) {
+	for i, machine := range c.machinesIn(zone) {
 		if butOneIn == 0 || i%butOneIn != 0 {
-			c.network.Heal(string(m), "")
+			c.network.Heal(string(machine), "")
 		}
 	}
-	for _, n := range c.members {
-		if c.zoneOf(n) == zone {
-			c.network.Heal(n, "")
-		}
+	for _, member := range c.membersIn(zone) {
+		c.network.Heal(member, "")
 	}
 	c.restartAll()
 }
 
-// recordedPhase is the phase that stands in the record.
+// recordedPhase is the recorded recovery phase of a zone.
 func (c *zoneCluster) recordedPhase(zone wire.Zone) string { return c.orderChecker.Phase(zone) }
 
-// advanceUntil lets time pass until something holds, but for no more than some seconds.
-func (c *zoneCluster) advanceUntil(most int, holds func() bool) bool {
-	for range most {
+// advanceUntil lets time pass until something holds, for no more than so many seconds.
+func (c *zoneCluster) advanceUntil(seconds int, holds func() bool) bool {
+	for range seconds {
 		if holds() {
 			return true
 		}
@@ -226,7 +244,7 @@
 	return holds()
 }
 
-// advanceIdleUntil lets time pass without new arrays until something holds, but for no more than
+// advanceIdleUntil lets time pass without new arrays until something holds, for no more than
 // three minutes.
 func (c *zoneCluster) advanceIdleUntil(holds func() bool) bool {
 	for range 180 {
@@ -239,26 +257,26 @@
 	return holds()
 }
 
-// healAndCheck ends all troubles, and lists everything that is not as it should be.
+// healAndCheck ends all faults, and lists everything that is not as it must be then.
 func (c *zoneCluster) healAndCheck() []string {
 	clear(c.partitions)
-	for _, zone := range []wire.Zone{"a", "b", "c"} {
+	for _, zone := range allZones {
 		c.cloud.RestoreZone(zone)
 	}
 	c.healAndFinish()
-	faults := append(c.violations(), c.orderChecker.Violations()...)
+	violations := append(c.violations(), c.orderChecker.Violations()...)
 	for _, j := range c.services {
 		if !c.advanceIdleUntil(func() bool { return c.allReplicasRun(j) }) {
-			faults = append(faults, fmt.Sprintf("%s has %d of %d replicas\n%s", j.ID, c.invariants.RunningTasks(j.ID), j.TaskCount, c.statusPage()))
+			violations = append(violations, fmt.Sprintf("%s has %d of %d replicas\n%s", j.ID, c.invariants.RunningTasks(j.ID), j.TaskCount, c.statusPage()))
 		}
 	}
-	for _, zone := range []wire.Zone{"a", "b", "c"} {
-		recovering := func() bool { p := c.recordedPhase(zone); return p == "lost" || p == "returning" }
-		if !c.advanceIdleUntil(func() bool { return !recovering() }) {
-			faults = append(faults, fmt.Sprintf("zone %s is still %s\n%s", zone, c.recordedPhase(zone), c.statusPage()))
+	for _, zone := range allZones {
+		recovered := func() bool { phase := c.recordedPhase(zone); return phase != "lost" && phase != "returning" }
+		if !c.advanceIdleUntil(recovered) {
+			violations = append(violations, fmt.Sprintf("zone %s is still %s\n%s", zone, c.recordedPhase(zone), c.statusPage()))
 		}
 	}
-	return faults
+	return violations
 }
 
 // statusPage is what the leader's status page says, as the command prints it.
@@ -275,14 +293,15 @@
 	return page.String()
 }
 
-// runZoneScenario plays a scenario on a cluster with zone recovery, and has it end well.
+// runZoneScenario runs a scenario on a cluster with zone recovery, heals it and checks what is left.
 func runZoneScenario(t *testing.T, seed uint64, scenario func(t *testing.T, c *zoneCluster)) {
+	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		c := newZoneCluster(ctx, seed, true)
 		scenario(t, c)
-		for _, fault := range c.healAndCheck() {
-			t.Errorf("seed %d: %s", seed, fault)
+		for _, violation := range c.healAndCheck() {
+			t.Errorf("seed %d: %s", seed, violation)
 		}
 		cancel()
 		c.shutdown()
--- a/cmd/lynxledge/zone_measure_test.go
+++ b/cmd/lynxledge/zone_measure_test.go
@@ -13,7 +13,6 @@
 	"time"
 
 	"lynxledge/internal/config"
-	"lynxledge/internal/simulation"
 	"lynxledge/wire"
 )
 
@@ -94,9 +93,8 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		size := zoneClusterSize(recovery)
 		size.poolSize = machines / 6
-		c := newLoadedZoneCluster(ctx, seed, recovery, size, load, tweak)
-		s := c.cfg.Params.Store
-		c.store.SetLimits(simulation.StoreLimits{WriteRate: s.WriteRate, MaxValueKB: s.MaxValueKB, MaxTxnOps: s.MaxTxnOps})
+		c := newLoadedZoneCluster(ctx, seed, zoneClusterOptions{size: size, recovery: recovery, workload: load, adjust: tweak})
+		c.setStoreLimits()
 		c.advanceWithArrays(60)
 		m.machinesLost = len(c.machinesIn("a"))
 		begun := c.invariants.StartedTasks()
