--- a/cmd/lynxledge/zone_recovery_test.go
+++ b/cmd/lynxledge/zone_recovery_test.go
@@ -17,19 +17,16 @@
 	"lynxledge/wire"
 )
 
-// zoneScenarios are losses and returns of zones, with everything that may go wrong
-// besides.
+// zoneScenarios are losses and returns of zones, combined with other faults.
 var zoneScenarios = map[string]func(t *testing.T, c *zoneCluster){
 	"a zone dies and is rented anew": func(t *testing.T, c *zoneCluster) {
-		c.failZone("a")
-		c.mustReach(t, "a", "lost")
+		c.failUntilLost(t, "a")
 		c.advanceWithArrays(40)
 		c.healZone("a", 0)
 		c.mustLeave(t, "a", "lost")
 	},
 	"a zone is cut off, lives, and is back within a lease": func(t *testing.T, c *zoneCluster) {
-		c.partitionZone("a", false)
-		c.mustReach(t, "a", "lost")
+		c.partitionUntilLost(t, "a", false)
 		c.advanceWithArrays(8)
 		c.healZone("a", 0)
 		c.mustReach(t, "a", "returning")
@@ -46,37 +43,32 @@
 	},
 	"two flaps within a minute": func(t *testing.T, c *zoneCluster) {
 		for range 2 {
-			c.partitionZone("b", false)
-			c.mustReach(t, "b", "lost")
+			c.partitionUntilLost(t, "b", false)
 			c.advanceWithArrays(3)
 			c.healZone("b", 0)
 			c.advanceWithArrays(8)
 		}
 	},
 	"half of the machines return": func(t *testing.T, c *zoneCluster) {
-		c.partitionZone("a", false)
-		c.mustReach(t, "a", "lost")
+		c.partitionUntilLost(t, "a", false)
 		c.advanceWithArrays(10)
 		c.healZone("a", 2)
 		c.mustLeave(t, "a", "lost")
 	},
 	"the leader goes with the zone": func(t *testing.T, c *zoneCluster) {
 		zone := c.zoneOf(c.leader())
-		c.failZone(zone)
-		c.mustReach(t, zone, "lost")
+		c.failUntilLost(t, zone)
 		c.advanceWithArrays(20)
 		c.healZone(zone, 0)
 	},
 	"the controller that places goes with the zone": func(t *testing.T, c *zoneCluster) {
 		zone := c.zoneOf(c.scheduler())
-		c.partitionZone(zone, true)
-		c.mustReach(t, zone, "lost")
+		c.partitionUntilLost(t, zone, true)
 		c.advanceWithArrays(20)
 		c.healZone(zone, 0)
 	},
 	"the leader changes between two steps": func(t *testing.T, c *zoneCluster) {
-		c.partitionZone("a", false)
-		c.mustReach(t, "a", "lost")
+		c.partitionUntilLost(t, "a", false)
 		c.healZone("a", 0)
 		c.mustReach(t, "a", "returning")
 		before := c.recoveries()
@@ -87,8 +79,7 @@
 		}
 	},
 	"the leader dies while it writes a step": func(t *testing.T, c *zoneCluster) {
-		c.partitionZone("a", false)
-		c.mustReach(t, "a", "lost")
+		c.partitionUntilLost(t, "a", false)
 		c.store.SetDelayedCommits(0.5)
 		c.healZone("a", 0)
 		for range 6 {
@@ -100,8 +91,7 @@
 	"two zones are lost, overlapping": func(t *testing.T, c *zoneCluster) {
 		c.partitionZone("a", false)
 		c.advanceWithArrays(12)
-		c.failZone("b")
-		c.mustReach(t, "b", "lost")
+		c.failUntilLost(t, "b")
 		c.healZone("a", 0)
 		c.advanceWithArrays(15)
 		c.healZone("b", 0)
@@ -116,8 +106,7 @@
 		c.healZone("a", 0)
 	},
 	"the state service is away for the return": func(t *testing.T, c *zoneCluster) {
-		c.partitionZone("a", false)
-		c.mustReach(t, "a", "lost")
+		c.partitionUntilLost(t, "a", false)
 		c.store.SetOutage(true)
 		c.advanceWithArrays(5)
 		c.healZone("a", 0)
@@ -125,8 +114,7 @@
 		c.store.SetOutage(false)
 	},
 	"the state service is away in between": func(t *testing.T, c *zoneCluster) {
-		c.partitionZone("a", false)
-		c.mustReach(t, "a", "lost")
+		c.partitionUntilLost(t, "a", false)
 		c.store.SetOutage(true)
 		c.advanceWithArrays(10)
 		c.store.SetOutage(false)
@@ -144,8 +132,7 @@
 	"the zone is the only one that a service allows": func(t *testing.T, c *zoneCluster) {
 		j := c.submitService(2, func(j *wire.Job) { j.Zone, j.SpreadZones = "a", false })
 		c.advanceWithArrays(30)
-		c.failZone("a")
-		c.mustReach(t, "a", "lost")
+		c.failUntilLost(t, "a")
 		c.advanceWithArrays(30)
 		if n := c.invariants.RunningTasks(j.ID); n != 0 {
 			t.Errorf("%d replicas run in a zone that is gone", n)
@@ -157,16 +144,14 @@
 			c.submitService(6, func(j *wire.Job) { j.Zone, j.SpreadZones = zone, false })
 		}
 		c.advanceWithArrays(45)
-		c.failZone("a")
-		c.mustReach(t, "a", "lost")
+		c.failUntilLost(t, "a")
 		c.advanceWithArrays(60)
 		c.healZone("a", 0)
 	},
 	"urgent work while a service can't be placed anywhere": func(t *testing.T, c *zoneCluster) {
 		c.submitService(2, func(j *wire.Job) { j.Zone, j.SpreadZones, j.Priority = "a", false, wire.PriorityProduction })
 		c.advanceWithArrays(30)
-		c.failZone("a")
-		c.mustReach(t, "a", "lost")
+		c.failUntilLost(t, "a")
 		due := wire.Seconds(30)
 		c.submitArray("req-900000", "blue", 2, 5*time.Second, func(j *wire.Job) { j.Priority, j.Deadline = wire.PriorityHigh, &due })
 		c.advanceWithArrays(30)
@@ -177,8 +162,23 @@
 	},
 }
 
+// partitionUntilLost partitions a zone until it is recorded as lost.
+func (c *zoneCluster) partitionUntilLost(t *testing.T, zone wire.Zone, holdMessages bool) {
+	t.Helper()
+	c.partitionZone(zone, holdMessages)
+	c.mustReach(t, zone, "lost")
+}
+
+// failUntilLost stops a zone's machines and controllers until it is recorded as lost.
+func (c *zoneCluster) failUntilLost(t *testing.T, zone wire.Zone) {
+	t.Helper()
+	c.failZone(zone)
+	c.mustReach(t, zone, "lost")
+}
+
 // mustReach lets time pass until a zone's recorded phase is reached.
 func (c *zoneCluster) mustReach(t *testing.T, zone wire.Zone, phase string) {
+	t.Helper()
 	if !c.advanceUntil(60, func() bool { return c.recordedPhase(zone) == phase }) {
 		t.Errorf("zone %s is not %s but %s", zone, phase, c.recordedPhase(zone))
 	}
@@ -186,22 +186,23 @@
 
 // mustLeave lets time pass until a zone's recorded phase is another.
 func (c *zoneCluster) mustLeave(t *testing.T, zone wire.Zone, phase string) {
+	t.Helper()
 	if !c.advanceUntil(120, func() bool { return c.recordedPhase(zone) != phase }) {
 		t.Errorf("zone %s is still %s", zone, phase)
 	}
 }
 
-// recoveries is the recovery record as it stands.
+// recoveries is the stored record of recoveries, nil if there is none.
 func (c *zoneCluster) recoveries() *statecache.ZoneRecoveries {
 	raw := c.store.Value(statecache.ZoneRecoveryKey)
 	if raw == nil {
 		return nil
 	}
-	r := &statecache.ZoneRecoveries{}
-	if json.Unmarshal(raw, r) != nil {
+	record := &statecache.ZoneRecoveries{}
+	if json.Unmarshal(raw, record) != nil {
 		return nil
 	}
-	return r
+	return record
 }
 
 // After every loss and return no rule is broken, no array was placed ahead of a service
@@ -234,14 +235,35 @@
 	})
 }
 
-// zoneFault is one thing that happens to zones.
+// zoneFault is one injected event: a fault of a zone, the store or a controller, or its end.
 type zoneFault struct {
-	kind    string
+	kind    zoneFaultKind
 	zone    wire.Zone
-	seconds int
+	seconds int // until the next
 }
 
-var zoneFaultKinds = []string{"cut", "hold", "kill", "heal", "heal", "heal half", "outage", "recover", "bounce leader", "bounce placer", "repeat", "calm"}
+type zoneFaultKind string
+
+const (
+	zoneFaultPartition             zoneFaultKind = "partition"
+	zoneFaultPartitionHold         zoneFaultKind = "partition, messages held"
+	zoneFaultFail                  zoneFaultKind = "fail"
+	zoneFaultHeal                  zoneFaultKind = "heal"
+	zoneFaultHealHalf              zoneFaultKind = "heal half"
+	zoneFaultStoreOutage           zoneFaultKind = "store outage"
+	zoneFaultEndStoreOutage        zoneFaultKind = "end store outage"
+	zoneFaultRestartLeader         zoneFaultKind = "fast restart of leader"
+	zoneFaultRestartScheduler      zoneFaultKind = "fast restart of scheduler"
+	zoneFaultMessageDuplication    zoneFaultKind = "message duplication"
+	zoneFaultEndLossAndDuplication zoneFaultKind = "end message loss and duplication"
+)
+
+// zoneFaultKinds are sampled; one that is listed twice is more likely. The order is part of every
+// generated sequence.
+var zoneFaultKinds = []zoneFaultKind{
+	zoneFaultPartition, zoneFaultPartitionHold, zoneFaultFail, zoneFaultHeal, zoneFaultHeal, zoneFaultHealHalf, zoneFaultStoreOutage,
+	zoneFaultEndStoreOutage, zoneFaultRestartLeader, zoneFaultRestartScheduler, zoneFaultMessageDuplication, zoneFaultEndLossAndDuplication,
+}
 
 func genZoneFaults() *rapid.Generator[[]zoneFault] {
 	return rapid.SliceOfN(rapid.Custom(func(t *rapid.T) zoneFault {
@@ -253,28 +275,25 @@
 	}), 4, 16)
 }
 
-func (c *zoneCluster) inject(a zoneFault) {
-	switch a.kind {
-	case "cut", "hold":
-		c.partitionZone(a.zone, a.kind == "hold")
-	case "kill":
-		c.failZone(a.zone)
-	case "heal":
-		c.healZone(a.zone, 0)
-	case "heal half":
-		c.healZone(a.zone, 2)
-	case "outage", "recover":
-		c.store.SetOutage(a.kind == "outage")
-	case "bounce leader":
-		c.fastRestart(c.leader())
-	case "bounce placer":
-		c.fastRestart(c.scheduler())
-	case "repeat":
-		c.network.SetLossAndDuplication(0.02, 0.3)
-	case "calm":
-		c.network.SetLossAndDuplication(0, 0)
-	}
-	c.advanceWithArrays(a.seconds)
+// zoneInjections has what each kind of fault does.
+var zoneInjections = map[zoneFaultKind]func(*zoneCluster, wire.Zone){
+	zoneFaultPartition:             func(c *zoneCluster, zone wire.Zone) { c.partitionZone(zone, false) },
+	zoneFaultPartitionHold:         func(c *zoneCluster, zone wire.Zone) { c.partitionZone(zone, true) },
+	zoneFaultFail:                  (*zoneCluster).failZone,
+	zoneFaultHeal:                  func(c *zoneCluster, zone wire.Zone) { c.healZone(zone, 0) },
+	zoneFaultHealHalf:              func(c *zoneCluster, zone wire.Zone) { c.healZone(zone, 2) },
+	zoneFaultStoreOutage:           func(c *zoneCluster, _ wire.Zone) { c.store.SetOutage(true) },
+	zoneFaultEndStoreOutage:        func(c *zoneCluster, _ wire.Zone) { c.store.SetOutage(false) },
+	zoneFaultRestartLeader:         func(c *zoneCluster, _ wire.Zone) { c.fastRestart(c.leader()) },
+	zoneFaultRestartScheduler:      func(c *zoneCluster, _ wire.Zone) { c.fastRestart(c.scheduler()) },
+	zoneFaultMessageDuplication:    func(c *zoneCluster, _ wire.Zone) { c.network.SetLossAndDuplication(0.02, 0.3) },
+	zoneFaultEndLossAndDuplication: func(c *zoneCluster, _ wire.Zone) { c.network.SetLossAndDuplication(0, 0) },
+}
+
+// inject injects a fault, and lets some time pass.
+func (c *zoneCluster) inject(f zoneFault) {
+	zoneInjections[f.kind](c, f.zone)
+	c.advanceWithArrays(f.seconds)
 }
 
 // Whatever happens to zones: no rule is broken, no array goes ahead of a service while a
@@ -283,11 +302,11 @@
 	for seed := range generatedSequences {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			acts := genZoneFaults().Example(seed)
-			t.Log(acts)
+			faults := genZoneFaults().Example(seed)
+			t.Log(faults)
 			runZoneScenario(t, uint64(seed), func(_ *testing.T, c *zoneCluster) {
-				for _, a := range acts {
-					c.inject(a)
+				for _, f := range faults {
+					c.inject(f)
 				}
 			})
 		})
@@ -333,8 +352,7 @@
 		c := newZoneCluster(ctx, 3, true)
 		c.submitService(2, func(j *wire.Job) { j.Zone, j.SpreadZones = "a", false })
 		c.advanceWithArrays(20)
-		c.failZone("a")
-		c.mustReach(t, "a", "lost")
+		c.failUntilLost(t, "a")
 		c.advanceWithArrays(2)
 		page := c.statusPage()
 		for _, part := range []string{"as n", "all members know the record: true", "lost", "machines down", "no machine of an allowed kind is up"} {
