--- /dev/null
+++ b/internal/simulation/cloud_faults.go
@@ -0,0 +1,93 @@
+package simulation
+
+import (
+	"time"
+
+	"lynxledge/wire"
+)
+
+// StallBoots makes the next n machines never come up.
+func (c *Cloud) StallBoots(n int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.stuckBoots = n
+}
+
+// FailMachine stops the i-th machine that is up, with everything on it; taken: the
+// cloud takes it back, and it is not listed any more.
+func (c *Cloud) FailMachine(i int, taken bool) wire.MachineID {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	up := c.runningMachines()
+	if len(up) == 0 {
+		return ""
+	}
+	h := c.machines[up[i%len(up)]]
+	h.worker.Kill()
+	h.State = wire.InstanceFailed
+	if taken {
+		delete(c.machines, h.ID)
+	}
+	return h.ID
+}
+
+// FailZone stops every machine of a zone, and rents none there until the zone is opened
+// again.
+func (c *Cloud) FailZone(zone wire.Zone) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.failedZones[zone] = true
+	for _, h := range c.machines {
+		if h.Zone != zone {
+			continue
+		}
+		if h.worker != nil {
+			h.worker.Kill()
+		}
+		h.State = wire.InstanceFailed
+	}
+}
+
+// RestoreZone rents machines of a zone again.
+func (c *Cloud) RestoreZone(zone wire.Zone) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	delete(c.failedZones, zone)
+}
+
+// PauseMachine makes a machine stand still for a while.
+func (c *Cloud) PauseMachine(id wire.MachineID, d time.Duration) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if h := c.machines[id]; h != nil && h.worker != nil {
+		h.worker.Pause(d)
+	}
+}
+
+// FastRestart restarts a machine at once.
+func (c *Cloud) FastRestart(id wire.MachineID) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if h := c.machines[id]; h != nil && h.worker != nil {
+		h.worker.FastRestart()
+	}
+}
+
+// NotifyPreemption gives a machine notice that it will be taken, which happens then.
+func (c *Cloud) NotifyPreemption(id wire.MachineID, notice wire.Seconds) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	h := c.machines[id]
+	if h == nil || h.worker == nil {
+		return
+	}
+	h.worker.NotifyPreemption(notice)
+	time.AfterFunc(notice.Duration(), func() {
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		if c.machines[id] == h {
+			h.worker.Kill()
+			delete(c.machines, id)
+		}
+	})
+}
--- /dev/null
+++ b/internal/simulation/idle_capacity.go
@@ -0,0 +1,138 @@
+package simulation
+
+import (
+	"slices"
+	"time"
+
+	"lynxledge/wire"
+)
+
+// maxIdleWait is how long a task may wait, once all faults are over, although a machine that it
+// may run on has free capacity.
+const maxIdleWait = 90 * time.Second
+
+// CheckIdleCapacity checks that no accepted job is left waiting while a machine that is up has
+// had capacity for it all the time and its team was under its limit.
+//
+// The capacity has to be one machine's: where all machines are in use, at any moment one of
+// them has just ended a task and not started the next.
+func (c *InvariantChecker) CheckIdleCapacity(up []wire.Instance, types []wire.MachineType) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if !c.faultsOver {
+		return
+	}
+	now := time.Now()
+	running := c.recordFreeCapacity(up, types, now)
+	for id, record := range c.jobs {
+		j := record.job
+		limit := c.teams[j.Team].MaxCPUs
+		if !record.accepted || record.finalState != "" || record.cancellationRequested || c.awaitsDependencies(record) || len(record.completed)+running[id] >= j.TaskCount ||
+			limit > 0 && c.usedCPUs[j.Team]+j.CPUs > limit || c.machineWithCapacity(record, up, now) == "" {
+			record.waitsBesideCapacitySince = time.Time{}
+			continue
+		}
+		if record.waitsBesideCapacitySince.IsZero() {
+			record.waitsBesideCapacitySince = now
+		}
+		since := now.Add(-maxIdleWait)
+		if !record.waitsBesideCapacitySince.Before(since) {
+			continue
+		}
+		if machine := c.machineWithCapacity(record, up, since); machine != "" {
+			c.violation("left waiting: %s (%d of %d done, %d run) beside room for it on %s", id, len(record.completed), j.TaskCount, running[id], machine)
+			record.waitsBesideCapacitySince = now
+		}
+	}
+}
+
+// recordFreeCapacity notes how much of each machine that is up is free, and counts each job's
+// tasks that are on machines.
+func (c *InvariantChecker) recordFreeCapacity(up []wire.Instance, types []wire.MachineType, now time.Time) (running map[wire.JobID]int) {
+	used := map[wire.MachineID]capacity{}
+	running = map[wire.JobID]int{}
+	for task, instance := range c.running {
+		id, _, _ := wire.ParseTaskID(task)
+		running[id]++
+		j, u := c.jobs[id].job, used[instance.ID]
+		used[instance.ID] = capacity{u.cpus + j.CPUs, u.memoryGB + j.MemoryGB}
+	}
+	former := c.freeCapacity
+	c.freeCapacity = make(map[wire.MachineID]*freeCapacity, len(up))
+	for _, instance := range up {
+		i := slices.IndexFunc(types, func(x wire.MachineType) bool { return x.Name == instance.MachineType })
+		if i < 0 {
+			continue
+		}
+		free := former[instance.ID]
+		if free == nil {
+			free = &freeCapacity{firstSeenAt: now}
+		}
+		c.freeCapacity[instance.ID] = free
+		u := used[instance.ID]
+		free.add(now, capacity{types[i].CPUs - u.cpus, types[i].MemoryGB - u.memoryGB})
+	}
+	return running
+}
+
+// machineWithCapacity names a machine that is up, on which one more task of a job may start, and
+// that has had capacity for it at all times since then, if there is one.
+func (c *InvariantChecker) machineWithCapacity(record *jobRecord, up []wire.Instance, since time.Time) wire.MachineID {
+	i := slices.IndexFunc(up, func(instance wire.Instance) bool {
+		free := c.freeCapacity[instance.ID]
+		if free == nil || free.firstSeenAt.After(since) {
+			return false
+		}
+		least := free.least(since)
+		return record.job.CPUs <= least.cpus+1e-6 && record.job.MemoryGB <= least.memoryGB+1e-6 && record.mayStart(instance)
+	})
+	if i < 0 {
+		return ""
+	}
+	return up[i].ID
+}
+
+type capacity struct{ cpus, memoryGB float64 }
+
+// freeCapacity is how much of a machine has been free.
+type freeCapacity struct {
+	firstSeenAt time.Time // when it was first seen up
+	cpus        slidingMinimum
+	memoryGB    slidingMinimum
+}
+
+func (f *freeCapacity) add(now time.Time, free capacity) {
+	f.cpus.add(now, free.cpus)
+	f.memoryGB.add(now, free.memoryGB)
+}
+
+// least is what was free at all times since then.
+func (f *freeCapacity) least(since time.Time) capacity {
+	return capacity{f.cpus.since(since), f.memoryGB.since(since)}
+}
+
+// slidingMinimum holds the samples that may be the least of some time up to now: each is
+// less than those after it. Samples older than mayWait are dropped, but for the last.
+type slidingMinimum []sample
+
+type sample struct {
+	at    time.Time // until then it stood
+	value float64
+}
+
+func (s *slidingMinimum) add(now time.Time, value float64) {
+	samples := *s
+	for len(samples) > 0 && samples[len(samples)-1].value >= value {
+		samples = samples[:len(samples)-1]
+	}
+	for len(samples) > 0 && now.Sub(samples[0].at) > maxIdleWait {
+		samples = samples[1:]
+	}
+	*s = append(samples, sample{now, value})
+}
+
+// since is the least sample taken at that time or later.
+func (s slidingMinimum) since(at time.Time) float64 {
+	i, _ := slices.BinarySearchFunc(s, at, func(x sample, at time.Time) int { return x.at.Compare(at) })
+	return s[min(i, len(s)-1)].value
+}
--- a/internal/simulation/invariants.go
+++ b/internal/simulation/invariants.go
@@ -11,22 +11,24 @@
 	"lynxledge/wire"
 )
 
-// InvariantChecker watches what workers do and users are told, and keeps every breach.
+// InvariantChecker follows what workers do and what users are told, and keeps every violation of
+// the protocol's rules.
 type InvariantChecker struct {
 	mu                      sync.Mutex
 	teams                   map[wire.TeamName]config.TeamQuota
 	cancellationDeadline    time.Duration
 	jobs                    map[wire.JobID]*jobRecord
 	running                 map[wire.TaskID]wire.Instance // task: machine
-	usedCPUs                map[wire.TeamName]float64     // processors, by team
+	usedCPUs                map[wire.TeamName]float64
 	violations              []string
 	started                 int
 	startsAfterCancellation int // tasks ordered to start after their job's confirmed cancellation
 	faultsOver              bool
 	onCompletion            func(*wire.Job)
-	freeCapacity            map[wire.MachineID]*freeCapacity // of machines that are up, by name
+	freeCapacity            map[wire.MachineID]*freeCapacity // of running machines
 }
 
+// jobRecord is what the checker knows of a job.
 type jobRecord struct {
 	job                      *wire.Job
 	runTime                  time.Duration
@@ -34,17 +36,17 @@
 	runningByZone            map[wire.Zone]int // its tasks that are on machines
 	accepted                 bool
 	finalState               wire.JobState
-	cancellationRequested    bool // to cancel
+	cancellationRequested    bool
 	submittedAt              time.Time
-	firstTaskStartedAt       time.Time // when its first task started
+	firstTaskStartedAt       time.Time
 	answeredAt               time.Time // when a question about it was last answered
 	cancelledAt              time.Time
-	waitsBesideCapacitySince time.Time // since when a task waits beside room that it may use
+	waitsBesideCapacitySince time.Time // since when a task waits although a machine has capacity for it
 }
 
-// NewInvariantChecker makes a checker.
+// NewInvariantChecker returns a checker of a deployment.
 func NewInvariantChecker(p config.Params) *InvariantChecker {
-	r := &InvariantChecker{
+	c := &InvariantChecker{
 		teams:                map[wire.TeamName]config.TeamQuota{},
 		cancellationDeadline: p.Workers.CancellationDeadline,
 		jobs:                 map[wire.JobID]*jobRecord{},
@@ -52,371 +54,164 @@
 		usedCPUs:             map[wire.TeamName]float64{},
 		freeCapacity:         map[wire.MachineID]*freeCapacity{},
 	}
-	for _, t := range p.Teams {
-		r.teams[t.Name] = t
+	for _, team := range p.Teams {
+		c.teams[team.Name] = team
 	}
-	return r
+	return c
 }
 
-func (r *InvariantChecker) violation(format string, args ...any) {
-	r.violations = append(r.violations, fmt.Sprintf(format, args...))
+func (c *InvariantChecker) violation(format string, args ...any) {
+	c.violations = append(c.violations, fmt.Sprintf(format, args...))
 }
 
-// Violations lists what was broken.
-func (r *InvariantChecker) Violations() []string {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return slices.Clone(r.violations)
+// Violations lists the violations found so far.
+func (c *InvariantChecker) Violations() []string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return slices.Clone(c.violations)
 }
 
-// StartedTasks is the number of tasks started.
-func (r *InvariantChecker) StartedTasks() int {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.started
+// Submitted registers a job before its first submission. Its tasks run for a time.
+func (c *InvariantChecker) Submitted(j *wire.Job, runTime time.Duration) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.jobs[j.ID] == nil {
+		c.jobs[j.ID] = &jobRecord{job: j, runTime: runTime, completed: map[int]bool{}, runningByZone: map[wire.Zone]int{}, submittedAt: time.Now()}
+	}
 }
 
-// Submitted registers a job before its first submission.
-func (r *InvariantChecker) Submitted(j *wire.Job, run time.Duration) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.jobs[j.ID] == nil {
-		r.jobs[j.ID] = &jobRecord{job: j, runTime: run, completed: map[int]bool{}, runningByZone: map[wire.Zone]int{}, submittedAt: time.Now()}
-	}
+// Accepted tells whether a user knows that a job was accepted.
+func (c *InvariantChecker) Accepted(id wire.JobID) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.jobs[id].accepted
+}
+
+// OnJobCompleted sets what happens at the moment at which the last task of an array completes;
+// nil: nothing.
+func (c *InvariantChecker) OnJobCompleted(f func(*wire.Job)) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.onCompletion = f
 }
 
-// OnJobCompleted sets what happens at the moment at which the last task of an array
-// completes.
-func (r *InvariantChecker) OnJobCompleted(f func(*wire.Job)) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.onCompletion = f
+// CancellationRequested notes that the user wants a job cancelled.
+func (c *InvariantChecker) CancellationRequested(id wire.JobID) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if record := c.jobs[id]; record != nil {
+		record.cancellationRequested = true
+	}
 }
 
-// StartsAfterCancellation is how many tasks were ordered to start after their users were told
-// that the job is cancelled.
-func (r *InvariantChecker) StartsAfterCancellation() int {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.startsAfterCancellation
+// FaultsOver begins the time after all faults: from then on every job must be answered for.
+func (c *InvariantChecker) FaultsOver() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.faultsOver = true
+	for _, record := range c.jobs {
+		record.answeredAt, record.waitsBesideCapacitySince = time.Now(), time.Time{}
+	}
 }
 
-// RunTime is how long a task runs on a worker that is ordered to start it.
-func (r *InvariantChecker) RunTime(task wire.TaskID) (run time.Duration, forever bool, err error) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
+// RunTime is how long a task runs on a worker that is commanded to launch it.
+func (c *InvariantChecker) RunTime(task wire.TaskID) (runTime time.Duration, forever bool, err error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	id, _, ok := wire.ParseTaskID(task)
-	t := r.jobs[id]
-	if !ok || t == nil {
+	record := c.jobs[id]
+	if !ok || record == nil {
 		return 0, false, errors.New("unknown")
 	}
-	if !t.cancelledAt.IsZero() {
-		r.startsAfterCancellation++
+	if !record.cancelledAt.IsZero() {
+		c.startsAfterCancellation++
 	}
-	return t.runTime, t.job.IsService(), nil
+	return record.runTime, record.job.IsService(), nil
 }
 
-// TaskStarted checks a start.
-func (r *InvariantChecker) TaskStarted(h wire.Instance, task wire.TaskID) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.started++
-	id, _, _ := wire.ParseTaskID(task)
-	t := r.jobs[id]
-	if other, ok := r.running[task]; ok {
-		r.violation("ran_twice: %s starts on %s while on %s", task, h.ID, other.ID)
-	}
-	j := t.job
-	for _, before := range j.Dependencies {
-		if b := r.jobs[before]; len(b.completed) < b.job.TaskCount {
-			r.violation("too_early: %s starts with %d of %d tasks of %s done", task, len(b.completed), b.job.TaskCount, before)
-		}
-	}
-	if !t.mayStart(h) {
-		r.violation("wrong_place: %s on %s (%s %s spot=%v), its tasks by zone: %v", task, h.ID, h.MachineType, h.Zone, h.Spot, t.runningByZone)
-	}
-	if t.firstTaskStartedAt.IsZero() {
-		t.firstTaskStartedAt = time.Now()
-	}
-	r.removeRunning(task)
-	r.running[task] = h
-	t.runningByZone[h.Zone]++
-	r.usedCPUs[j.Team] += j.CPUs
-	if used, max := r.usedCPUs[j.Team], r.teams[j.Team].MaxCPUs; max > 0 && used > max+1e-6 {
-		r.violation("quota: %s uses %v of %v", j.Team, used, max)
-	}
-	if !t.cancelledAt.IsZero() && time.Since(t.cancelledAt) > r.cancellationDeadline {
-		r.violation("ran_cancelled: %s starts %v after", task, time.Since(t.cancelledAt))
+// TaskEnded records that a task is no longer on a machine.
+func (c *InvariantChecker) TaskEnded(machine wire.MachineID, task wire.TaskID) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.running[task].ID == machine {
+		c.removeRunning(task)
 	}
 }
 
-// TaskEnded takes a task off its machine.
-func (r *InvariantChecker) TaskEnded(machine wire.MachineID, task wire.TaskID) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.running[task].ID == machine {
-		r.removeRunning(task)
-	}
+// addRunning takes a task into the sums, in place of where it was; the caller holds the lock.
+func (c *InvariantChecker) addRunning(record *jobRecord, task wire.TaskID, instance wire.Instance) {
+	c.removeRunning(task)
+	c.running[task] = instance
+	record.runningByZone[instance.Zone]++
+	c.usedCPUs[record.job.Team] += record.job.CPUs
 }
 
 // removeRunning takes a task out of the sums; the caller holds the lock.
-func (r *InvariantChecker) removeRunning(task wire.TaskID) {
-	h, ok := r.running[task]
+func (c *InvariantChecker) removeRunning(task wire.TaskID) {
+	instance, ok := c.running[task]
 	if !ok {
 		return
 	}
 	id, _, _ := wire.ParseTaskID(task)
-	t := r.jobs[id]
-	t.runningByZone[h.Zone]--
-	r.usedCPUs[t.job.Team] -= t.job.CPUs
-	delete(r.running, task)
+	record := c.jobs[id]
+	record.runningByZone[instance.Zone]--
+	c.usedCPUs[record.job.Team] -= record.job.CPUs
+	delete(c.running, task)
 }
 
-// TaskCompleted notes a completed task.
-func (r *InvariantChecker) TaskCompleted(task wire.TaskID) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
+// TaskCompleted records that a task completed.
+func (c *InvariantChecker) TaskCompleted(task wire.TaskID) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	id, n, _ := wire.ParseTaskID(task)
-	t := r.jobs[id]
-	fresh := !t.completed[n]
-	t.completed[n] = true
-	if r.onCompletion != nil && fresh && len(t.completed) == t.job.TaskCount {
-		go r.onCompletion(t.job)
-	}
-}
-
-// CheckCancelled checks what holds at all times.
-func (r *InvariantChecker) CheckCancelled() {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for task := range r.running {
-		id, _, _ := wire.ParseTaskID(task)
-		if t := r.jobs[id]; !t.cancelledAt.IsZero() && time.Since(t.cancelledAt) > r.cancellationDeadline {
-			r.violation("ran_cancelled: %s is on a machine %v after", task, time.Since(t.cancelledAt))
-		}
-	}
-}
-
-// CancellationRequested notes that the user wants a job cancelled.
-func (r *InvariantChecker) CancellationRequested(id wire.JobID) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if t := r.jobs[id]; t != nil {
-		t.cancellationRequested = true
+	record := c.jobs[id]
+	fresh := !record.completed[n]
+	record.completed[n] = true
+	if c.onCompletion != nil && fresh && len(record.completed) == record.job.TaskCount {
+		go c.onCompletion(record.job)
 	}
 }
 
-// MalformedRequest checks the answer to a submission that no controller may accept.
-func (r *InvariantChecker) MalformedRequest(body string, status int) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if status == 200 || status == 201 {
-		r.violation("accepted: %s", body)
-	}
-}
-
-// JobAnswered checks an answer: status 201, 200 or 404 for a job, with its state.
-func (r *InvariantChecker) JobAnswered(id wire.JobID, status int, state wire.JobState) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	t := r.jobs[id]
-	switch {
-	case t == nil && status == 200:
-		r.violation("invented: %s is %s", id, state)
-		return
-	case t == nil:
-		return
-	case t.accepted && (status == 404 || status == 400 || status == 422):
-		r.violation("forgotten: %s gets %d", id, status)
-		return
-	case status != 200 && status != 201:
-		return
-	}
-	t.accepted, t.answeredAt = true, time.Now()
-	final := state == wire.JobDone || state == wire.JobCancelled
-	asked, told := r.cancellation(t)
-	if !final && !told.IsZero() && time.Since(told) > r.cancellationDeadline {
-		r.violation("orphaned: %s is %s %v after a job before it was cancelled", id, state, time.Since(told))
-	}
-	if t.finalState != "" && state != t.finalState {
-		r.violation("went_back: %s was %s, is %s", id, t.finalState, state)
-	}
-	if state == wire.JobDone && len(t.completed) < t.job.TaskCount {
-		r.violation("not_done: %s with %d of %d", id, len(t.completed), t.job.TaskCount)
-	}
-	if state == wire.JobCancelled && !asked {
-		r.violation("went_back: %s is called cancelled", id)
-	}
-	if final && t.finalState == "" {
-		t.finalState = state
-		if state == wire.JobCancelled {
-			t.cancelledAt = time.Now()
-		}
-	}
-}
-
-// cancellation tells whether the cancellation of a job, or of one before it, was asked
-// for, and since when a user knows of one.
-func (r *InvariantChecker) cancellation(t *jobRecord) (asked bool, since time.Time) {
+// cancellation tells whether the cancellation of a job, or of one that it depends on, was
+// requested, and since when a user knows of one.
+func (c *InvariantChecker) cancellation(record *jobRecord) (requested bool, since time.Time) {
 	seen := map[*jobRecord]bool{}
-	for todo := []*jobRecord{t}; len(todo) > 0; {
-		t, todo = todo[len(todo)-1], todo[:len(todo)-1]
-		if t == nil || seen[t] {
+	for todo := []*jobRecord{record}; len(todo) > 0; {
+		record, todo = todo[len(todo)-1], todo[:len(todo)-1]
+		if record == nil || seen[record] {
 			continue
 		}
-		seen[t] = true
-		asked = asked || t.cancellationRequested
-		if !t.cancelledAt.IsZero() && (since.IsZero() || t.cancelledAt.Before(since)) {
-			since = t.cancelledAt
+		seen[record] = true
+		requested = requested || record.cancellationRequested
+		if !record.cancelledAt.IsZero() && (since.IsZero() || record.cancelledAt.Before(since)) {
+			since = record.cancelledAt
 		}
-		for _, before := range t.job.Dependencies {
-			todo = append(todo, r.jobs[before])
+		for _, dependency := range record.job.Dependencies {
+			todo = append(todo, c.jobs[dependency])
 		}
 	}
-	return asked, since
-}
-
-// Accepted tells whether a user knows that a job was accepted.
-func (r *InvariantChecker) Accepted(id wire.JobID) bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.jobs[id].accepted
+	return requested, since
 }
 
-// awaitsDependencies tells whether a job waits for others.
-func (r *InvariantChecker) awaitsDependencies(t *jobRecord) bool {
-	return slices.ContainsFunc(t.job.Dependencies, func(before wire.JobID) bool {
-		b := r.jobs[before]
-		return len(b.completed) < b.job.TaskCount || b.finalState != wire.JobDone
+// awaitsDependencies tells whether a job waits for jobs that it depends on.
+func (c *InvariantChecker) awaitsDependencies(record *jobRecord) bool {
+	return slices.ContainsFunc(record.job.Dependencies, func(id wire.JobID) bool {
+		dependency := c.jobs[id]
+		return len(dependency.completed) < dependency.job.TaskCount || dependency.finalState != wire.JobDone
 	})
 }
 
-// FaultsOver begins the time after all troubles: from here on every job must be
-// answered for.
-func (r *InvariantChecker) FaultsOver() {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.faultsOver = true
-	for _, t := range r.jobs {
-		t.answeredAt, t.waitsBesideCapacitySince = time.Now(), time.Time{}
-	}
-}
-
 // mayStart tells whether the job allows a machine, given its tasks that are on
 // machines.
-func (t *jobRecord) mayStart(h wire.Instance) bool {
-	j, inZone, elsewhere := t.job, t.runningByZone[h.Zone], 0
-	for z, n := range t.runningByZone {
-		if z != h.Zone {
-			elsewhere += n
+func (r *jobRecord) mayStart(instance wire.Instance) bool {
+	j, inZone, elsewhere := r.job, r.runningByZone[instance.Zone], 0
+	for zone, tasks := range r.runningByZone {
+		if zone != instance.Zone {
+			elsewhere += tasks
 		}
 	}
-	return (len(j.MachineTypes) == 0 || slices.Contains(j.MachineTypes, h.MachineType)) && (j.Zone == "" || j.Zone == h.Zone) && (!h.Spot || j.AllowSpot) &&
+	return (len(j.MachineTypes) == 0 || slices.Contains(j.MachineTypes, instance.MachineType)) &&
+		(j.Zone == "" || j.Zone == instance.Zone) &&
+		(!instance.Spot || j.AllowSpot) &&
 		(!j.SingleZone || elsewhere == 0) && (!j.SpreadZones || inZone < (j.TaskCount+1)/2)
 }
-
-// CheckUnanswered checks that no question went unanswered for too long.
-func (r *InvariantChecker) CheckUnanswered() {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for id, t := range r.jobs {
-		if t.accepted && t.finalState == "" && time.Since(t.answeredAt) > 75*time.Second {
-			r.violation("forgotten: %s is not answered for", id)
-			t.answeredAt = time.Now()
-		}
-	}
-}
-
-// FirstTaskStartedAt is when a job's first task started; zero if none did.
-func (r *InvariantChecker) FirstTaskStartedAt(id wire.JobID) time.Time {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.jobs[id].firstTaskStartedAt
-}
-
-// RunningTasks counts the tasks of jobs that are on machines.
-func (r *InvariantChecker) RunningTasks(jobs ...wire.JobID) int {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	n := 0
-	for task := range r.running {
-		if id, _, _ := wire.ParseTaskID(task); slices.Contains(jobs, id) {
-			n++
-		}
-	}
-	return n
-}
-
-// DegradedServices lists accepted services, not cancelled, of which fewer than half of
-// the replicas run.
-func (r *InvariantChecker) DegradedServices() []wire.JobID {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	on := map[wire.JobID]int{}
-	for task := range r.running {
-		id, _, _ := wire.ParseTaskID(task)
-		on[id]++
-	}
-	var out []wire.JobID
-	for id, t := range r.jobs {
-		if t.accepted && t.finalState == "" && !t.cancellationRequested && t.job.IsService() && 2*on[id] < t.job.TaskCount {
-			out = append(out, id)
-		}
-	}
-	slices.Sort(out)
-	return out
-}
-
-// UnfinishedJobs lists jobs that were accepted and are not over.
-func (r *InvariantChecker) UnfinishedJobs() []wire.JobID {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	var out []wire.JobID
-	for id, t := range r.jobs {
-		if t.accepted && t.finalState == "" && !t.job.IsService() {
-			out = append(out, id)
-		}
-	}
-	slices.Sort(out)
-	return out
-}
-
-// UnservedWork lists the classes, teams and largest jobs of a class of which fewer
-// than half of the accepted jobs, but for those whose users wanted them
-// cancelled, began within a time.
-func (r *InvariantChecker) UnservedWork(within time.Duration) []string {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	largest := map[string]int{}
-	for _, t := range r.jobs {
-		largest[t.job.Class] = max(largest[t.job.Class], t.job.TaskCount)
-	}
-	type count struct{ begun, all int }
-	counts := map[string]*count{}
-	for _, t := range r.jobs {
-		if !t.accepted || t.cancellationRequested || time.Since(t.submittedAt) < within {
-			continue
-		}
-		names := []string{"class " + t.job.Class, "team " + string(t.job.Team)}
-		if 2*t.job.TaskCount > largest[t.job.Class] {
-			names = append(names, "largest of "+t.job.Class)
-		}
-		for _, n := range names {
-			if counts[n] == nil {
-				counts[n] = &count{}
-			}
-			counts[n].all++
-			if !t.firstTaskStartedAt.IsZero() && t.firstTaskStartedAt.Sub(t.submittedAt) <= within {
-				counts[n].begun++
-			}
-		}
-	}
-	var out []string
-	for n, c := range counts {
-		if 2*c.begun < c.all {
-			out = append(out, fmt.Sprintf("%s: %d of %d", n, c.begun, c.all))
-		}
-	}
-	slices.Sort(out)
-	return out
-}
--- a/internal/simulation/store.go
+++ b/internal/simulation/store.go
@@ -5,7 +5,6 @@
 	"encoding/json"
 	"fmt"
 	"math/rand/v2"
-	"slices"
 	"sort"
 	"strings"
 	"sync"
@@ -23,11 +22,6 @@
 	lease       uint64
 }
 
-type lease struct {
-	ttl       time.Duration
-	expiresAt time.Time
-}
-
 // Store is the state service.
 type Store struct {
 	mu                 sync.Mutex
@@ -50,98 +44,12 @@
 	violations   []string
 }
 
-// StoreLimits are the service's own. What is asked beyond them is refused, and kept
-// as a breach unless only the rate is.
-type StoreLimits struct {
-	WriteRate      float64
-	MaxValueKB     float64
-	MaxTxnOps      int
-	MaxWatchEvents int // changes kept for watches; 0: all
-}
-
-// SetLimits makes the service keep to limits.
-func (s *Store) SetLimits(l StoreLimits) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.limits = l
-	s.writeLimiter = rate.NewLimiter(rate.Limit(l.WriteRate), int(l.WriteRate))
-}
-
-// Violations lists what was asked beyond the limits of one request.
-func (s *Store) Violations() []string {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return slices.Clone(s.violations)
-}
-
-// checkLimits tells whether a transaction is one that the service takes; the caller
-// holds the lock.
-func (s *Store) checkLimits(txn *wire.Txn) error {
-	if s.writeLimiter == nil {
-		return nil
-	}
-	for _, w := range txn.Writes {
-		if max := s.limits.MaxValueKB * 1024; float64(len(w.Value)) > max {
-			s.violations = append(s.violations, fmt.Sprintf("%s has %d bytes of %v", w.Key(), len(w.Value), max))
-			return kvstore.ErrInvalidRequest
-		}
-	}
-	body, _ := json.Marshal(txn)
-	if n, g := len(txn.Writes), len(txn.Preconditions); n > s.limits.MaxTxnOps || g > 4*s.limits.MaxTxnOps || len(body) > wire.MaxBodyBytes {
-		s.violations = append(s.violations, fmt.Sprintf("%d writes, %d guards, %d bytes in a transaction", n, g, len(body)))
-		return kvstore.ErrInvalidRequest
-	}
-	if len(txn.Writes) > 0 && !s.writeLimiter.AllowN(time.Now(), len(txn.Writes)) {
-		return kvstore.ErrThrottled
-	}
-	return nil
-}
-
 // NewStore makes an empty store.
 func NewStore() *Store {
 	return &Store{keys: map[string]entry{}, leases: map[uint64]*lease{}, unavailableFor: map[string]bool{},
 		rng: rand.New(rand.NewPCG(1, 6)), changed: make(chan struct{})}
 }
 
-// SetOutage starts or ends an outage; after it every lease has its full time.
-func (s *Store) SetOutage(down bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.outage = down
-	for _, l := range s.leases {
-		l.expiresAt = time.Now().Add(l.ttl)
-	}
-	s.notifyWatchers()
-}
-
-// SetUnavailableFor makes the service refuse one controller, while it serves the others.
-func (s *Store) SetUnavailableFor(node string, refused bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.unavailableFor[node] = refused
-	s.notifyWatchers()
-}
-
-// SetDelayedCommits leaves a part of the transactions unanswered; they are carried out 2
-// to 12 s later, after newer ones.
-func (s *Store) SetDelayedCommits(part float64) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.delayedFraction = part
-}
-
-func (s *Store) commitDelay() (time.Duration, bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.delayedFraction == 0 || s.rng.Float64() >= s.delayedFraction {
-		return 0, false
-	}
-	return 2*time.Second + time.Duration(s.rng.Int64N(int64(10*time.Second))), true
-}
-
-// unavailable tells whether a controller is refused; the caller holds the lock.
-func (s *Store) unavailable(node string) bool { return s.outage || s.unavailableFor[node] }
-
 // Value is what a key holds now, or nil.
 func (s *Store) Value(key string) json.RawMessage {
 	s.mu.Lock()
@@ -178,28 +86,6 @@
 	s.changed = make(chan struct{})
 }
 
-// expireLeases removes ended leases and their keys; the caller holds the lock.
-func (s *Store) expireLeases() {
-	if s.outage {
-		return
-	}
-	now := time.Now()
-	for id, l := range s.leases {
-		if now.Before(l.expiresAt) {
-			continue
-		}
-		delete(s.leases, id)
-		for k, e := range s.keys {
-			if e.lease == id {
-				s.revision++
-				delete(s.keys, k)
-				s.events = append(s.events, wire.Event{DeletedKey: k, ModRevision: s.revision})
-			}
-		}
-		s.notifyWatchers()
-	}
-}
-
 func (s *Store) commit(node string, txn *wire.Txn) (uint64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -304,84 +190,3 @@
 		}
 	}
 }
-
-func (s *Store) grant(node string, ttl time.Duration) (uint64, error) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.unavailable(node) {
-		return 0, kvstore.ErrRejected
-	}
-	s.lastLeaseID++
-	s.leases[s.lastLeaseID] = &lease{ttl, time.Now().Add(ttl)}
-	return s.lastLeaseID, nil
-}
-
-func (s *Store) renew(node string, id uint64) error {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.expireLeases()
-	if s.unavailable(node) {
-		return kvstore.ErrRejected
-	}
-	l := s.leases[id]
-	if l == nil {
-		return kvstore.ErrNotFound
-	}
-	l.expiresAt = time.Now().Add(l.ttl)
-	return nil
-}
-
-// StoreConn is one controller's connection to the state service.
-type StoreConn struct {
-	Store   *Store
-	Network *Network
-	Member  string
-	Timeout time.Duration
-}
-
-// List and the other methods are what the controllers use.
-func (c *StoreConn) List(ctx context.Context, prefix, after string, limit int) (*wire.RangeResponse, error) {
-	return send(ctx, c.Network, c.Member, StoreHost, c.Timeout, func() (*wire.RangeResponse, error) { return c.Store.list(c.Member, prefix, after, limit) })
-}
-
-// Commit applies a transaction, perhaps late or unanswered.
-func (c *StoreConn) Commit(ctx context.Context, txn *wire.Txn) (uint64, error) {
-	type result struct {
-		rev  uint64
-		late bool
-	}
-	c.Store.noteSent(txn)
-	r, err := send(ctx, c.Network, c.Member, StoreHost, c.Timeout, func() (result, error) {
-		if d, late := c.Store.commitDelay(); late {
-			go func() {
-				time.Sleep(d)
-				_, _ = c.Store.commit(c.Member, txn)
-			}()
-			return result{late: true}, nil
-		}
-		rev, err := c.Store.commit(c.Member, txn)
-		return result{rev: rev}, err
-	})
-	if r.late {
-		return 0, errNoAnswer
-	}
-	return r.rev, err
-}
-
-// Watch watches.
-func (c *StoreConn) Watch(ctx context.Context, prefix string, after uint64, hold time.Duration) (*wire.WatchResponse, error) {
-	return send(ctx, c.Network, c.Member, StoreHost, c.Timeout+hold, func() (*wire.WatchResponse, error) {
-		return c.Store.watch(ctx, c.Member, prefix, after, hold)
-	})
-}
-
-// GrantLease makes a lease.
-func (c *StoreConn) GrantLease(ctx context.Context, ttl time.Duration) (uint64, error) {
-	return send(ctx, c.Network, c.Member, StoreHost, c.Timeout, func() (uint64, error) { return c.Store.grant(c.Member, ttl) })
-}
-
-// RenewLease keeps a lease.
-func (c *StoreConn) RenewLease(ctx context.Context, id uint64) error {
-	_, err := send(ctx, c.Network, c.Member, StoreHost, c.Timeout, func() (struct{}, error) { return struct{}{}, c.Store.renew(c.Member, id) })
-	return err
-}
--- /dev/null
+++ b/internal/simulation/store_lease.go
@@ -0,0 +1,61 @@
+package simulation
+
+import (
+	"time"
+
+	"lynxledge/internal/kvstore"
+	"lynxledge/wire"
+)
+
+type lease struct {
+	ttl       time.Duration
+	expiresAt time.Time
+}
+
+// expireLeases removes ended leases and their keys; the caller holds the lock.
+func (s *Store) expireLeases() {
+	if s.outage {
+		return
+	}
+	now := time.Now()
+	for id, l := range s.leases {
+		if now.Before(l.expiresAt) {
+			continue
+		}
+		delete(s.leases, id)
+		for k, e := range s.keys {
+			if e.lease == id {
+				s.revision++
+				delete(s.keys, k)
+				s.events = append(s.events, wire.Event{DeletedKey: k, ModRevision: s.revision})
+			}
+		}
+		s.notifyWatchers()
+	}
+}
+
+func (s *Store) grant(node string, ttl time.Duration) (uint64, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.unavailable(node) {
+		return 0, kvstore.ErrRejected
+	}
+	s.lastLeaseID++
+	s.leases[s.lastLeaseID] = &lease{ttl, time.Now().Add(ttl)}
+	return s.lastLeaseID, nil
+}
+
+func (s *Store) renew(node string, id uint64) error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.expireLeases()
+	if s.unavailable(node) {
+		return kvstore.ErrRejected
+	}
+	l := s.leases[id]
+	if l == nil {
+		return kvstore.ErrNotFound
+	}
+	l.expiresAt = time.Now().Add(l.ttl)
+	return nil
+}
--- /dev/null
+++ b/internal/simulation/worker_faults.go
@@ -0,0 +1,65 @@
+package simulation
+
+import (
+	"time"
+
+	"lynxledge/wire"
+)
+
+// Kill stops the machine with everything on it.
+func (w *Worker) Kill() {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.cancel()
+	w.dropTasks()
+}
+
+// NotifyPreemption tells the worker that the cloud will take it.
+func (w *Worker) NotifyPreemption(notice wire.Seconds) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.preemptionNotice = &notice
+	w.notifyChange()
+}
+
+// Pause makes the machine stand still for a while. What reaches it meanwhile is
+// taken when it goes on, and only then it looks at its lease.
+func (w *Worker) Pause(d time.Duration) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if w.resumed != nil {
+		return
+	}
+	ch := make(chan struct{})
+	w.resumed = ch
+	time.AfterFunc(d, func() {
+		w.mu.Lock()
+		defer w.mu.Unlock()
+		w.resumed = nil
+		w.checkLease()
+		close(ch)
+	})
+}
+
+// waitUntilResumed waits until the machine goes on.
+func (w *Worker) waitUntilResumed() {
+	w.mu.Lock()
+	ch := w.resumed
+	w.mu.Unlock()
+	if ch != nil {
+		select {
+		case <-ch:
+		case <-w.ctx.Done():
+		}
+	}
+}
+
+// FastRestart restarts the machine within no time: nothing on it survives.
+func (w *Worker) FastRestart() {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.dropTasks()
+	w.incarnation++
+	w.fencingToken, w.leaseRenewedAt = 0, time.Now()
+	w.notifyChange()
+}
