--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -13,96 +13,115 @@
 	"lynxledge/wire"
 )
 
-// Cloud rents workers.
+// Cloud provisions machines, each with a worker.
 type Cloud struct {
 	mu          sync.Mutex
 	rng         *rand.Rand
 	types       []wire.MachineType
-	poolSize    int            // machines of one pool
-	poolSizes   map[string]int // of the pools of a type, if another
+	poolSize    int            // of the pool of a machine type, zone and price class
+	poolSizes   map[string]int // by machine type, where it is another
 	listLag     time.Duration
 	provisioned map[string][]wire.MachineID
 	machines    map[wire.MachineID]*machine
 	nextID      int
-	failedZones map[wire.Zone]bool // zones in which nothing is to be had
-	stuckBoots  int                // machines that are still to be rented and will never come up
+	failedZones map[wire.Zone]bool // zones without capacity
+	stuckBoots  int                // how many of the next machines never come up
 	history     []snapshot
-	boot        func(h wire.Instance) *Worker
+	boot        func(instance wire.Instance) *Worker
 	maxBootTime time.Duration                       // the longest time that a machine takes to come up
 	address     func(machine wire.MachineID) string // where a machine is reached
 }
 
+// machine is a machine and, once it has booted, its worker.
 type machine struct {
 	wire.Instance
 	provisionedAt time.Time
 	worker        *Worker
 }
 
+// snapshot is the list of machines at a time.
 type snapshot struct {
 	at        time.Time
 	instances []wire.Instance
 }
 
-// port of every worker; its host is the machine's name.
+// port is that of every worker; the host of its address is the machine's name.
 const port = ":9000"
 
-// NewCloud makes a cloud whose machines become workers by boot.
-func NewCloud(seed uint64, types []wire.MachineType, limit int, lag time.Duration, boot func(h wire.Instance) *Worker) *Cloud {
+// NewCloud returns a cloud with pools of one size, whose list of machines lags behind. boot starts
+// the worker of an instance.
+func NewCloud(seed uint64, types []wire.MachineType, poolSize int, listLag time.Duration, boot func(instance wire.Instance) *Worker) *Cloud {
 	return &Cloud{
-		rng: rand.New(rand.NewPCG(seed, 8)), types: types, poolSize: limit, listLag: lag,
+		rng: rand.New(rand.NewPCG(seed, 8)), types: types, poolSize: poolSize, listLag: listLag,
 		provisioned: map[string][]wire.MachineID{}, machines: map[wire.MachineID]*machine{}, failedZones: map[wire.Zone]bool{}, boot: boot,
 		maxBootTime: 20 * time.Second, address: func(machine wire.MachineID) string { return string(machine) + port },
 	}
 }
 
+// provision provisions machines, as many as their pool has left. A request of the same id gets
+// the same answer.
 func (c *Cloud) provision(ctx context.Context, r wire.ProvisionRequest) ([]wire.MachineID, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if names, ok := c.provisioned[r.RequestID]; ok {
 		return names, nil
 	}
-	in := 0
-	for _, h := range c.machines {
-		if h.MachineType == r.MachineType && h.Zone == r.Zone && h.Spot == r.Spot {
-			in++
+	var names []wire.MachineID
+	for range min(r.Count, c.capacityLeft(r)) {
+		names = append(names, c.provisionOne(ctx, r))
+	}
+	if len(names) == 0 {
+		return nil, cloud.ErrNoCapacity
+	}
+	c.provisioned[r.RequestID] = names
+	return names, nil
+}
+
+// capacityLeft is how many machines the pool of a request has left; the caller holds the lock.
+func (c *Cloud) capacityLeft(r wire.ProvisionRequest) int {
+	inUse := 0
+	for _, m := range c.machines {
+		if m.MachineType == r.MachineType && m.Zone == r.Zone && m.Spot == r.Spot {
+			inUse++
 		}
 	}
-	limit, ok := c.poolSizes[r.MachineType]
+	size, ok := c.poolSizes[r.MachineType]
 	if !ok {
-		limit = c.poolSize
+		size = c.poolSize
 	}
 	if c.failedZones[r.Zone] {
-		limit = 0
+		size = 0
 	}
-	var names []wire.MachineID
-	for range min(r.Count, limit-in) {
-		id := wire.MachineID(fmt.Sprintf("i-%06d", c.nextID))
-		c.nextID++
-		h := &machine{Instance: wire.Instance{ID: id, Address: c.address(id), MachineType: r.MachineType, Zone: r.Zone, Spot: r.Spot, State: wire.InstanceStarting}, provisionedAt: time.Now()}
-		c.machines[id] = h
-		names = append(names, id)
-		wait := time.Duration(c.rng.Int64N(int64(c.maxBootTime)))
-		if c.stuckBoots > 0 {
-			c.stuckBoots--
-			continue
-		}
-		go func() {
-			if !sleep(ctx, wait) {
-				return
-			}
-			c.mu.Lock()
-			defer c.mu.Unlock()
-			if c.machines[id] == h && h.State == wire.InstanceStarting {
-				h.State = wire.InstanceRunning
-				h.worker = c.boot(h.Instance)
-			}
-		}()
+	return size - inUse
+}
+
+// provisionOne provisions a machine, which boots unless it is one that never comes up; the caller
+// holds the lock.
+func (c *Cloud) provisionOne(ctx context.Context, r wire.ProvisionRequest) wire.MachineID {
+	id := wire.MachineID(fmt.Sprintf("i-%06d", c.nextID))
+	c.nextID++
+	m := &machine{
+		Instance:      wire.Instance{ID: id, Address: c.address(id), MachineType: r.MachineType, Zone: r.Zone, Spot: r.Spot, State: wire.InstanceStarting},
+		provisionedAt: time.Now(),
 	}
-	if len(names) == 0 {
-		return nil, cloud.ErrNoCapacity
+	c.machines[id] = m
+	bootTime := time.Duration(c.rng.Int64N(int64(c.maxBootTime)))
+	if c.stuckBoots > 0 {
+		c.stuckBoots--
+		return id
 	}
-	c.provisioned[r.RequestID] = names
-	return names, nil
+	go func() {
+		if !sleep(ctx, bootTime) {
+			return
+		}
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		if c.machines[id] == m && m.State == wire.InstanceStarting {
+			m.State = wire.InstanceRunning
+			m.worker = c.boot(m.Instance)
+		}
+	}()
+	return id
 }
 
 func (c *Cloud) delete(names []wire.MachineID) error {
@@ -150,7 +169,7 @@
 }
 
 // SetBootTimeAndAddress sets the longest time that machines take to come up, and where each is
-// reached. To be called before any is rented.
+// reached. To be called before any is provisioned.
 func (c *Cloud) SetBootTimeAndAddress(bootMax time.Duration, address func(machine wire.MachineID) string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -164,7 +183,7 @@
 	c.poolSizes = limits
 }
 
-// Running lists the machines that run.
+// Running lists the instances that run.
 func (c *Cloud) Running() []wire.Instance {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -175,7 +194,7 @@
 	return out
 }
 
-// RunningMachines names the machines that run.
+// RunningMachines names the machines that run, in order.
 func (c *Cloud) RunningMachines() []wire.MachineID {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/simulation/cloud_faults.go
+++ b/internal/simulation/cloud_faults.go
@@ -13,26 +13,25 @@
 	c.stuckBoots = n
 }
 
-// FailMachine stops the i-th machine that is up, with everything on it; taken: the
-// cloud takes it back, and it is not listed any more.
-func (c *Cloud) FailMachine(i int, taken bool) wire.MachineID {
+// FailMachine stops the i-th running machine, with everything on it. If it is reclaimed, the
+// cloud does not list it any more.
+func (c *Cloud) FailMachine(i int, reclaimed bool) wire.MachineID {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	up := c.runningMachines()
-	if len(up) == 0 {
+	running := c.runningMachines()
+	if len(running) == 0 {
 		return ""
 	}
-	h := c.machines[up[i%len(up)]]
+	h := c.machines[running[i%len(running)]]
 	h.worker.Kill()
 	h.State = wire.InstanceFailed
-	if taken {
+	if reclaimed {
 		delete(c.machines, h.ID)
 	}
 	return h.ID
 }
 
-// FailZone stops every machine of a zone, and rents none there until the zone is opened
-// again.
+// FailZone stops every machine of a zone, and provisions none there until it is restored.
 func (c *Cloud) FailZone(zone wire.Zone) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -48,14 +47,14 @@
 	}
 }
 
-// RestoreZone rents machines of a zone again.
+// RestoreZone has a failed zone provide machines again.
 func (c *Cloud) RestoreZone(zone wire.Zone) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.failedZones, zone)
 }
 
-// PauseMachine makes a machine stand still for a while.
+// PauseMachine suspends a machine for a while.
 func (c *Cloud) PauseMachine(id wire.MachineID, d time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -73,7 +72,7 @@
 	}
 }
 
-// NotifyPreemption gives a machine notice that it will be taken, which happens then.
+// NotifyPreemption gives a machine notice that it will be reclaimed, which happens then.
 func (c *Cloud) NotifyPreemption(id wire.MachineID, notice wire.Seconds) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/simulation/pipes.go
+++ b/internal/simulation/connections.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Connections carries connections between hosts through a Net: a cut stalls what is
+// Connections carries connections between hosts through a Network: a partition stalls what is
 // written until it heals, and no new connection comes about meanwhile.
 type Connections struct {
 	network   *Network
@@ -18,7 +18,7 @@
 	conns     map[*pipeConn]bool
 }
 
-// NewConnections makes connections that follow the fate of a net's hosts.
+// NewConnections returns connections between the hosts of a network.
 func NewConnections(n *Network) *Connections {
 	return &Connections{network: n, listeners: map[string]*pipeListener{}, conns: map[*pipeConn]bool{}}
 }
@@ -37,7 +37,7 @@
 func (pipeAddr) Network() string  { return "pipe" }
 func (a pipeAddr) String() string { return string(a) }
 
-// Listen takes connections to an address of a host.
+// Listen accepts connections to an address of a host.
 func (p *Connections) Listen(host, addr string) net.Listener {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -100,14 +100,14 @@
 	return k
 }
 
-// Reset ends every connection of a host, which goes on and may make others.
+// Reset closes every connection of a host, which may open others.
 func (p *Connections) Reset(host string) {
 	for _, c := range p.connectionsOf(host) {
 		c.abort()
 	}
 }
 
-// connectionsOf are the connections of a host.
+// connectionsOf lists the connections of a host.
 func (p *Connections) connectionsOf(host string) []*pipeConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -120,7 +120,7 @@
 	return ends
 }
 
-// Crash ends every connection of a host, and its listeners.
+// Crash closes every connection of a host, and its listeners.
 func (p *Connections) Crash(host string) {
 	p.mu.Lock()
 	for addr, l := range p.listeners {
@@ -156,7 +156,7 @@
 	}
 }
 
-// deliver delivers what was written, once no cut is in between.
+// deliver delivers what was written, once no partition is in between.
 func (c *pipeConn) deliver() {
 	for {
 		select {
@@ -164,9 +164,9 @@
 			c.drain()
 			return
 		case b := <-c.queue:
-			for cut := c.pipes.network.partitionBetween(c.host, c.other); cut != nil; cut = c.pipes.network.partitionBetween(c.host, c.other) {
+			for partition := c.pipes.network.partitionBetween(c.host, c.other); partition != nil; partition = c.pipes.network.partitionBetween(c.host, c.other) {
 				select {
-				case <-cut.healed:
+				case <-partition.healed:
 				case <-c.closed:
 					return
 				}
@@ -182,8 +182,8 @@
 // drainTime is for how long a connection that was closed tries to deliver the rest.
 const drainTime = time.Second
 
-// drain delivers what was written before the connection was closed, unless a cut is in
-// between, and ends it.
+// drain delivers what was written before the connection was closed, unless a partition is in
+// between, and closes it.
 func (c *pipeConn) drain() {
 	defer c.Conn.Close()
 	if c.pipes.network.partitionBetween(c.host, c.other) != nil {
--- a/internal/simulation/loopback/machines.go
+++ b/internal/simulation/loopback/machines.go
@@ -12,7 +12,6 @@
 	"strconv"
 	"strings"
 	"sync/atomic"
-	"time"
 
 	"github.com/go-chi/chi/v5"
 
@@ -63,7 +62,7 @@
 // workerPort is that of every worker, each on a loopback address of its own.
 const workerPort = "19000"
 
-// Subnet is the loopback addresses of one cluster's machines.
+// Subnet is the range of loopback addresses of one cluster's machines.
 type Subnet struct {
 	second, third int
 }
@@ -93,48 +92,46 @@
 	if err != nil {
 		return err
 	}
-	name := string(machine) + ":9000" // as the fakes know it
+	name := string(machine) + ":9000" // as the simulation knows it
 	r := chi.NewRouter()
 	r.Post("/do", func(w http.ResponseWriter, r *http.Request) {
 		var commands wire.CommandBatch
 		if !decodeBody(w, r, &commands) {
 			return
 		}
-		report, err := conn.SendCommands(r.Context(), name, commands)
-		respond(w, report, err)
+		heartbeat, err := conn.SendCommands(r.Context(), name, commands)
+		respond(w, heartbeat, err)
 	})
 	r.Get("/inspect", func(w http.ResponseWriter, r *http.Request) {
-		report, err := conn.Inspect(r.Context(), name)
-		respond(w, report, err)
+		heartbeat, err := conn.Inspect(r.Context(), name)
+		respond(w, heartbeat, err)
 	})
-	server := &http.Server{Handler: r, ReadHeaderTimeout: time.Minute}
-	serve(ctx, server)
-	go func() { _ = server.Serve(listener) }() // until it is closed
+	serve(ctx, listener, r)
 	return nil
 }
 
-// HeartbeatPoster hands reports to a controller's users' address.
+// HeartbeatPoster sends heartbeats to a controller's client address.
 func HeartbeatPoster(client *http.Client, address string) simulation.HeartbeatPoster {
-	return func(ctx context.Context, report *wire.Heartbeat) (reply wire.HeartbeatResponse, reportTo string, ok bool) {
-		body, err := json.Marshal(report)
+	return func(ctx context.Context, heartbeat *wire.Heartbeat) (result wire.HeartbeatResponse, redirectTo string, ok bool) {
+		body, err := json.Marshal(heartbeat)
 		if err != nil {
-			return reply, "", false
+			return result, "", false
 		}
 		request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+"/hello", bytes.NewReader(body))
 		if err != nil {
-			return reply, "", false
+			return result, "", false
 		}
 		response, err := client.Do(request)
 		if err != nil {
-			return reply, "", false
+			return result, "", false
 		}
 		defer response.Body.Close()
 		if response.StatusCode == http.StatusOK {
-			return reply, "", json.NewDecoder(response.Body).Decode(&reply) == nil
+			return result, "", json.NewDecoder(response.Body).Decode(&result) == nil
 		}
 		var redirect wire.RedirectResponse
 		_ = json.NewDecoder(response.Body).Decode(&redirect) // without a body it names nobody
-		return reply, redirect.RedirectTo, false
+		return result, redirect.RedirectTo, false
 	}
 }
 
@@ -144,8 +141,6 @@
 	if err != nil {
 		return "", err
 	}
-	server := &http.Server{Handler: handler, ReadHeaderTimeout: time.Minute}
-	serve(ctx, server)
-	go func() { _ = server.Serve(listener) }() // until it is closed
+	serve(ctx, listener, handler)
 	return listener.Addr().String(), nil
 }
--- a/internal/simulation/loopback/state.go
+++ b/internal/simulation/loopback/store.go
@@ -1,13 +1,14 @@
-// Package loopback puts the fakes on loopback sockets, so that controllers run against
-// them as processes of their own: the state service, the cloud and the workers speak the
-// protocol over HTTP. Each controller has its own doors, so that the fakes' network can
-// cut one of them off.
+// Package loopback serves the simulation on loopback sockets, so that controllers run against
+// it as processes of their own: the store, the cloud and the workers speak the protocol over
+// HTTP. Each controller has its own addresses of them, so that the simulated network can
+// partition one controller.
 package loopback
 
 import (
 	"context"
 	"encoding/json"
 	"errors"
+	"net"
 	"net/http"
 	"strconv"
 	"time"
@@ -19,7 +20,7 @@
 	"lynxledge/wire"
 )
 
-// StoreHandler answers one controller as the state service does.
+// StoreHandler answers one controller as the key-value store does.
 func StoreHandler(conn *simulation.StoreConn) http.Handler {
 	r := chi.NewRouter()
 	r.Get("/kv", func(w http.ResponseWriter, r *http.Request) {
@@ -58,7 +59,7 @@
 	return r
 }
 
-// decodeBody takes a request's body; false when it was answered already.
+// decodeBody decodes a request's body; false when the request was answered already.
 func decodeBody(w http.ResponseWriter, r *http.Request, into any) bool {
 	if err := json.NewDecoder(r.Body).Decode(into); err != nil {
 		respondError(w, http.StatusBadRequest, "malformed")
@@ -95,12 +96,14 @@
 	}
 }
 
-func respondError(w http.ResponseWriter, status int, why string) {
+func respondError(w http.ResponseWriter, status int, message string) {
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(wire.ErrorResponse{Message: why})
+	_ = json.NewEncoder(w).Encode(wire.ErrorResponse{Message: message})
 }
 
-// serve answers on a loopback address until the context ends.
-func serve(ctx context.Context, server *http.Server) {
-	context.AfterFunc(ctx, func() { server.Close() })
+// serve answers with a handler on a listener until the context ends.
+func serve(ctx context.Context, listener net.Listener, handler http.Handler) {
+	server := &http.Server{Handler: handler, ReadHeaderTimeout: time.Minute}
+	context.AfterFunc(ctx, func() { _ = server.Close() })
+	go func() { _ = server.Serve(listener) }() // until it is closed
 }
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// Names of the regional services in the network.
+// Names of the services in the network.
 const (
 	StoreHost = "state"
 	CloudHost = "cloud"
 )
 
-// errNoAnswer is what a caller sees of anything lost, late or cut.
+// errNoAnswer is what a caller gets when a message is lost, late or partitioned.
 var errNoAnswer = errors.New("no answer")
 
 // Network decides the fate of each message.
@@ -25,18 +25,19 @@
 	duplication         float64               // of requests that arrive once more, late
 	hostPartitions      map[string]*partition // by host
 	linkPartitions      map[[2]string]*partition
-	inboundPartitioned  map[string]bool          // hosts that are heard, but hear nothing
-	outboundPartitioned map[string]bool          // hosts whose own requests reach nobody
-	maxExtraLatency     map[string]time.Duration // hosts that answer some requests later, by up to so much
+	inboundPartitioned  map[string]bool          // hosts that receive nothing
+	outboundPartitioned map[string]bool          // hosts whose own requests are lost
+	maxExtraLatency     map[string]time.Duration // by host, of some of its answers
 	latency             time.Duration
 }
 
+// partition separates a host from others until it is healed.
 type partition struct {
 	holdMessages bool
 	healed       chan struct{}
 }
 
-// NewNetwork makes a network with a seed.
+// NewNetwork returns a network whose messages take a latency; the seed decides what is lost.
 func NewNetwork(seed uint64, delay time.Duration) *Network {
 	return &Network{
 		rng:                 rand.New(rand.NewPCG(seed, 7)),
@@ -50,12 +51,12 @@
 }
 
 // Partition separates a host from all others, or from one when other is not empty.
-// With hold, messages are delivered when the cut heals.
-func (n *Network) Partition(host, other string, hold bool) {
+// holdMessages delivers messages when the partition heals; otherwise they are lost.
+func (n *Network) Partition(host, other string, holdMessages bool) {
 	n.Heal(host, other)
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	c := &partition{hold, make(chan struct{})}
+	c := &partition{holdMessages, make(chan struct{})}
 	if other == "" {
 		n.hostPartitions[host] = c
 	} else {
@@ -77,20 +78,21 @@
 	n.outboundPartitioned[host] = true
 }
 
+// canSend tells whether requests of a host get out.
 func (n *Network) canSend(host string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return !n.outboundPartitioned[host]
 }
 
-// SetMaxExtraLatency makes a host take up to so much longer for every third request.
+// SetMaxExtraLatency has every third request to a host take longer, by up to so much.
 func (n *Network) SetMaxExtraLatency(host string, most time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.maxExtraLatency[host] = most
 }
 
-// requestLatency is how long a request to a host takes.
+// requestLatency draws how long a request to a host takes.
 func (n *Network) requestLatency(host string) time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -101,13 +103,14 @@
 	return d
 }
 
+// canReceive tells whether messages to a host arrive.
 func (n *Network) canReceive(host string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return !n.inboundPartitioned[host]
 }
 
-// Heal ends a cut.
+// Heal ends a partition.
 func (n *Network) Heal(host, other string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -122,7 +125,7 @@
 	}
 }
 
-// HealAll ends every cut.
+// HealAll ends every partition, and all extra latency.
 func (n *Network) HealAll() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -139,6 +142,7 @@
 	clear(n.maxExtraLatency)
 }
 
+// partitionBetween returns the partition between two hosts, nil if there is none.
 func (n *Network) partitionBetween(a, b string) *partition {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -150,31 +154,35 @@
 	return nil
 }
 
-// SetLossAndDuplication sets how many messages are lost, and how many arrive once more.
-func (n *Network) SetLossAndDuplication(loss, repeat float64) {
+// SetLossAndDuplication sets which fractions of messages are lost and delivered twice.
+func (n *Network) SetLossAndDuplication(loss, duplication float64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.loss, n.duplication = loss, repeat
+	n.loss, n.duplication = loss, duplication
 }
 
+// isLost draws whether a message is lost.
 func (n *Network) isLost() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.rng.Float64() < n.loss
 }
 
+// isDuplicated draws whether a request arrives twice.
 func (n *Network) isDuplicated() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.rng.Float64() < n.duplication
 }
 
+// duplicateDelay draws how late a duplicate arrives.
 func (n *Network) duplicateDelay() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return time.Duration(n.rng.Int64N(int64(90 * time.Second)))
 }
 
+// sleep waits; false: the context ended first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-time.After(d):
@@ -184,7 +192,7 @@
 	}
 }
 
-// send carries out f at host "to" for host "from": perhaps never, late, or
+// send sends a request from one host to another, which executes f: perhaps never, late, or
 // twice. The caller learns only whether an answer came in time.
 func send[T any](ctx context.Context, n *Network, from, to string, timeout time.Duration, f func() (T, error)) (T, error) {
 	var zero T
--- a/internal/simulation/store.go
+++ b/internal/simulation/store.go
@@ -16,13 +16,14 @@
 	"lynxledge/wire"
 )
 
+// entry is the value of a key.
 type entry struct {
 	value       json.RawMessage
 	modRevision uint64
 	lease       uint64
 }
 
-// Store is the state service.
+// Store is the key-value store.
 type Store struct {
 	mu                 sync.Mutex
 	revision           uint64
@@ -31,11 +32,11 @@
 	leases             map[uint64]*lease
 	lastLeaseID        uint64
 	outage             bool
-	unavailableFor     map[string]bool // controllers that get nothing but 503
-	delayedFraction    float64         // part of the transactions that are carried out later, unanswered
+	unavailableFor     map[string]bool // members that get nothing but 503
+	delayedFraction    float64         // of the transactions, which are committed later and unanswered
 	rng                *rand.Rand
 	changed            chan struct{}
-	IgnorePrecondition func(key string) bool // guards to break on purpose
+	IgnorePrecondition func(key string) bool // of keys whose preconditions always hold, for tests of what they prevent
 
 	sentTimes sentTimes
 
@@ -44,7 +45,7 @@
 	violations   []string
 }
 
-// NewStore makes an empty store.
+// NewStore returns an empty store.
 func NewStore() *Store {
 	return &Store{keys: map[string]entry{}, leases: map[uint64]*lease{}, unavailableFor: map[string]bool{},
 		rng: rand.New(rand.NewPCG(1, 6)), changed: make(chan struct{})}
@@ -69,7 +70,7 @@
 	return n
 }
 
-// Dump lists every key with its value, for a failed test's report.
+// Dump lists every key with its value, for the output of a failed test.
 func (s *Store) Dump() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -81,16 +82,17 @@
 	return strings.Join(lines, "\n")
 }
 
+// notifyWatchers wakes all watches; the caller holds the lock.
 func (s *Store) notifyWatchers() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-func (s *Store) commit(node string, txn *wire.Txn) (uint64, error) {
+func (s *Store) commit(member string, txn *wire.Txn) (uint64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expireLeases()
-	if s.unavailable(node) {
+	if s.unavailable(member) {
 		return 0, kvstore.ErrRejected
 	}
 	if err := s.checkLimits(txn); err != nil {
@@ -128,11 +130,11 @@
 	return s.revision, nil
 }
 
-func (s *Store) list(node, prefix, after string, limit int) (*wire.RangeResponse, error) {
+func (s *Store) list(member, prefix, after string, limit int) (*wire.RangeResponse, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expireLeases()
-	if s.unavailable(node) {
+	if s.unavailable(member) {
 		return nil, kvstore.ErrRejected
 	}
 	var keys []string
@@ -153,12 +155,12 @@
 	return out, nil
 }
 
-func (s *Store) watch(ctx context.Context, node, prefix string, after uint64, hold time.Duration) (*wire.WatchResponse, error) {
+func (s *Store) watch(ctx context.Context, member, prefix string, after uint64, hold time.Duration) (*wire.WatchResponse, error) {
 	end := time.After(hold)
 	for {
 		s.mu.Lock()
 		s.expireLeases()
-		down, changed := s.unavailable(node), s.changed
+		down, changed := s.unavailable(member), s.changed
 		out := &wire.WatchResponse{Revision: s.revision}
 		// The log is ordered by revision; find the first change after it.
 		i := sort.Search(len(s.events), func(i int) bool { return s.events[i].ModRevision > after })
--- a/internal/simulation/store_faults.go
+++ b/internal/simulation/store_faults.go
@@ -13,26 +13,27 @@
 	s.notifyWatchers()
 }
 
-// SetUnavailableFor makes the service refuse one controller, while it serves the others.
-func (s *Store) SetUnavailableFor(node string, refused bool) {
+// SetUnavailableFor makes the store unavailable for one member, while it serves the others.
+func (s *Store) SetUnavailableFor(member string, unavailable bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.unavailableFor[node] = refused
+	s.unavailableFor[member] = unavailable
 	s.notifyWatchers()
 }
 
-// unavailable tells whether a controller is refused; the caller holds the lock.
-func (s *Store) unavailable(node string) bool { return s.outage || s.unavailableFor[node] }
+// unavailable tells whether a member is refused; the caller holds the lock.
+func (s *Store) unavailable(member string) bool { return s.outage || s.unavailableFor[member] }
 
-// SetDelayedCommits leaves a part of the transactions unanswered; they are carried out 2
-// to 12 s later, after newer ones.
-func (s *Store) SetDelayedCommits(part float64) {
+// SetDelayedCommits leaves a fraction of the transactions unanswered; they are committed 2 to
+// 12 s later, after newer ones.
+func (s *Store) SetDelayedCommits(fraction float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.delayedFraction = part
+	s.delayedFraction = fraction
 }
 
-func (s *Store) commitDelay() (time.Duration, bool) {
+// commitDelay draws whether the next commit is delayed, and for how long.
+func (s *Store) commitDelay() (delay time.Duration, delayed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.delayedFraction == 0 || s.rng.Float64() >= s.delayedFraction {
--- a/internal/simulation/store_lease.go
+++ b/internal/simulation/store_lease.go
@@ -7,12 +7,13 @@
 	"lynxledge/wire"
 )
 
+// lease is a granted lease.
 type lease struct {
 	ttl       time.Duration
 	expiresAt time.Time
 }
 
-// expireLeases removes ended leases and their keys; the caller holds the lock.
+// expireLeases removes expired leases and their keys; the caller holds the lock.
 func (s *Store) expireLeases() {
 	if s.outage {
 		return
@@ -34,10 +35,10 @@
 	}
 }
 
-func (s *Store) grant(node string, ttl time.Duration) (uint64, error) {
+func (s *Store) grant(member string, ttl time.Duration) (uint64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.unavailable(node) {
+	if s.unavailable(member) {
 		return 0, kvstore.ErrRejected
 	}
 	s.lastLeaseID++
@@ -45,11 +46,11 @@
 	return s.lastLeaseID, nil
 }
 
-func (s *Store) renew(node string, id uint64) error {
+func (s *Store) renew(member string, id uint64) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expireLeases()
-	if s.unavailable(node) {
+	if s.unavailable(member) {
 		return kvstore.ErrRejected
 	}
 	l := s.leases[id]
--- a/internal/simulation/store_limits.go
+++ b/internal/simulation/store_limits.go
@@ -12,8 +12,8 @@
 	"lynxledge/wire"
 )
 
-// StoreLimits are the service's own. What is asked beyond them is refused, and kept
-// as a breach unless only the rate is.
+// StoreLimits are the limits that the store enforces. What exceeds them is rejected, and recorded
+// as a violation unless only the rate is exceeded.
 type StoreLimits struct {
 	WriteRate      float64
 	MaxValueKB     float64
@@ -21,36 +21,35 @@
 	MaxWatchEvents int // changes kept for watches; 0: all
 }
 
-// SetLimits makes the service keep to limits.
-func (s *Store) SetLimits(l StoreLimits) {
+// SetLimits has the store enforce limits.
+func (s *Store) SetLimits(limits StoreLimits) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.limits = l
-	s.writeLimiter = rate.NewLimiter(rate.Limit(l.WriteRate), int(l.WriteRate))
+	s.limits = limits
+	s.writeLimiter = rate.NewLimiter(rate.Limit(limits.WriteRate), int(limits.WriteRate))
 }
 
-// Violations lists what was asked beyond the limits of one request.
+// Violations lists the transactions that exceeded the limits of one request.
 func (s *Store) Violations() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.violations)
 }
 
-// checkLimits tells whether a transaction is one that the service takes; the caller
-// holds the lock.
+// checkLimits checks a transaction against the limits; the caller holds the lock.
 func (s *Store) checkLimits(txn *wire.Txn) error {
 	if s.writeLimiter == nil {
 		return nil
 	}
-	for _, w := range txn.Writes {
-		if max := s.limits.MaxValueKB * 1024; float64(len(w.Value)) > max {
-			s.violations = append(s.violations, fmt.Sprintf("%s has %d bytes of %v", w.Key(), len(w.Value), max))
+	for _, write := range txn.Writes {
+		if most := s.limits.MaxValueKB * 1024; float64(len(write.Value)) > most {
+			s.violations = append(s.violations, fmt.Sprintf("%s has %d bytes of %v", write.Key(), len(write.Value), most))
 			return kvstore.ErrInvalidRequest
 		}
 	}
 	body, _ := json.Marshal(txn)
-	if n, g := len(txn.Writes), len(txn.Preconditions); n > s.limits.MaxTxnOps || g > 4*s.limits.MaxTxnOps || len(body) > wire.MaxBodyBytes {
-		s.violations = append(s.violations, fmt.Sprintf("%d writes, %d guards, %d bytes in a transaction", n, g, len(body)))
+	if writes, preconditions := len(txn.Writes), len(txn.Preconditions); writes > s.limits.MaxTxnOps || preconditions > 4*s.limits.MaxTxnOps || len(body) > wire.MaxBodyBytes {
+		s.violations = append(s.violations, fmt.Sprintf("%d writes, %d preconditions, %d bytes in a transaction", writes, preconditions, len(body)))
 		return kvstore.ErrInvalidRequest
 	}
 	if len(txn.Writes) > 0 && !s.writeLimiter.AllowN(time.Now(), len(txn.Writes)) {
--- a/internal/simulation/store_sent_times.go
+++ b/internal/simulation/store_sent_times.go
@@ -13,7 +13,7 @@
 	byRevision map[uint64]time.Time // by revision
 }
 
-// noteSent notes that a transaction is about to be sent, perhaps again.
+// noteSent records that a transaction is about to be sent, perhaps again.
 func (s *Store) noteSent(txn *wire.Txn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -25,7 +25,7 @@
 	}
 }
 
-// noteCommitted notes the revision of a transaction; the caller holds the lock.
+// noteCommitted records the revision of a transaction; the caller holds the lock.
 func (s *Store) noteCommitted(txn *wire.Txn) {
 	if sent, known := s.sentTimes.byTxn[txn]; known {
 		s.sentTimes.byRevision[s.revision] = sent
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -8,12 +8,12 @@
 	"lynxledge/wire"
 )
 
-// WorkerOptions are a worker's times and ways.
+// WorkerOptions are a worker's settings and its connections to the rest of the simulation.
 type WorkerOptions struct {
 	HeartbeatInterval, LeaseDuration time.Duration
 	Members                          []string
 	Network                          *Network
-	PostHeartbeat                    func(node string) HeartbeatPoster // nil while the node is down
+	PostHeartbeat                    func(member string) HeartbeatPoster // nil while the controller is down
 	Checker                          *InvariantChecker
 	ImageFetchTime                   time.Duration
 }
@@ -31,12 +31,12 @@
 	tasks            []*task
 	leaseRenewedAt   time.Time
 	changed          chan struct{}
-	member           int
+	member           int // index of the member that gets the next heartbeat
 	preemptionNotice *wire.Seconds
-	resumed          chan struct{} // closed when the machine goes on; nil while it does
+	resumed          chan struct{} // closed when the paused machine resumes; nil: it runs
 }
 
-// NewWorker boots a worker.
+// NewWorker starts the agent of an instance; its first heartbeat goes to the member of an index.
 func NewWorker(ctx context.Context, instance wire.Instance, options WorkerOptions, member int) *Worker {
 	w := &Worker{instance: instance, options: options, incarnation: 1, leaseRenewedAt: time.Now(), changed: make(chan struct{}, 1), member: member}
 	w.ctx, w.cancel = context.WithCancel(ctx)
@@ -45,7 +45,7 @@
 	return w
 }
 
-// checkLease ends the session if its lease has; the caller holds the lock.
+// checkLease begins a new incarnation if the lease has expired; the caller holds the lock.
 func (w *Worker) checkLease() {
 	if time.Since(w.leaseRenewedAt) > w.options.LeaseDuration {
 		w.dropTasks()
@@ -54,6 +54,7 @@
 	}
 }
 
+// notifyChange has the next heartbeat sent soon.
 func (w *Worker) notifyChange() {
 	select {
 	case w.changed <- struct{}{}:
@@ -61,7 +62,7 @@
 	}
 }
 
-// watchLease ends the session when its lease has.
+// watchLease begins a new incarnation whenever the lease expires.
 func (w *Worker) watchLease() {
 	for sleep(w.ctx, w.options.HeartbeatInterval/6) {
 		w.waitUntilResumed()
--- a/internal/simulation/worker_conn.go
+++ b/internal/simulation/worker_conn.go
@@ -8,7 +8,7 @@
 	"lynxledge/wire"
 )
 
-// WorkerConn is one controller's way to the workers.
+// WorkerConn is one controller's connection to the workers.
 type WorkerConn struct {
 	Cloud   *Cloud
 	Network *Network
@@ -26,7 +26,7 @@
 	})
 }
 
-// Inspect reads a worker's report.
+// Inspect reads a worker's heartbeat.
 func (c *WorkerConn) Inspect(ctx context.Context, addr string) (*wire.Heartbeat, error) {
 	return c.call(ctx, addr, func(*Worker) {})
 }
--- a/internal/simulation/worker_faults.go
+++ b/internal/simulation/worker_faults.go
@@ -14,7 +14,7 @@
 	w.dropTasks()
 }
 
-// NotifyPreemption tells the worker that the cloud will take it.
+// NotifyPreemption tells the worker that the cloud will reclaim its machine.
 func (w *Worker) NotifyPreemption(notice wire.Seconds) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -22,8 +22,8 @@
 	w.notifyChange()
 }
 
-// Pause makes the machine stand still for a while. What reaches it meanwhile is
-// taken when it goes on, and only then it looks at its lease.
+// Pause suspends the machine for a while. What reaches it meanwhile is handled when it
+// resumes, and only then it checks its lease.
 func (w *Worker) Pause(d time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -41,7 +41,7 @@
 	})
 }
 
-// waitUntilResumed waits until the machine goes on.
+// waitUntilResumed waits while the machine is paused.
 func (w *Worker) waitUntilResumed() {
 	w.mu.Lock()
 	ch := w.resumed
--- a/internal/simulation/worker_heartbeat.go
+++ b/internal/simulation/worker_heartbeat.go
@@ -8,9 +8,13 @@
 	"lynxledge/wire"
 )
 
-// HeartbeatPoster hands a report to a controller; ok is false unless it answered 200.
-type HeartbeatPoster func(ctx context.Context, rep *wire.Heartbeat) (reply wire.HeartbeatResponse, reportTo string, ok bool)
+// requestTimeout is how long a worker waits for the response to a heartbeat.
+const requestTimeout = 4 * time.Second
 
+// HeartbeatPoster sends a heartbeat to a controller; ok is false unless it answered 200.
+type HeartbeatPoster func(ctx context.Context, heartbeat *wire.Heartbeat) (response wire.HeartbeatResponse, redirectTo string, ok bool)
+
+// heartbeat makes the next heartbeat; the caller holds the lock.
 func (w *Worker) heartbeat() *wire.Heartbeat {
 	w.sequence++
 	heartbeat := &wire.Heartbeat{
@@ -23,12 +27,14 @@
 	return heartbeat
 }
 
+// heartbeatResult is what a controller answered to a heartbeat.
 type heartbeatResult struct {
-	reply      wire.HeartbeatResponse
+	response   wire.HeartbeatResponse
 	redirectTo string
 	ok         bool
 }
 
+// sendHeartbeats sends a heartbeat each interval and after changes, until the machine is gone.
 func (w *Worker) sendHeartbeats() {
 	for {
 		w.waitUntilResumed()
@@ -36,25 +42,14 @@
 		heartbeat := w.heartbeat()
 		member := w.options.Members[w.member]
 		w.mu.Unlock()
-		sent := time.Now()
-		result, err := send(w.ctx, w.options.Network, string(w.instance.ID), member, 4*time.Second, func() (heartbeatResult, error) {
-			post := w.options.PostHeartbeat(member)
-			if post == nil {
-				return heartbeatResult{}, errNoAnswer
-			}
-			reply, to, ok := post(w.ctx, heartbeat)
-			return heartbeatResult{reply, to, ok}, nil
-		})
-		wait := w.options.HeartbeatInterval
+		sentAt := time.Now()
+		result, err := w.sendHeartbeat(member, heartbeat)
 		w.waitUntilResumed()
 		w.mu.Lock()
+		wait := w.options.HeartbeatInterval
 		switch {
 		case err == nil && result.ok:
-			if result.reply.FencingToken >= w.fencingToken && heartbeat.Incarnation == w.incarnation && time.Since(sent) < 4*time.Second {
-				w.fencingToken = result.reply.FencingToken
-				w.leaseRenewedAt = sent
-				w.execute(result.reply.Commands)
-			}
+			w.accept(result.response, heartbeat.Incarnation, sentAt)
 		case err == nil && slices.Contains(w.options.Members, result.redirectTo) && result.redirectTo != member:
 			w.member = slices.Index(w.options.Members, result.redirectTo)
 			wait = w.options.HeartbeatInterval / 6
@@ -63,14 +58,44 @@
 			wait = time.Second
 		}
 		w.mu.Unlock()
-		if !sleep(w.ctx, w.options.HeartbeatInterval/6) {
+		if !w.waitForNextHeartbeat(wait) {
 			return
 		}
-		select {
-		case <-w.changed:
-		case <-time.After(wait):
-		case <-w.ctx.Done():
-			return
+	}
+}
+
+func (w *Worker) sendHeartbeat(member string, heartbeat *wire.Heartbeat) (heartbeatResult, error) {
+	return send(w.ctx, w.options.Network, string(w.instance.ID), member, requestTimeout, func() (heartbeatResult, error) {
+		post := w.options.PostHeartbeat(member)
+		if post == nil {
+			return heartbeatResult{}, errNoAnswer
 		}
+		response, redirectTo, ok := post(w.ctx, heartbeat)
+		return heartbeatResult{response, redirectTo, ok}, nil
+	})
+}
+
+// accept renews the lease by a response, and executes its commands, unless it is of a former
+// leader or came too late; the caller holds the lock.
+func (w *Worker) accept(response wire.HeartbeatResponse, incarnation uint64, sentAt time.Time) {
+	if response.FencingToken >= w.fencingToken && incarnation == w.incarnation && time.Since(sentAt) < requestTimeout {
+		w.fencingToken = response.FencingToken
+		w.leaseRenewedAt = sentAt
+		w.execute(response.Commands)
+	}
+}
+
+// waitForNextHeartbeat waits for a while, or until something changes; false: the machine is gone.
+func (w *Worker) waitForNextHeartbeat(wait time.Duration) bool {
+	if !sleep(w.ctx, w.options.HeartbeatInterval/6) {
+		return false
+	}
+	select {
+	case <-w.changed:
+		return true
+	case <-time.After(wait):
+		return true
+	case <-w.ctx.Done():
+		return false
 	}
 }
