--- a/internal/heartbeat/receiver_test.go
+++ b/internal/heartbeat/receiver_test.go
@@ -55,9 +55,26 @@
 
 // send has the machine send a heartbeat, and waits for the response alone.
 func (c *controller) send(heartbeat wire.Heartbeat) Response {
+	return c.sendAfter(func(*Receiver) {}, heartbeat)
+}
+
+// sendAtViewAge is send at a moment at which the controller's view is as old as age. One message
+// sets the age and handles the heartbeat.
+func (c *controller) sendAtViewAge(age time.Duration, heartbeat wire.Heartbeat) Response {
+	return c.sendAfter(func(r *Receiver) { r.freshAsOf = time.Now().Add(-age) }, heartbeat)
+}
+
+// sendAfter has the receiver handle a heartbeat in the message that prepares for it. What was under
+// way at this instant, as the watch that repeats what was just committed, is over before: it
+// would refresh the view in between.
+func (c *controller) sendAfter(prepare func(r *Receiver), heartbeat wire.Heartbeat) Response {
 	heartbeat.Machine, heartbeat.Address, heartbeat.MachineType, heartbeat.Zone = "i-1", "i-1:1", "t", "z"
 	responses := make(chan Response, 1)
-	c.receiver.Send(func() { c.receiver.HandleHeartbeat(&heartbeat, func(r Response) { responses <- r }) })
+	synctest.Wait()
+	c.receiver.Send(func() {
+		prepare(c.receiver)
+		c.receiver.HandleHeartbeat(&heartbeat, func(r Response) { responses <- r })
+	})
 	return <-responses
 }
 
@@ -75,14 +92,6 @@
 	return <-values
 }
 
-// setViewAge makes the controller's view as old as age.
-func (c *controller) setViewAge(age time.Duration) {
-	inActor(c, func(r *Receiver) bool {
-		r.freshAsOf = time.Now().Add(-age)
-		return true
-	})
-}
-
 // machine is the machine's record as the receiver knows it.
 func (c *controller) machine() statecache.Machine {
 	return inActor(c, func(r *Receiver) statecache.Machine { return *r.view.Machines["i-1"] })
@@ -151,21 +160,18 @@
 		defer cancel()
 		c := newController(ctx, t, &statecache.Machine{Incarnation: 1, FencingToken: 9}, &statecache.Job{TaskCount: 1})
 		age := c.receiver.renewalWindow() * 3 / 4
-		c.setViewAge(age)
-		if r := c.send(wire.Heartbeat{Incarnation: 1, Sequence: 1}); r.Outcome != Accepted {
+		if r := c.sendAtViewAge(age, wire.Heartbeat{Incarnation: 1, Sequence: 1}); r.Outcome != Accepted {
 			t.Error("refused in an outage for all")
 		}
 		c.isolated = true
-		c.setViewAge(age)
-		if r := c.send(wire.Heartbeat{Incarnation: 1, Sequence: 2}); r.Outcome == Accepted {
+		if r := c.sendAtViewAge(age, wire.Heartbeat{Incarnation: 1, Sequence: 2}); r.Outcome == Accepted {
 			t.Error("kept by an isolated controller")
 		}
-		if r := c.send(wire.Heartbeat{Incarnation: 1, Sequence: 3}); r.Outcome != Accepted {
+		if r := c.sendAtViewAge(age, wire.Heartbeat{Incarnation: 1, Sequence: 3}); r.Outcome != Accepted {
 			t.Error("refused though it found no better controller")
 		}
 		c.isolated, c.freshPeer = false, "n1"
-		c.setViewAge(age)
-		if r := c.send(wire.Heartbeat{Incarnation: 1, Sequence: 4}); r.Outcome == Accepted || r.RedirectTo != "n1" {
+		if r := c.sendAtViewAge(age, wire.Heartbeat{Incarnation: 1, Sequence: 4}); r.Outcome == Accepted || r.RedirectTo != "n1" {
 			t.Errorf("not redirected to the controller with a fresh view: %+v", r)
 		}
 	})
@@ -238,8 +244,7 @@
 		if r := c.sendAndSettle(wire.Heartbeat{Incarnation: 1, Sequence: 1}); r.Outcome != Accepted {
 			t.Fatal("refused with a fresh view")
 		}
-		c.setViewAge(c.receiver.renewalWindow() + time.Second)
-		if r := c.send(wire.Heartbeat{Incarnation: 1, Sequence: 2}); r.Outcome == Accepted {
+		if r := c.sendAtViewAge(c.receiver.renewalWindow() + time.Second, wire.Heartbeat{Incarnation: 1, Sequence: 2}); r.Outcome == Accepted {
 			t.Error("lease renewed by a stale controller")
 		}
 	})
@@ -253,8 +258,8 @@
 		defer cancel()
 		c := newController(ctx, t, &statecache.Machine{Incarnation: 1, FencingToken: 9, Bindings: []statecache.TaskBinding{{Job: "req-000001", Attempt: 8}}}, &statecache.Job{TaskCount: 1})
 		unbound := []wire.TaskStatus{{Task: "req-000002/0", Attempt: 1, State: wire.TaskExited, ExitReason: wire.ReasonCompleted}}
-		commands := func(sequence uint64) (ops []wire.CommandOp) {
-			r := c.send(wire.Heartbeat{Incarnation: 1, Sequence: sequence, Tasks: unbound})
+		commands := func(viewAge time.Duration, sequence uint64) (ops []wire.CommandOp) {
+			r := c.sendAtViewAge(viewAge, wire.Heartbeat{Incarnation: 1, Sequence: sequence, Tasks: unbound})
 			if r.Outcome != Accepted {
 				t.Error("refused")
 			}
@@ -263,11 +268,10 @@
 			}
 			return ops
 		}
-		if got := commands(1); !reflect.DeepEqual(got, []wire.CommandOp{wire.OpAcknowledge, wire.OpLaunch}) {
+		if got := commands(0, 1); !reflect.DeepEqual(got, []wire.CommandOp{wire.OpAcknowledge, wire.OpLaunch}) {
 			t.Errorf("on a fresh view: %v", got)
 		}
-		c.setViewAge(2900 * time.Millisecond)
-		if got := commands(2); !reflect.DeepEqual(got, []wire.CommandOp{wire.OpAcknowledge}) {
+		if got := commands(2900*time.Millisecond, 2); !reflect.DeepEqual(got, []wire.CommandOp{wire.OpAcknowledge}) {
 			t.Errorf("on a view almost a heartbeat interval old: %v", got)
 		}
 	})
@@ -299,8 +303,7 @@
 		defer cancel()
 		c := newController(ctx, t, &statecache.Machine{Incarnation: 1, FencingToken: 9}, &statecache.Job{TaskCount: 1})
 		time.Sleep(100 * time.Millisecond) // the watch repeats what was just committed
-		c.setViewAge(40 * time.Second)
-		if r := c.send(wire.Heartbeat{Incarnation: 1, Sequence: 1, FencingToken: 9}); r.Outcome == Accepted || !c.reachable() {
+		if r := c.sendAtViewAge(40 * time.Second, wire.Heartbeat{Incarnation: 1, Sequence: 1, FencingToken: 9}); r.Outcome == Accepted || !c.reachable() {
 			t.Errorf("accepted %v, reachable %v", r.Outcome == Accepted, c.reachable())
 		}
 	})
