--- a/internal/scheduler/group_layout_test.go
+++ b/internal/scheduler/group_layout_test.go
@@ -125,3 +125,20 @@
 		})
 	})
 }
+
+// A group is oversized by its latest record, and forgotten with it.
+func TestGroupLayoutFollowsRecords(t *testing.T) {
+	l := newGroupLayout(recordLimits{&config.StoreLimits{MaxValueKB: 1, MaxTxnOps: 8}})
+	large, small := groupOf("a", 40), groupOf("a", 2)
+	l.observe("a", large)
+	if !l.oversized["a"] {
+		t.Errorf("%d bytes are not oversized", large.RetainedSize())
+	}
+	l.crowded["a"] = true
+	if l.observe("a", small); l.oversized["a"] || !l.crowded["a"] {
+		t.Errorf("oversized %v, crowded %v with %d bytes", l.oversized["a"], l.crowded["a"], small.RetainedSize())
+	}
+	if l.observe("a", nil); l.crowded["a"] {
+		t.Error("crowded though it is gone")
+	}
+}
