--- a/internal/autoscaler/deadline_risk.go
+++ b/internal/autoscaler/deadline_risk.go
@@ -29,7 +29,7 @@
 	if job.Spec.Deadline == nil {
 		return
 	}
-	endSeconds := float64(statecache.TimestampOf(now)-job.SubmittedAt)/1000 + wait.Wait + runtimeSeconds
+	endSeconds := float64(statecache.TimestampOf(now)-job.SubmittedAt)/1000 + wait.WaitSeconds + runtimeSeconds
 	lateSeconds := endSeconds - float64(*job.Spec.Deadline)
 	blockedBy := wire.JobID("")
 	if lateSeconds > 0 {
--- a/internal/autoscaler/deadline_risk_test.go
+++ b/internal/autoscaler/deadline_risk_test.go
@@ -33,12 +33,12 @@
 		wait estimate.DependencyWait
 		want string // in what is logged; nothing if empty
 	}{
-		{estimate.DependencyWait{Wait: 60, BlockedBy: "req-000001"}, ""},
-		{estimate.DependencyWait{Wait: 120, BlockedBy: "req-000001"}, "blocked_by=req-000001"},
-		{estimate.DependencyWait{Wait: 130, BlockedBy: "req-000001"}, ""},
-		{estimate.DependencyWait{Wait: 130, BlockedBy: "req-000002"}, "blocked_by=req-000002"},
-		{estimate.DependencyWait{Wait: 50, BlockedBy: "req-000002"}, "pipeline deadline risk cleared"},
-		{estimate.DependencyWait{Wait: 50, BlockedBy: "req-000002"}, ""},
+		{estimate.DependencyWait{WaitSeconds: 60, BlockedBy: "req-000001"}, ""},
+		{estimate.DependencyWait{WaitSeconds: 120, BlockedBy: "req-000001"}, "blocked_by=req-000001"},
+		{estimate.DependencyWait{WaitSeconds: 130, BlockedBy: "req-000001"}, ""},
+		{estimate.DependencyWait{WaitSeconds: 130, BlockedBy: "req-000002"}, "blocked_by=req-000002"},
+		{estimate.DependencyWait{WaitSeconds: 50, BlockedBy: "req-000002"}, "pipeline deadline risk cleared"},
+		{estimate.DependencyWait{WaitSeconds: 50, BlockedBy: "req-000002"}, ""},
 	} {
 		log.Reset()
 		r.logDeadlineRisks(map[wire.JobID]estimate.DependencyWait{"req-000009": step.wait}, now)
--- a/internal/autoscaler/job_tracker.go
+++ b/internal/autoscaler/job_tracker.go
@@ -65,7 +65,7 @@
 }
 
 // runtimeSeconds returns the expected runtime of a job's tasks.
-func (t *jobTracker) runtimeSeconds(spec *wire.Job) float64 { return t.runtimes.Estimate(spec) }
+func (t *jobTracker) runtimeSeconds(spec *wire.Job) float64 { return t.runtimes.EstimateSeconds(spec) }
 
 // remainingSeconds returns the expected time until a bound task of an array ends.
 func (t *jobTracker) remainingSeconds(task wire.TaskID, runtimeSeconds float64, now time.Time) float64 {
--- a/internal/autoscaler/machine_catalog.go
+++ b/internal/autoscaler/machine_catalog.go
@@ -4,8 +4,8 @@
 	"time"
 
 	"lynxledge/internal/config"
+	"lynxledge/internal/estimate"
 	"lynxledge/internal/resources"
-	"lynxledge/internal/scheduler"
 	"lynxledge/internal/statecache"
 	"lynxledge/wire"
 )
@@ -45,7 +45,7 @@
 
 // isBootOverdue tells whether a machine has been booting for longer than is usual.
 func (c *machineCatalog) isBootOverdue(m *statecache.Machine, now time.Time) bool {
-	return c.bootExceeds(m, scheduler.UsualBootFactor, now)
+	return c.bootExceeds(m, estimate.UsualBootFactor, now)
 }
 
 // bootExceeds tells whether a machine has been booting for longer than a multiple of its
--- a/internal/autoscaler/planning_demands.go
+++ b/internal/autoscaler/planning_demands.go
@@ -35,7 +35,7 @@
 	ops := &g.config.Operator
 	var demands []planner.Demand
 	for id, dependencies := range waits {
-		wait := config.Seconds(dependencies.Wait)
+		wait := config.Seconds(dependencies.WaitSeconds)
 		if wait > ops.BootLag+ops.PlanningInterval {
 			continue
 		}
--- a/internal/autoscaler/replacement.go
+++ b/internal/autoscaler/replacement.go
@@ -5,7 +5,6 @@
 
 	"lynxledge/internal/placement"
 	"lynxledge/internal/resources"
-	"lynxledge/internal/scheduler"
 	"lynxledge/internal/statecache"
 	"lynxledge/wire"
 )
@@ -14,7 +13,7 @@
 // nodes are made when they are first needed: mostly no machine is unreachable, sometimes many.
 type replacementFinder struct {
 	autoscaler *Autoscaler
-	nodes      []*scheduler.Node
+	nodes      []*placement.Node
 }
 
 // canReplaceReplicas tells whether all replicas of an unreachable machine fit on other nodes.
@@ -25,7 +24,7 @@
 		f.nodes = f.autoscaler.replicaNodes()
 	}
 	view := f.autoscaler.view
-	usedBefore := map[*scheduler.Node]resources.Vector{}
+	usedBefore := map[*placement.Node]resources.Vector{}
 	defer func() { // each unreachable machine is judged for itself
 		for node, used := range usedBefore {
 			node.Used = used
@@ -39,7 +38,7 @@
 		zones := placement.ZoneCountsOf(view, task.Job)
 		zones[unreachable.Zone]--
 		need := resources.OfTask(job.Spec)
-		i := slices.IndexFunc(f.nodes, func(n *scheduler.Node) bool { return n.CanTake(job.Spec, need, zones) })
+		i := slices.IndexFunc(f.nodes, func(n *placement.Node) bool { return n.CanTake(job.Spec, need, zones) })
 		if i < 0 {
 			return false
 		}
@@ -54,14 +53,14 @@
 
 // replicaNodes returns the schedulable machines, except for those of lost zones, used as far as
 // replicas use them: work of lower priority is preempted.
-func (r *Autoscaler) replicaNodes() []*scheduler.Node {
+func (r *Autoscaler) replicaNodes() []*placement.Node {
 	types := r.machineTypes.byName()
-	nodes := make([]*scheduler.Node, 0, len(r.view.Machines))
+	nodes := make([]*placement.Node, 0, len(r.view.Machines))
 	for name, m := range r.view.Machines {
 		if types[m.MachineType] == nil || !m.Schedulable() || r.zoneRecovery.IsLost(r.view.ZoneRecoveries, m.Zone) {
 			continue
 		}
-		node := &scheduler.Node{Name: name, MachineType: types[m.MachineType], Zone: m.Zone, Spot: m.Spot}
+		node := &placement.Node{Name: name, MachineType: types[m.MachineType], Zone: m.Zone, Spot: m.Spot}
 		for i := range m.Bindings {
 			job := r.view.Jobs[m.Bindings[i].Job]
 			if job != nil && job.Spec != nil && job.Spec.Priority == wire.PriorityProduction {
