--- a/cmd/lynxledge/combined_failures_test.go
+++ b/cmd/lynxledge/combined_failures_test.go
@@ -68,8 +68,8 @@
 	c.advance(3 * time.Second)
 }
 
-// outageAfterCancellation: the state service refuses the leader alone, another controller confirms
-// cancellations, then the service is down for all for longer than cancel_s.
+// outageAfterCancellation: the store refuses the leader alone, another controller confirms
+// cancellations, then the store is out for all for longer than the cancellation deadline.
 func outageAfterCancellation(t *testing.T, c *cluster) {
 	old := c.leader()
 	c.gatherWorkers(old)
@@ -84,13 +84,13 @@
 
 var combinedFailures = []combinedFailure{
 	{"gap", outageAfterCancellation},
-	{"all controllers away for longer than a lease", func(_ *testing.T, c *cluster) {
+	{"all controllers down for longer than a lease", func(_ *testing.T, c *cluster) {
 		for _, n := range c.members {
 			c.crash(n)
 		}
 		c.advance(45 * time.Second)
 	}},
-	{"leader without state and peers, cancelled elsewhere", func(t *testing.T, c *cluster) {
+	{"leader isolated from store and peers, jobs cancelled elsewhere", func(t *testing.T, c *cluster) {
 		old := c.leader()
 		c.gatherWorkers(old)
 		c.isolate(old)
@@ -99,7 +99,7 @@
 		c.advance(66 * time.Second)
 		c.expectLongJobsStopped(t)
 	}},
-	{"small job ends far apart, leader changes", func(_ *testing.T, c *cluster) {
+	{"tasks of small jobs complete far apart, leader changes", func(_ *testing.T, c *cluster) {
 		for i := range 3 {
 			c.submitArray(wire.JobID(fmt.Sprintf("req-00010%d", i)), "blue", 1+i, time.Duration(5+30*i)*time.Second, nil)
 			c.advance(7 * time.Second)
@@ -110,12 +110,12 @@
 	}},
 	{"workers reach no controller, commands reach them", func(t *testing.T, c *cluster) {
 		up := c.cloud.RunningMachines()
-		muted := up[:len(up)/2]
-		for _, m := range muted {
+		partitioned := up[:len(up)/2]
+		for _, m := range partitioned {
 			c.network.PartitionOutbound(string(m))
 		}
 		c.advance(150 * time.Second) // four leases: what is given to them never ends
-		for _, m := range muted {
+		for _, m := range partitioned {
 			if slices.Contains(c.cloud.RunningMachines(), m) {
 				t.Errorf("%s is still given work, which it loses every lease", m)
 			}
@@ -137,7 +137,7 @@
 			t.Errorf("not served: %v", u)
 		}
 	}},
-	{"leader ends while machines are out of reach or deaf", func(_ *testing.T, c *cluster) {
+	{"leader crashes while machines are partitioned or receive nothing", func(_ *testing.T, c *cluster) {
 		up := c.cloud.RunningMachines()
 		c.network.Partition(string(up[0]), "", true)
 		c.network.PartitionInbound(string(up[len(up)-1]))
@@ -146,14 +146,14 @@
 		c.restartAll()
 		c.advance(30 * time.Second)
 	}},
-	{"cancellations, questions and repeats at the end", func(_ *testing.T, c *cluster) {
+	{"cancellations, polls and resubmissions at completion", func(_ *testing.T, c *cluster) {
 		for i := range 9 {
 			c.requestAtCompletion(i)
 			c.submitArray(wire.JobID(fmt.Sprintf("req-0003%02d", i)), "blue", 1+i%3, 3*time.Second, nil)
 			c.advance(8 * time.Second)
 		}
 	}},
-	{"report held back until a new leader has acted", func(_ *testing.T, c *cluster) {
+	{"heartbeat held until a new leader has acted", func(_ *testing.T, c *cluster) {
 		for _, m := range c.cloud.RunningMachines() {
 			c.network.Partition(string(m), c.leader(), true)
 		}
@@ -170,7 +170,7 @@
 			c.advance(12 * time.Second)
 		}
 	}},
-	{"zone with a controller cut off for longer than a lease", func(_ *testing.T, c *cluster) {
+	{"zone with a controller partitioned for longer than a lease", func(_ *testing.T, c *cluster) {
 		cut := c.othersThan(c.leader())[0]
 		for _, h := range c.cloud.Running() {
 			if h.Zone == "b" {
@@ -183,7 +183,7 @@
 		c.network.Partition(cut, simulation.CloudHost, true)
 		c.advance(45 * time.Second)
 	}},
-	{"transactions carried out late", func(_ *testing.T, c *cluster) {
+	{"transactions committed late", func(_ *testing.T, c *cluster) {
 		c.store.SetDelayedCommits(0.4)
 		for i := range 8 {
 			id := wire.JobID(fmt.Sprintf("req-0004%02d", i))
@@ -197,7 +197,7 @@
 			}
 		}
 	}},
-	{"commands and answers held up for seconds", func(_ *testing.T, c *cluster) {
+	{"commands and responses delayed for seconds", func(_ *testing.T, c *cluster) {
 		for i := range 6 {
 			up := c.cloud.RunningMachines()
 			for _, m := range up[:len(up)/2] {
@@ -210,7 +210,7 @@
 			c.advance(4 * time.Second)
 		}
 	}},
-	{"team at its limit, leader changes, machines can't be asked, cancelled", func(_ *testing.T, c *cluster) {
+	{"team at its limit, leader changes, machines unreachable, job cancelled", func(_ *testing.T, c *cluster) {
 		c.submitArray("req-000600", "red", 40, 60*time.Second, nil) // red: 20 at most
 		c.advance(20 * time.Second)
 		up := c.cloud.RunningMachines()
@@ -222,7 +222,7 @@
 		c.advance(40 * time.Second)
 		c.restartAll()
 	}},
-	{"cancelled as the leader is refused, out a second later", func(t *testing.T, c *cluster) {
+	{"jobs cancelled while the store refuses the leader, outage a second later", func(t *testing.T, c *cluster) {
 		old := c.leader()
 		c.store.SetUnavailableFor(old, true)
 		for _, id := range longJobs {
@@ -241,7 +241,7 @@
 			c.advance(5 * time.Second)
 		}
 	}},
-	{"handed over and back, all end, one returns", func(_ *testing.T, c *cluster) {
+	{"leadership moves back and forth, all controllers crash, one restarts", func(_ *testing.T, c *cluster) {
 		for range 3 {
 			c.crash(c.leader())
 			c.advance(8 * time.Second)
@@ -255,7 +255,7 @@
 		c.start(c.members[1])
 		c.advance(30 * time.Second)
 	}},
-	{"state slow, then refused, then out, while users cancel and ask", func(_ *testing.T, c *cluster) {
+	{"store slow, then refusing, then out, while users cancel and poll", func(_ *testing.T, c *cluster) {
 		c.network.SetMaxExtraLatency(simulation.StoreHost, 3*time.Second)
 		c.advance(10 * time.Second)
 		c.store.SetUnavailableFor(c.leader(), true)
@@ -268,7 +268,7 @@
 			c.advance(5 * time.Second)
 		}
 	}},
-	{"old reports after newer ones", func(_ *testing.T, c *cluster) {
+	{"old heartbeats after newer ones", func(_ *testing.T, c *cluster) {
 		c.network.SetLossAndDuplication(0, 0.5)
 		for i := range 6 {
 			c.submitArray(wire.JobID(fmt.Sprintf("req-0008%02d", i)), "blue", 4, 8*time.Second, nil)
@@ -277,7 +277,7 @@
 		}
 		c.advance(40 * time.Second)
 	}},
-	{"cancelled as machines hang, state out", func(_ *testing.T, c *cluster) {
+	{"jobs cancelled while machines are paused, store out", func(_ *testing.T, c *cluster) {
 		for i, m := range c.cloud.RunningMachines() {
 			c.cloud.PauseMachine(m, time.Duration(10+6*i)*time.Second)
 		}
@@ -288,7 +288,7 @@
 		c.store.SetOutage(true)
 		c.advance(75 * time.Second)
 	}},
-	{"process stands still beyond every lease while its jobs are cancelled elsewhere", func(t *testing.T, c *cluster) {
+	{"process paused beyond every lease while its jobs are cancelled elsewhere", func(t *testing.T, c *cluster) {
 		old := c.scheduler()
 		c.gatherWorkers(old)
 		c.pause(old, 40*time.Second)
@@ -297,7 +297,7 @@
 		c.advance(70 * time.Second)
 		c.expectLongJobsStopped(t)
 	}},
-	{"leader and placing controller stand still for seconds, again and again", func(t *testing.T, c *cluster) {
+	{"leader and scheduling controller paused for seconds, repeatedly", func(t *testing.T, c *cluster) {
 		for i := range 6 {
 			c.pause(c.leader(), time.Duration(2+i)*time.Second)
 			c.pause(c.scheduler(), time.Duration(7-i)*time.Second)
@@ -309,21 +309,21 @@
 	}},
 }
 
-// TestCombinedFailures brings about two failures at once, each combination with several
-// seeds. No rule breaks; once all troubles are over nothing is forgotten, left
-// waiting beside room, or unfinished.
+// TestCombinedFailures injects two failures at once, each combination with several seeds. No
+// invariant is violated; once all faults are over nothing is forgotten, left waiting beside
+// free capacity, or unfinished.
 func TestCombinedFailures(t *testing.T) {
-	for _, m := range combinedFailures {
-		t.Run(m.name, func(t *testing.T) {
+	for _, failure := range combinedFailures {
+		t.Run(failure.name, func(t *testing.T) {
 			for seed := range uint64(3) {
 				synctest.Test(t, func(t *testing.T) {
 					ctx, cancel := context.WithCancel(context.Background())
 					c := newCluster(ctx, seed, smallCluster, nil)
 					c.startInitialWork()
-					m.inject(t, c)
+					failure.inject(t, c)
 					c.healAndFinish()
-					for _, f := range c.violations() {
-						t.Errorf("seed %d: %s", seed, f)
+					for _, violation := range c.violations() {
+						t.Errorf("seed %d: %s", seed, violation)
 					}
 					cancel()
 					c.shutdown()
--- a/cmd/lynxledge/loopback_measure_test.go
+++ b/cmd/lynxledge/loopback_measure_test.go
@@ -15,16 +15,16 @@
 // roundsOfTakeovers is how often each role's holder is ended.
 const roundsOfTakeovers = 60
 
-// TestMeasureTakeoversOnLoopback kills leaders and placers of processes on loopback again
+// TestMeasureFailoverOnLoopback kills leaders and schedulers of processes on loopback again
 // and again, and stops leaders for a while, and prints how long takeovers take and how many
 // were made though nobody had died. Run with: go test -tags measure -run
-// TestMeasureTakeoversOnLoopback -v -timeout 30m ./cmd/lynxledge
-func TestMeasureTakeoversOnLoopback(t *testing.T) {
+// TestMeasureFailoverOnLoopback -v -timeout 30m ./cmd/lynxledge
+func TestMeasureFailoverOnLoopback(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	c := newServingCluster(ctx, t)
 	defer c.shutdown()
-	for _, role := range []string{"leader", "placer"} {
+	for _, role := range []string{"leader", "scheduler"} {
 		var took []time.Duration
 		for range roundsOfTakeovers {
 			took = append(took, c.failover(role, c.kill))
--- a/cmd/lynxledge/loopback_test.go
+++ b/cmd/lynxledge/loopback_test.go
@@ -82,14 +82,14 @@
 type process struct {
 	name                       string
 	zone                       wire.Zone
-	clientAddress, peerAddress string // addresses
-	settingsFile               string // file
+	clientAddress, peerAddress string
+	settingsFile               string
 	command                    *exec.Cmd
 	logs                       bytes.Buffer
-	storeAddress, cloudAddress string // addresses of its doors
+	storeAddress, cloudAddress string // its own of the simulated store and cloud
 }
 
-// processCluster is controllers as processes, on loopback, over the fakes.
+// processCluster is controllers as processes, with the simulation on loopback addresses.
 type processCluster struct {
 	t            *testing.T
 	ctx          context.Context
@@ -108,6 +108,7 @@
 
 // freeAddress is a loopback address that nobody listens on.
 func freeAddress(t *testing.T) string {
+	t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -116,31 +117,34 @@
 	return l.Addr().String()
 }
 
+// newProcessCluster starts a controller in each zone, with operators' settings.
 func newProcessCluster(ctx context.Context, t *testing.T, zones []wire.Zone, operators string) *processCluster {
 	cfg, err := config.Parse(fmt.Sprintf(loopbackSettings, "observer", "a", "127.0.0.1:1", "127.0.0.1:1", "", "127.0.0.1:1", "127.0.0.1:1"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := &processCluster{operators: operators, t: t, ctx: ctx, cfg: cfg, invariants: simulation.NewInvariantChecker(cfg.Params), store: simulation.NewStore(), network: simulation.NewNetwork(1, 0), client: &http.Client{Timeout: 3 * time.Second}}
-	users := map[string]string{}
+	c := &processCluster{
+		t:          t,
+		ctx:        ctx,
+		cfg:        cfg,
+		invariants: simulation.NewInvariantChecker(cfg.Params),
+		store:      simulation.NewStore(),
+		network:    simulation.NewNetwork(1, 0),
+		client:     &http.Client{Timeout: 3 * time.Second},
+		operators:  operators,
+	}
+	clientAddresses := map[string]string{}
 	var names []string
 	for i, zone := range zones {
 		p := &process{name: fmt.Sprintf("n%d", i), zone: zone, clientAddress: freeAddress(t), peerAddress: freeAddress(t)}
-		c.processes, names, users[p.name] = append(c.processes, p), append(names, p.name), p.clientAddress
+		c.processes, names, clientAddresses[p.name] = append(c.processes, p), append(names, p.name), p.clientAddress
 	}
-	options := simulation.WorkerOptions{
+	c.startCloud(simulation.WorkerOptions{
 		HeartbeatInterval: time.Second, LeaseDuration: 6 * time.Second, Members: names, Network: c.network, Checker: c.invariants, ImageFetchTime: 100 * time.Millisecond,
-		PostHeartbeat: func(node string) simulation.HeartbeatPoster { return loopback.HeartbeatPoster(c.client, users[node]) },
-	}
-	c.cloud = simulation.NewCloud(1, zoneMachineTypes, 4, time.Second, func(h wire.Instance) *simulation.Worker {
-		w := simulation.NewWorker(ctx, h, options, len(h.ID)%len(names))
-		conn := &simulation.WorkerConn{Cloud: c.cloud, Network: c.network, Member: "commands", Timeout: time.Second}
-		if err := loopback.ServeWorker(ctx, h.ID, h.Address, conn); err != nil {
-			t.Error(err)
-		}
-		return w
+		PostHeartbeat: func(member string) simulation.HeartbeatPoster {
+			return loopback.HeartbeatPoster(c.client, clientAddresses[member])
+		},
 	})
-	c.cloud.SetBootTimeAndAddress(2*time.Second, loopback.NewSubnet().Address)
 	for _, p := range c.processes {
 		c.configure(p)
 		c.start(p)
@@ -150,7 +154,20 @@
 	return c
 }
 
-// configure opens a controller's doors and writes its settings.
+// startCloud starts a cloud whose workers answer commands on loopback addresses.
+func (c *processCluster) startCloud(options simulation.WorkerOptions) {
+	c.cloud = simulation.NewCloud(1, zoneMachineTypes, 4, time.Second, func(instance wire.Instance) *simulation.Worker {
+		worker := simulation.NewWorker(c.ctx, instance, options, len(instance.ID)%len(options.Members))
+		conn := &simulation.WorkerConn{Cloud: c.cloud, Network: c.network, Member: "commands", Timeout: time.Second}
+		if err := loopback.ServeWorker(c.ctx, instance.ID, instance.Address, conn); err != nil {
+			c.t.Error(err)
+		}
+		return worker
+	})
+	c.cloud.SetBootTimeAndAddress(2*time.Second, loopback.NewSubnet().Address)
+}
+
+// configure serves the store and the cloud for a controller, and writes its settings.
 func (c *processCluster) configure(p *process) {
 	var err error
 	if p.storeAddress, err = loopback.Serve(c.ctx, loopback.StoreHandler(&simulation.StoreConn{Store: c.store, Network: c.network, Member: p.name, Timeout: time.Second})); err != nil {
@@ -174,6 +191,7 @@
 	}
 }
 
+// start starts a controller's process.
 func (c *processCluster) start(p *process) {
 	program, err := os.Executable()
 	if err != nil {
@@ -321,8 +339,8 @@
 	c.start(lost)
 	t.Logf("whole after %v more", c.await("all services run again", func() bool { return c.allReplicasRun("") }))
 	t.Logf("healthy after %v more", c.await("the zone is healthy", func() bool { return c.orderChecker.Phase("a") == "healthy" }))
-	for _, fault := range append(c.invariants.Violations(), append(c.store.Violations(), c.orderChecker.Violations()...)...) {
-		t.Error(fault)
+	for _, violation := range append(c.invariants.Violations(), append(c.store.Violations(), c.orderChecker.Violations()...)...) {
+		t.Error(violation)
 	}
 	if c.orderChecker.CheckedArrayTasks() == 0 {
 		t.Error("no array was placed while the zone recovered")
@@ -335,24 +353,24 @@
 	return record, raw != nil && json.Unmarshal(raw, &record) == nil
 }
 
-// roles names the controllers that lead and place; empty: none does.
-func (c *processCluster) roles() (leader, placer string) {
-	l, leads := recordOf[statecache.Leader](c, statecache.LeaderKey)
-	a, places := recordOf[statecache.Assignment](c, statecache.Key(statecache.KindAssignment, "red"))
-	if m, member := recordOf[statecache.Member](c, statecache.Key(statecache.KindMember, a.Member)); places && member && m.Incarnation == a.Incarnation {
-		placer = a.Member
+// roles names the controllers that lead and schedule; empty: none does.
+func (c *processCluster) roles() (leader, scheduler string) {
+	leaderRecord, leads := recordOf[statecache.Leader](c, statecache.LeaderKey)
+	assignment, assigned := recordOf[statecache.Assignment](c, statecache.Key(statecache.KindAssignment, "red"))
+	if member, exists := recordOf[statecache.Member](c, statecache.Key(statecache.KindMember, assignment.Member)); assigned && exists && member.Incarnation == assignment.Incarnation {
+		scheduler = assignment.Member
 	}
 	if leads {
-		leader = l.Member
+		leader = leaderRecord.Member
 	}
-	return leader, placer
+	return leader, scheduler
 }
 
 // holder is the process that has a role.
 func (c *processCluster) holder(role string) *process {
-	leader, placer := c.roles()
+	leader, scheduler := c.roles()
 	for _, p := range c.processes {
-		if role == "leader" && p.name == leader || role == "placer" && p.name == placer {
+		if role == "leader" && p.name == leader || role == "scheduler" && p.name == scheduler {
 			return p
 		}
 	}
@@ -365,6 +383,7 @@
 
 // newServingCluster begins with long leases, and services that run.
 func newServingCluster(ctx context.Context, t *testing.T) *processCluster {
+	t.Helper()
 	c := newProcessCluster(ctx, t, []wire.Zone{"a", "b", "c"}, longLease)
 	for range 4 {
 		c.submitService(2, func(*wire.Job) {})
@@ -395,7 +414,7 @@
 	var dead *process
 	c.await("controllers hear one another, and all roles are held", func() bool {
 		dead = c.holder(role) // it may have the other role too
-		return c.holder("leader") != nil && c.holder("placer") != nil && c.peersConnected()
+		return c.holder("leader") != nil && c.holder("scheduler") != nil && c.peersConnected()
 	})
 	begun := time.Now()
 	end(dead)
@@ -410,9 +429,9 @@
 	return took
 }
 
-// Leaders and placers that are killed, and a leader that is asked to leave, are followed by
+// Leaders and schedulers that are killed, and a leader that is asked to leave, are followed by
 // others before their leases have ended; work goes on, and nothing is lost or runs twice.
-func TestTakeoversOnLoopback(t *testing.T) {
+func TestFailoverOnLoopback(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	c := newServingCluster(ctx, t)
@@ -422,7 +441,7 @@
 		role, how string
 		end       func(p *process)
 	}{
-		{"leader", "killed", c.kill}, {"placer", "killed", c.kill}, {"leader", "asked to leave", c.stop}, {"placer", "asked to leave", c.stop},
+		{"leader", "killed", c.kill}, {"scheduler", "killed", c.kill}, {"leader", "asked to leave", c.stop}, {"scheduler", "asked to leave", c.stop},
 	} {
 		took := c.failover(ending.role, ending.end)
 		t.Logf("%s %s: another after %v", ending.role, ending.how, took)
@@ -435,7 +454,7 @@
 	c.submitArray(8, time.Second)
 	last := wire.JobID(fmt.Sprintf("req-%06d", c.jobCount))
 	c.await("new work begins", func() bool { return !c.invariants.FirstTaskStartedAt(last).IsZero() })
-	for _, fault := range append(c.invariants.Violations(), c.store.Violations()...) {
-		t.Error(fault)
+	for _, violation := range append(c.invariants.Violations(), c.store.Violations()...) {
+		t.Error(violation)
 	}
 }
--- a/cmd/lynxledge/standby_test.go
+++ b/cmd/lynxledge/standby_test.go
@@ -65,11 +65,11 @@
 
 // A controller whose process ends has its roles taken over long before its lease ends,
 // whatever its role, and nothing is lost or runs twice.
-func TestEarlyTakeover(t *testing.T) {
+func TestEarlyFailover(t *testing.T) {
 	roles := map[string]func(c *cluster) []string{
-		"leader": func(c *cluster) []string { return []string{c.leader()} },
-		"placer": func(c *cluster) []string { return []string{c.scheduler()} },
-		"both":   func(c *cluster) []string { return []string{c.leader(), c.scheduler()} },
+		"leader":    func(c *cluster) []string { return []string{c.leader()} },
+		"scheduler": func(c *cluster) []string { return []string{c.scheduler()} },
+		"both":      func(c *cluster) []string { return []string{c.leader(), c.scheduler()} },
 	}
 	for role, victims := range roles {
 		for seed := range uint64(4) {
@@ -89,8 +89,8 @@
 					}
 					c.submitArray("req-900000", "blue", 4, 5*time.Second, func(j *wire.Job) { j.Priority = wire.PriorityHigh })
 					c.healAndFinish()
-					for _, f := range c.violations() {
-						t.Error(f)
+					for _, violation := range c.violations() {
+						t.Error(violation)
 					}
 					cancel()
 					c.shutdown()
@@ -102,17 +102,17 @@
 
 // harmlessFaults are troubles in which no controller has ended: none may be taken for failed.
 var harmlessFaults = map[string]func(c *cluster){
-	"a leader that stands still for less than its lease": func(c *cluster) {
+	"leader paused for less than its lease": func(c *cluster) {
 		c.pause(c.leader(), 5*time.Second)
 		c.advance(20 * time.Second)
 	},
-	"all stand still": func(c *cluster) {
+	"all controllers paused": func(c *cluster) {
 		for _, n := range c.members {
 			c.pause(n, 4*time.Second) // no lease ends in that time
 		}
 		c.advance(20 * time.Second)
 	},
-	"every link between controllers is cut": func(c *cluster) {
+	"every link between controllers partitioned": func(c *cluster) {
 		for i, n := range c.members {
 			for _, other := range c.members[:i] {
 				c.network.Partition(n, other, i%2 == 0)
@@ -120,11 +120,11 @@
 		}
 		c.advance(60 * time.Second)
 	},
-	"messages are lost and repeated": func(c *cluster) {
+	"messages lost and duplicated": func(c *cluster) {
 		c.network.SetLossAndDuplication(0.05, 0.1)
 		c.advance(60 * time.Second)
 	},
-	"the state service is away": func(c *cluster) {
+	"store outage": func(c *cluster) {
 		c.store.SetOutage(true)
 		c.advance(30 * time.Second)
 		c.store.SetOutage(false)
@@ -133,22 +133,22 @@
 }
 
 // Controllers that pause, or lose their links to one another, keep their roles.
-func TestNoTakeoverWithoutADeath(t *testing.T) {
-	for name, trouble := range harmlessFaults {
+func TestNoFailoverWithoutCrash(t *testing.T) {
+	for name, inject := range harmlessFaults {
 		for seed := range uint64(3) {
 			t.Run(fmt.Sprint(name, seed), func(t *testing.T) {
 				t.Parallel()
 				synctest.Test(t, func(t *testing.T) {
 					ctx, cancel := context.WithCancel(context.Background())
 					c := newStandbyCluster(ctx, seed)
-					term, leader, placer := c.highestTerm(), c.leader(), c.scheduler()
-					trouble(c)
-					if c.highestTerm() != term || c.leader() != leader || c.scheduler() != placer {
-						t.Errorf("term %d became %d; leader %s, placer %s became %s, %s", term, c.highestTerm(), leader, placer, c.leader(), c.scheduler())
+					term, leader, scheduler := c.highestTerm(), c.leader(), c.scheduler()
+					inject(c)
+					if c.highestTerm() != term || c.leader() != leader || c.scheduler() != scheduler {
+						t.Errorf("term %d became %d; leader %s, scheduler %s became %s, %s", term, c.highestTerm(), leader, scheduler, c.leader(), c.scheduler())
 					}
 					c.healAndFinish()
-					for _, f := range c.violations() {
-						t.Error(f)
+					for _, violation := range c.violations() {
+						t.Error(violation)
 					}
 					cancel()
 					c.shutdown()
@@ -160,7 +160,7 @@
 
 // A leader that is alive, but of which the others see no connection, may lose the lead; it
 // is not taken from it again and again: each time it is held down longer.
-func TestLeadershipDoesNotSwing(t *testing.T) {
+func TestLeadershipIsStable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		c := newStandbyCluster(ctx, 1)
@@ -181,8 +181,8 @@
 			t.Errorf("%d terms in six minutes", terms)
 		}
 		c.healAndFinish()
-		for _, f := range c.violations() {
-			t.Error(f)
+		for _, violation := range c.violations() {
+			t.Error(violation)
 		}
 		cancel()
 		c.shutdown()
@@ -190,7 +190,7 @@
 }
 
 // Whatever happens besides, no rule is broken with early takeovers and zone recovery on.
-func TestRulesWithEverythingOn(t *testing.T) {
+func TestInvariantsWithAllFeatures(t *testing.T) {
 	for seed := range 24 {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
@@ -206,12 +206,12 @@
 				size.poolSize = 5
 				c := newCluster(ctx, uint64(seed), size, nil)
 				c.advance(5 * time.Second)
-				for _, a := range genFaults().Example(seed) {
-					c.inject(a)
+				for _, f := range genFaults().Example(seed) {
+					c.inject(f)
 				}
 				c.healAndFinish()
-				for _, f := range c.violations() {
-					t.Errorf("seed %d: %s", seed, f)
+				for _, violation := range c.violations() {
+					t.Errorf("seed %d: %s", seed, violation)
 				}
 				cancel()
 				c.shutdown()
@@ -221,7 +221,7 @@
 }
 
 // The status page says who stands by and what is known of the others.
-func TestStandbyPage(t *testing.T) {
+func TestStandbyStatus(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		c := newStandbyCluster(ctx, 1)
--- a/cmd/lynxledge/takeover_measure_test.go
+++ b/cmd/lynxledge/takeover_measure_test.go
@@ -112,13 +112,13 @@
 	return figures
 }
 
-// TestMeasureTakeover prints where the time of a takeover goes, by the role of the dead
+// TestMeasureFailover prints where the time of a takeover goes, by the role of the dead
 // controller, in simulated time. Run with: go test -tags measure -run
-// TestMeasureTakeover -v ./cmd/lynxledge
-func TestMeasureTakeover(t *testing.T) {
+// TestMeasureFailover -v ./cmd/lynxledge
+func TestMeasureFailover(t *testing.T) {
 	roles := map[string]func(c *cluster) []string{
 		"leader": func(c *cluster) []string { return []string{c.leader()} },
-		"placer": func(c *cluster) []string { return []string{c.scheduler()} },
+		"scheduler": func(c *cluster) []string { return []string{c.scheduler()} },
 		"both":   func(c *cluster) []string { return slices.Compact([]string{c.scheduler(), c.leader()}) },
 	}
 	const takeovers = 40
--- a/cmd/lynxledge/zone_recovery_test.go
+++ b/cmd/lynxledge/zone_recovery_test.go
@@ -19,19 +19,19 @@
 
 // zoneScenarios are losses and returns of zones, combined with other faults.
 var zoneScenarios = map[string]func(t *testing.T, c *zoneCluster){
-	"a zone dies and is rented anew": func(t *testing.T, c *zoneCluster) {
+	"zone fails and is provisioned anew": func(t *testing.T, c *zoneCluster) {
 		c.failUntilLost(t, "a")
 		c.advanceWithArrays(40)
 		c.healZone("a", 0)
 		c.mustLeave(t, "a", "lost")
 	},
-	"a zone is cut off, lives, and is back within a lease": func(t *testing.T, c *zoneCluster) {
+	"zone partitioned, back within a lease": func(t *testing.T, c *zoneCluster) {
 		c.partitionUntilLost(t, "a", false)
 		c.advanceWithArrays(8)
 		c.healZone("a", 0)
 		c.mustReach(t, "a", "returning")
 	},
-	"a zone is cut off for longer than its leases": func(t *testing.T, c *zoneCluster) {
+	"zone partitioned for longer than its leases": func(t *testing.T, c *zoneCluster) {
 		c.partitionZone("a", true)
 		c.advanceWithArrays(60)
 		for _, j := range c.services { // without the zone, but for what may be nowhere else
@@ -55,13 +55,13 @@
 		c.healZone("a", 2)
 		c.mustLeave(t, "a", "lost")
 	},
-	"the leader goes with the zone": func(t *testing.T, c *zoneCluster) {
+	"leader fails with the zone": func(t *testing.T, c *zoneCluster) {
 		zone := c.zoneOf(c.leader())
 		c.failUntilLost(t, zone)
 		c.advanceWithArrays(20)
 		c.healZone(zone, 0)
 	},
-	"the controller that places goes with the zone": func(t *testing.T, c *zoneCluster) {
+	"scheduling controller partitioned with the zone": func(t *testing.T, c *zoneCluster) {
 		zone := c.zoneOf(c.scheduler())
 		c.partitionUntilLost(t, zone, true)
 		c.advanceWithArrays(20)
@@ -78,7 +78,7 @@
 			t.Errorf("the new leader began anew: step %d after %d", after.Find("a").Step, before.Find("a").Step)
 		}
 	},
-	"the leader dies while it writes a step": func(t *testing.T, c *zoneCluster) {
+	"leader crashes while it writes a step": func(t *testing.T, c *zoneCluster) {
 		c.partitionUntilLost(t, "a", false)
 		c.store.SetDelayedCommits(0.5)
 		c.healZone("a", 0)
@@ -96,7 +96,7 @@
 		c.advanceWithArrays(15)
 		c.healZone("b", 0)
 	},
-	"the state service is away for the loss": func(t *testing.T, c *zoneCluster) {
+	"store outage during the loss": func(t *testing.T, c *zoneCluster) {
 		c.store.SetOutage(true)
 		c.partitionZone("a", false)
 		c.advanceWithArrays(15)
@@ -105,7 +105,7 @@
 		c.advanceWithArrays(10)
 		c.healZone("a", 0)
 	},
-	"the state service is away for the return": func(t *testing.T, c *zoneCluster) {
+	"store outage during the return": func(t *testing.T, c *zoneCluster) {
 		c.partitionUntilLost(t, "a", false)
 		c.store.SetOutage(true)
 		c.advanceWithArrays(5)
@@ -113,7 +113,7 @@
 		c.advanceWithArrays(15)
 		c.store.SetOutage(false)
 	},
-	"the state service is away in between": func(t *testing.T, c *zoneCluster) {
+	"store outage between loss and return": func(t *testing.T, c *zoneCluster) {
 		c.partitionUntilLost(t, "a", false)
 		c.store.SetOutage(true)
 		c.advanceWithArrays(10)
@@ -121,7 +121,7 @@
 		c.advanceWithArrays(10)
 		c.healZone("a", 0)
 	},
-	"late copies of reports from before the loss": func(t *testing.T, c *zoneCluster) {
+	"duplicated heartbeats from before the loss": func(t *testing.T, c *zoneCluster) {
 		c.network.SetLossAndDuplication(0.02, 0.3)
 		c.advanceWithArrays(10)
 		c.failZone("a")
@@ -221,7 +221,7 @@
 }
 
 // The check of the order finds arrays ahead of services where the order is switched off.
-func TestOrderIsMissedWhenSwitchedOff(t *testing.T) {
+func TestOrderCheckerFindsViolations(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		c := newZoneCluster(ctx, 1, false)
@@ -346,7 +346,7 @@
 }
 
 // The status page says which zone is in which state, by what evidence, and what waits.
-func TestZonesPage(t *testing.T) {
+func TestZoneStatus(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		c := newZoneCluster(ctx, 3, true)
