--- a/cmd/lynxledge/cluster_test.go
+++ b/cmd/lynxledge/cluster_test.go
@@ -1,14 +1,12 @@
 package main
 
 import (
-	"context"
 	"encoding/json"
 	"fmt"
 	"net/http"
 	"net/http/httptest"
 	"strings"
 	"testing"
-	"testing/synctest"
 	"time"
 
 	"pgregory.net/rapid"
@@ -21,9 +19,7 @@
 // However many small jobs keep the cluster busy, the largest starts within four minutes:
 // those that can still meet their deadline go first, but not for ever.
 func TestLargestJobStarts(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		ctx, cancel := context.WithCancel(context.Background())
-		c := newCluster(ctx, 1, smallCluster, nil)
+	withCluster(t, 1, smallCluster, nil, func(t *testing.T, c *cluster) {
 		c.advance(5 * time.Second)
 		array := func(id wire.JobID, tasks int) {
 			deadline := wire.Seconds(30)
@@ -51,8 +47,6 @@
 		if violations := c.invariants.Violations(); len(violations) > 0 {
 			t.Error(violations)
 		}
-		cancel()
-		c.shutdown()
 	})
 }
 
@@ -94,9 +88,7 @@
 // A controller that can't reach the store has its users' requests answered by one that
 // can; when none can, they are refused at once, with a time after which to retry.
 func TestRequestsAreForwardedToAMemberWithTheStore(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		ctx, cancel := context.WithCancel(context.Background())
-		c := newCluster(ctx, 1, smallCluster, nil)
+	withCluster(t, 1, smallCluster, nil, func(t *testing.T, c *cluster) {
 		c.advance(10 * time.Second)
 		c.network.Partition("n0", simulation.StoreHost, false)
 		c.advance(10 * time.Second)
@@ -129,8 +121,6 @@
 		if took := time.Since(begun); recorder.Code != http.StatusServiceUnavailable || recorder.Header().Get("Retry-After") == "" || took > 100*time.Millisecond {
 			t.Errorf("in an outage: %d after %v, %v", recorder.Code, took, recorder.Header())
 		}
-		cancel()
-		c.shutdown()
 	})
 }
 
@@ -139,9 +129,8 @@
 // rule is broken, nothing is left behind, and nothing too large is sent.
 func TestLimitsFallAfterAnUpgrade(t *testing.T) {
 	for seed := range uint64(6) {
-		synctest.Test(t, func(t *testing.T) {
-			ctx, cancel := context.WithCancel(context.Background())
-			c := newCluster(ctx, seed, smallCluster, func(p *config.Params) { p.Teams = []config.TeamQuota{{Name: "red"}, {Name: "blue"}} })
+		withoutLimits := func(p *config.Params) { p.Teams = []config.TeamQuota{{Name: "red"}, {Name: "blue"}} }
+		withCluster(t, seed, smallCluster, withoutLimits, func(t *testing.T, c *cluster) {
 			c.setStoreLimits()
 			c.advance(5 * time.Second)
 			for i := range 12 {
@@ -171,8 +160,6 @@
 			for _, violation := range c.violations() {
 				t.Errorf("seed %d: %s", seed, violation)
 			}
-			cancel()
-			c.shutdown()
 		})
 	}
 }
--- a/cmd/lynxledge/combined_failures_test.go
+++ b/cmd/lynxledge/combined_failures_test.go
@@ -1,12 +1,10 @@
 package main
 
 import (
-	"context"
 	"fmt"
 	"net/http"
 	"slices"
 	"testing"
-	"testing/synctest"
 	"time"
 
 	"lynxledge/internal/simulation"
@@ -16,17 +14,17 @@
 // combinedFailure is two failures at once. docs/combined-failures.md has a row for each.
 type combinedFailure struct {
 	name string
-	// play begins on a cluster that runs the opening's work.
+	// inject begins on a cluster that runs the initial work.
 	inject func(t *testing.T, c *cluster)
 }
 
-// othersThan are the controllers but one.
-func (c *cluster) othersThan(than string) []string {
-	return slices.DeleteFunc(slices.Clone(c.members), func(n string) bool { return n == than })
+// othersThan lists the members but one.
+func (c *cluster) othersThan(member string) []string {
+	return slices.DeleteFunc(slices.Clone(c.members), func(other string) bool { return other == member })
 }
 
 // startInitialWork has machines up and work on them: long batch jobs that may be
-// cancelled, a small one whose tasks end far apart, and a replicated service.
+// cancelled, a small one whose tasks complete far apart, and a replicated service.
 func (c *cluster) startInitialWork() {
 	c.advance(5 * time.Second)
 	c.submitArray("req-000001", "blue", 8, 200*time.Second, nil)
@@ -58,10 +56,10 @@
 	}
 }
 
-// gatherWorkers has every worker report to one controller.
-func (c *cluster) gatherWorkers(node string) {
-	for _, n := range c.othersThan(node) {
-		c.crash(n)
+// gatherWorkers has every worker send its heartbeats to one controller.
+func (c *cluster) gatherWorkers(member string) {
+	for _, other := range c.othersThan(member) {
+		c.crash(other)
 	}
 	c.advance(8 * time.Second)
 	c.restartAll()
@@ -85,9 +83,7 @@
 var combinedFailures = []combinedFailure{
 	{"gap", outageAfterCancellation},
 	{"all controllers down for longer than a lease", func(_ *testing.T, c *cluster) {
-		for _, n := range c.members {
-			c.crash(n)
-		}
+		c.crashAll()
 		c.advance(45 * time.Second)
 	}},
 	{"leader isolated from store and peers, jobs cancelled elsewhere", func(t *testing.T, c *cluster) {
@@ -248,9 +244,7 @@
 			c.restartAll()
 			c.advance(4 * time.Second)
 		}
-		for _, n := range c.members {
-			c.crash(n)
-		}
+		c.crashAll()
 		c.advance(time.Second)
 		c.start(c.members[1])
 		c.advance(30 * time.Second)
@@ -316,17 +310,13 @@
 	for _, failure := range combinedFailures {
 		t.Run(failure.name, func(t *testing.T) {
 			for seed := range uint64(3) {
-				synctest.Test(t, func(t *testing.T) {
-					ctx, cancel := context.WithCancel(context.Background())
-					c := newCluster(ctx, seed, smallCluster, nil)
+				withCluster(t, seed, smallCluster, nil, func(t *testing.T, c *cluster) {
 					c.startInitialWork()
 					failure.inject(t, c)
 					c.healAndFinish()
 					for _, violation := range c.violations() {
 						t.Errorf("seed %d: %s", seed, violation)
 					}
-					cancel()
-					c.shutdown()
 				})
 			}
 		})
--- a/cmd/lynxledge/takeover_measure_test.go
+++ b/cmd/lynxledge/failover_measure_test.go
@@ -18,63 +18,63 @@
 	"lynxledge/wire"
 )
 
-// takeover is when what follows the death of a controller happened, from then on. What
-// has not happened is zero.
-type takeover struct {
-	mu      sync.Mutex
-	begun   time.Time
-	dead    string
-	noticed time.Duration // the dead controller's membership is gone
-	led     time.Duration // another leads
-	handed  time.Duration // its teams are another's
-	rented  time.Duration // the first intent of the new leader
-	placed  time.Duration // the first task bound by another controller
+// failover is what follows the crash of a controller, as time from then on. What has not
+// happened is zero.
+type failover struct {
+	mu                 sync.Mutex
+	crashedAt          time.Time
+	crashed            string        // the member
+	memberRemoved      time.Duration // the membership of the crashed controller is gone
+	leaderElected      time.Duration // another leads
+	teamsAssigned      time.Duration // its teams are assigned to another
+	machineProvisioned time.Duration // the first intent of the new leader
+	taskBound          time.Duration // the first task bound by another controller
 }
 
 // phases names the figures.
-var phases = []string{"membership gone", "new term", "teams handed on", "first rental", "first placement"}
+var phases = []string{"membership removed", "leader elected", "teams assigned", "first provisioning", "first binding"}
 
-func (k *takeover) figures() []time.Duration {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return []time.Duration{k.noticed, k.led, k.handed, k.rented, k.placed}
+func (f *failover) figures() []time.Duration {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return []time.Duration{f.memberRemoved, f.leaderElected, f.teamsAssigned, f.machineProvisioned, f.taskBound}
 }
 
-// apply notes what a change of the records means.
-func (k *takeover) apply(d statecache.Update) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	for _, c := range d.Changes {
-		if k.begun.IsZero() {
+// apply records what the changes of the store's records mean.
+func (f *failover) apply(update statecache.Update) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	for _, change := range update.Changes {
+		if f.crashedAt.IsZero() {
 			continue
 		}
 		note := func(at *time.Duration, is bool) {
 			if is && *at == 0 {
-				*at = time.Since(k.begun)
+				*at = time.Since(f.crashedAt)
 			}
 		}
-		switch rec := c.Record.(type) {
+		switch record := change.Record.(type) {
 		case nil:
-			note(&k.noticed, c.Kind == statecache.KindMember && c.Name == k.dead)
+			note(&f.memberRemoved, change.Kind == statecache.KindMember && change.Name == f.crashed)
 		case *statecache.Leader:
-			note(&k.led, rec.Member != k.dead)
+			note(&f.leaderElected, record.Member != f.crashed)
 		case *statecache.Assignment:
-			note(&k.handed, rec.Member != k.dead)
+			note(&f.teamsAssigned, record.Member != f.crashed)
 		case *statecache.ProvisioningIntent:
-			note(&k.rented, rec.RequestedAt >= statecache.TimestampOf(k.begun))
+			note(&f.machineProvisioned, record.RequestedAt >= statecache.TimestampOf(f.crashedAt))
 		case *statecache.MachineGroup:
-			for _, m := range rec.Machines {
+			for _, m := range record.Machines {
 				for i := range m.Bindings {
 					// Attempts of a new term are larger than all before.
-					note(&k.placed, k.handed > 0 && m.Bindings[i].Job > "req-5" && m.Bindings[i].StopToken == 0)
+					note(&f.taskBound, f.teamsAssigned > 0 && m.Bindings[i].Job > "req-5" && m.Bindings[i].StopToken == 0)
 				}
 			}
 		}
 	}
 }
 
-// measureTakeover ends controllers, and has new work arrive all the time.
-func measureTakeover(t *testing.T, seed uint64, report float64, early bool, victims func(c *cluster) []string) []time.Duration {
+// measureFailover ends controllers, and has new work arrive all the time.
+func measureFailover(t *testing.T, seed uint64, report float64, early bool, victims func(c *cluster) []string) []time.Duration {
 	var figures []time.Duration
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -82,11 +82,11 @@
 			p.Teams = []config.TeamQuota{{Name: "red"}, {Name: "blue"}}
 			p.Workers.HeartbeatInterval = config.Seconds(report)
 		})
-		k := &takeover{}
+		f := &failover{}
 		observer := statecache.Start(ctx, &simulation.StoreConn{Store: c.store, Network: c.network, Member: "observer", Timeout: time.Second}, statecache.Options{
 			ChunkTasks: statecache.ChunkTasks(c.cfg.Params.Store.MaxValueKB), WatchHold: 5 * time.Second, MaxViewAge: time.Second, Backoff: 50 * time.Millisecond,
 		})
-		observer.Subscribe(k.apply)
+		observer.Subscribe(f.apply)
 		observer.Run()
 		c.advance(5 * time.Second)
 		for i := range 6 {
@@ -95,9 +95,9 @@
 		c.advance(90 * time.Second)
 		time.Sleep(time.Duration(seed) * 137 * time.Millisecond % (3 * time.Second))
 		dead := victims(c)
-		k.mu.Lock()
-		k.begun, k.dead = time.Now(), dead[0]
-		k.mu.Unlock()
+		f.mu.Lock()
+		f.crashedAt, f.crashed = time.Now(), dead[0]
+		f.mu.Unlock()
 		for _, n := range dead {
 			c.crash(n)
 		}
@@ -105,7 +105,7 @@
 			c.submitArray(wire.JobID(fmt.Sprintf("req-5%05d", i)), "blue", 2, 20*time.Second, func(j *wire.Job) { j.Priority = wire.PriorityHigh })
 			time.Sleep(time.Second)
 		}
-		figures = k.figures()
+		figures = f.figures()
 		cancel()
 		c.shutdown()
 	})
@@ -117,17 +117,17 @@
 // TestMeasureFailover -v ./cmd/lynxledge
 func TestMeasureFailover(t *testing.T) {
 	roles := map[string]func(c *cluster) []string{
-		"leader": func(c *cluster) []string { return []string{c.leader()} },
+		"leader":    func(c *cluster) []string { return []string{c.leader()} },
 		"scheduler": func(c *cluster) []string { return []string{c.scheduler()} },
-		"both":   func(c *cluster) []string { return slices.Compact([]string{c.scheduler(), c.leader()}) },
+		"both":      func(c *cluster) []string { return slices.Compact([]string{c.scheduler(), c.leader()}) },
 	}
-	const takeovers = 40
+	const failovers = 40
 	for _, report := range []float64{3, 5, 8} {
 		for role, victims := range roles {
 			for _, early := range []bool{false, true} {
 				byPhase := make([][]time.Duration, len(phases))
-				for seed := range uint64(takeovers) {
-					for i, d := range measureTakeover(t, seed, report, early, victims) {
+				for seed := range uint64(failovers) {
+					for i, d := range measureFailover(t, seed, report, early, victims) {
 						if d > 0 {
 							byPhase[i] = append(byPhase[i], d)
 						}
@@ -141,7 +141,7 @@
 					slices.Sort(all)
 					parts = append(parts, fmt.Sprintf("%s %.1f s (median), %.1f s (last) in %d", phases[i], all[len(all)/2].Seconds(), all[len(all)-1].Seconds(), len(all)))
 				}
-				t.Logf("reports every %.0f s, %s of %d, standby %v: %s", report, role, takeovers, early, strings.Join(parts, "; "))
+				t.Logf("reports every %.0f s, %s of %d, standby %v: %s", report, role, failovers, early, strings.Join(parts, "; "))
 			}
 		}
 	}
--- a/cmd/lynxledge/sim_check_test.go
+++ b/cmd/lynxledge/sim_check_test.go
@@ -70,6 +70,18 @@
 	return out
 }
 
+// withCluster runs a test of a cluster on a clock of its own, and shuts the cluster down.
+func withCluster(t *testing.T, seed uint64, size clusterSize, adjust func(*config.Params), test func(t *testing.T, c *cluster)) {
+	t.Helper()
+	synctest.Test(t, func(t *testing.T) {
+		ctx, cancel := context.WithCancel(context.Background())
+		c := newCluster(ctx, seed, size, adjust)
+		test(t, c)
+		cancel()
+		c.shutdown()
+	})
+}
+
 // outcome is how a sequence of faults ended.
 type outcome struct {
 	violations []string     // of invariants
@@ -80,10 +92,7 @@
 // runFaults injects faults into a small cluster, heals it, and lets it finish its work.
 func runFaults(t *testing.T, seed uint64, faults []fault, adjust func(*config.Params)) (result outcome) {
 	t.Helper()
-	synctest.Test(t, func(*testing.T) {
-		ctx, cancel := context.WithCancel(context.Background())
-		defer cancel()
-		c := newCluster(ctx, seed, smallCluster, adjust)
+	withCluster(t, seed, smallCluster, adjust, func(_ *testing.T, c *cluster) {
 		if seed%2 == 1 {
 			c.announceLowerStoreLimits()
 		}
@@ -97,8 +106,6 @@
 		if len(result.unfinished) > 0 {
 			result.dump = c.store.Dump()
 		}
-		cancel()
-		c.shutdown()
 	})
 	return result
 }
--- a/cmd/lynxledge/sim_zones_test.go
+++ b/cmd/lynxledge/sim_zones_test.go
@@ -293,17 +293,25 @@
 	return page.String()
 }
 
-// runZoneScenario runs a scenario on a cluster with zone recovery, heals it and checks what is left.
-func runZoneScenario(t *testing.T, seed uint64, scenario func(t *testing.T, c *zoneCluster)) {
+// withZoneCluster runs a test of a small zone cluster on a clock of its own, and shuts it down.
+func withZoneCluster(t *testing.T, seed uint64, recovery bool, test func(t *testing.T, c *zoneCluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		c := newZoneCluster(ctx, seed, true)
+		c := newZoneCluster(ctx, seed, recovery)
+		test(t, c)
+		cancel()
+		c.shutdown()
+	})
+}
+
+// runZoneScenario runs a scenario on a cluster with zone recovery, heals it and checks what is left.
+func runZoneScenario(t *testing.T, seed uint64, scenario func(t *testing.T, c *zoneCluster)) {
+	t.Helper()
+	withZoneCluster(t, seed, true, func(t *testing.T, c *zoneCluster) {
 		scenario(t, c)
 		for _, violation := range c.healAndCheck() {
 			t.Errorf("seed %d: %s", seed, violation)
 		}
-		cancel()
-		c.shutdown()
 	})
 }
--- a/cmd/lynxledge/standby_test.go
+++ b/cmd/lynxledge/standby_test.go
@@ -1,14 +1,12 @@
 package main
 
 import (
-	"context"
 	"encoding/json"
 	"fmt"
 	"net/http"
 	"slices"
 	"strings"
 	"testing"
-	"testing/synctest"
 	"time"
 
 	"lynxledge/internal/config"
@@ -17,7 +15,7 @@
 	"lynxledge/wire"
 )
 
-// standbyClusterSize is a cluster with early takeovers, or without.
+// standbyClusterSize is a cluster with early failover, or without.
 func standbyClusterSize(early bool) clusterSize {
 	s := clusterSize{members: 3, machineTypes: machineTypes, poolSize: 20, memberZones: []wire.Zone{"a", "b", "b"}}
 	if early {
@@ -29,33 +27,36 @@
 	return s
 }
 
-// newStandbyCluster is a cluster with early takeovers that has settled.
-func newStandbyCluster(ctx context.Context, seed uint64) *cluster {
-	c := newCluster(ctx, seed, standbyClusterSize(true), func(p *config.Params) {
+// withStandbyCluster runs a test of a cluster with early failover that is at work.
+func withStandbyCluster(t *testing.T, seed uint64, test func(t *testing.T, c *cluster)) {
+	t.Helper()
+	withCluster(t, seed, standbyClusterSize(true), func(p *config.Params) {
 		p.Teams = []config.TeamQuota{{Name: "red"}, {Name: "blue"}}
-		p.Workers.HeartbeatInterval = 8 * time.Second // a lease is as long: takeovers without standby take as long
+		p.Workers.HeartbeatInterval = 8 * time.Second // a lease is as long: failovers without standby take as long
 		p.Workers.LeaseDuration, p.Workers.CancellationDeadline = 44*time.Second, 74*time.Second
+	}, func(t *testing.T, c *cluster) {
+		c.advance(10 * time.Second)
+		for i := range 4 {
+			c.submitArray(wire.JobID(fmt.Sprintf("req-1%05d", i)), "red", 12, 40*time.Second, nil)
+		}
+		c.advance(60 * time.Second)
+		test(t, c)
 	})
-	c.advance(10 * time.Second)
-	for i := range 4 {
-		c.submitArray(wire.JobID(fmt.Sprintf("req-1%05d", i)), "red", 12, 40*time.Second, nil)
-	}
-	c.advance(60 * time.Second)
-	return c
 }
 
-// highestTerm is the highest term that was ever used.
+// highestTerm is the highest term that was ever used, 0 before the first.
 func (c *cluster) highestTerm() uint64 {
-	var t statecache.Term
-	_ = json.Unmarshal(c.store.Value(statecache.TermKey), &t) // 0 before the first
-	return t.Number
+	var term statecache.Term
+	_ = json.Unmarshal(c.store.Value(statecache.TermKey), &term) // without a record it is 0
+	return term.Number
 }
 
-// advanceUntilFailover lets time pass until other controllers than the dead lead and place.
-func (c *cluster) advanceUntilFailover(dead ...string) time.Duration {
+// advanceUntilFailover lets time pass until others than the crashed members lead and schedule, and
+// returns how long that takes.
+func (c *cluster) advanceUntilFailover(crashed ...string) time.Duration {
 	begun := time.Now()
 	for time.Since(begun) < time.Minute {
-		if !slices.Contains(dead, c.leader()) && !slices.Contains(dead, c.scheduler()) {
+		if !slices.Contains(crashed, c.leader()) && !slices.Contains(crashed, c.scheduler()) {
 			break
 		}
 		time.Sleep(20 * time.Millisecond)
@@ -75,15 +76,13 @@
 		for seed := range uint64(4) {
 			t.Run(fmt.Sprint(role, seed), func(t *testing.T) {
 				t.Parallel()
-				synctest.Test(t, func(t *testing.T) {
-					ctx, cancel := context.WithCancel(context.Background())
-					c := newStandbyCluster(ctx, seed)
+				withStandbyCluster(t, seed, func(t *testing.T, c *cluster) {
 					dead := victims(c)
-					for _, n := range dead {
-						c.crash(n)
+					for _, member := range dead {
+						c.crash(member)
 					}
-					// A leader and a placer that die together leave one controller, which
-					// can't tell their deaths from its own isolation.
+					// A leader and a scheduler that crash together leave one controller, which
+					// can't tell their crashes from its own isolation.
 					if took, lease := c.advanceUntilFailover(dead...), c.cfg.Params.Workers.HeartbeatInterval; role != "both" && took > lease*5/8 {
 						t.Errorf("taken over after %v, with a lease of %v", took, lease)
 					}
@@ -92,30 +91,28 @@
 					for _, violation := range c.violations() {
 						t.Error(violation)
 					}
-					cancel()
-					c.shutdown()
 				})
 			})
 		}
 	}
 }
 
-// harmlessFaults are troubles in which no controller has ended: none may be taken for failed.
+// harmlessFaults are faults in which no controller crashes: none may be taken for failed.
 var harmlessFaults = map[string]func(c *cluster){
 	"leader paused for less than its lease": func(c *cluster) {
 		c.pause(c.leader(), 5*time.Second)
 		c.advance(20 * time.Second)
 	},
 	"all controllers paused": func(c *cluster) {
-		for _, n := range c.members {
-			c.pause(n, 4*time.Second) // no lease ends in that time
+		for _, member := range c.members {
+			c.pause(member, 4*time.Second) // no lease ends in that time
 		}
 		c.advance(20 * time.Second)
 	},
 	"every link between controllers partitioned": func(c *cluster) {
-		for i, n := range c.members {
+		for i, member := range c.members {
 			for _, other := range c.members[:i] {
-				c.network.Partition(n, other, i%2 == 0)
+				c.network.Partition(member, other, i%2 == 0)
 			}
 		}
 		c.advance(60 * time.Second)
@@ -138,9 +135,7 @@
 		for seed := range uint64(3) {
 			t.Run(fmt.Sprint(name, seed), func(t *testing.T) {
 				t.Parallel()
-				synctest.Test(t, func(t *testing.T) {
-					ctx, cancel := context.WithCancel(context.Background())
-					c := newStandbyCluster(ctx, seed)
+				withStandbyCluster(t, seed, func(t *testing.T, c *cluster) {
 					term, leader, scheduler := c.highestTerm(), c.leader(), c.scheduler()
 					inject(c)
 					if c.highestTerm() != term || c.leader() != leader || c.scheduler() != scheduler {
@@ -150,8 +145,6 @@
 					for _, violation := range c.violations() {
 						t.Error(violation)
 					}
-					cancel()
-					c.shutdown()
 				})
 			})
 		}
@@ -161,9 +154,7 @@
 // A leader that is alive, but of which the others see no connection, may lose the lead; it
 // is not taken from it again and again: each time it is held down longer.
 func TestLeadershipIsStable(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		ctx, cancel := context.WithCancel(context.Background())
-		c := newStandbyCluster(ctx, 1)
+	withStandbyCluster(t, 1, func(t *testing.T, c *cluster) {
 		before := c.highestTerm()
 		for range 40 { // its connections break every few seconds, and come back
 			leader := c.leader()
@@ -184,27 +175,23 @@
 		for _, violation := range c.violations() {
 			t.Error(violation)
 		}
-		cancel()
-		c.shutdown()
 	})
 }
 
-// Whatever happens besides, no rule is broken with early takeovers and zone recovery on.
+// Whatever happens, no invariant is violated with early failover and zone recovery on.
 func TestInvariantsWithAllFeatures(t *testing.T) {
 	for seed := range 24 {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			synctest.Test(t, func(t *testing.T) {
-				ctx, cancel := context.WithCancel(context.Background())
-				size := standbyClusterSize(true)
-				early := size.operatorSettings
-				size.operatorSettings = func(o *config.OperatorSettings) {
-					early(o)
-					section := config.DefaultZoneRecovery()
-					o.ZoneRecovery = &section
-				}
-				size.poolSize = 5
-				c := newCluster(ctx, uint64(seed), size, nil)
+			size := standbyClusterSize(true)
+			standbySettings := size.operatorSettings
+			size.operatorSettings = func(o *config.OperatorSettings) {
+				standbySettings(o)
+				section := config.DefaultZoneRecovery()
+				o.ZoneRecovery = &section
+			}
+			size.poolSize = 5
+			withCluster(t, uint64(seed), size, nil, func(t *testing.T, c *cluster) {
 				c.advance(5 * time.Second)
 				for _, f := range genFaults().Example(seed) {
 					c.inject(f)
@@ -213,8 +200,6 @@
 				for _, violation := range c.violations() {
 					t.Errorf("seed %d: %s", seed, violation)
 				}
-				cancel()
-				c.shutdown()
 			})
 		})
 	}
@@ -222,9 +207,7 @@
 
 // The status page says who stands by and what is known of the others.
 func TestStandbyStatus(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		ctx, cancel := context.WithCancel(context.Background())
-		c := newStandbyCluster(ctx, 1)
+	withStandbyCluster(t, 1, func(t *testing.T, c *cluster) {
 		dead := c.leader()
 		c.crash(dead)
 		c.advanceUntilFailover(dead)
@@ -242,7 +225,5 @@
 				t.Errorf("%q is not on the page:\n%s", part, page.String())
 			}
 		}
-		cancel()
-		c.shutdown()
 	})
 }
--- a/cmd/lynxledge/zone_recovery_test.go
+++ b/cmd/lynxledge/zone_recovery_test.go
@@ -1,13 +1,11 @@
 package main
 
 import (
-	"context"
 	"encoding/json"
 	"fmt"
 	"net/http"
 	"strings"
 	"testing"
-	"testing/synctest"
 	"time"
 
 	"pgregory.net/rapid"
@@ -34,7 +32,7 @@
 	"zone partitioned for longer than its leases": func(t *testing.T, c *zoneCluster) {
 		c.partitionZone("a", true)
 		c.advanceWithArrays(60)
-		for _, j := range c.services { // without the zone, but for what may be nowhere else
+		for _, j := range c.services { // without the zone, but for those that are pinned to one
 			if j.Zone == "" && !c.advanceUntil(120, func() bool { return c.allReplicasRun(j) }) {
 				t.Errorf("%s is not whole before the zone is back\n%s", j.ID, c.statusPage())
 			}
@@ -152,8 +150,8 @@
 		c.submitService(2, func(j *wire.Job) { j.Zone, j.SpreadZones, j.Priority = "a", false, wire.PriorityProduction })
 		c.advanceWithArrays(30)
 		c.failUntilLost(t, "a")
-		due := wire.Seconds(30)
-		c.submitArray("req-900000", "blue", 2, 5*time.Second, func(j *wire.Job) { j.Priority, j.Deadline = wire.PriorityHigh, &due })
+		deadline := wire.Seconds(30)
+		c.submitArray("req-900000", "blue", 2, 5*time.Second, func(j *wire.Job) { j.Priority, j.Deadline = wire.PriorityHigh, &deadline })
 		c.advanceWithArrays(30)
 		if c.invariants.FirstTaskStartedAt("req-900000").IsZero() {
 			t.Error("the urgent job waits for the service")
@@ -205,8 +203,8 @@
 	return record
 }
 
-// After every loss and return no rule is broken, no array was placed ahead of a service
-// that waited for its place, every service is whole again, and no zone is withheld.
+// After every loss and return no invariant is violated, no array was placed ahead of a service
+// that waited for its place, every service has all replicas, and no zone is withheld.
 func TestZoneRecovery(t *testing.T) {
 	for name, scenario := range zoneScenarios {
 		t.Run(name, func(t *testing.T) {
@@ -222,16 +220,12 @@
 
 // The check of the order finds arrays ahead of services where the order is switched off.
 func TestOrderCheckerFindsViolations(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		ctx, cancel := context.WithCancel(context.Background())
-		c := newZoneCluster(ctx, 1, false)
+	withZoneCluster(t, 1, false, func(t *testing.T, c *zoneCluster) {
 		c.failZone("a")
 		c.advanceWithArrays(60)
 		if len(c.orderChecker.Violations()) == 0 {
 			t.Error("no array was placed ahead of a service")
 		}
-		cancel()
-		c.shutdown()
 	})
 }
 
@@ -296,8 +290,8 @@
 	c.advanceWithArrays(f.seconds)
 }
 
-// Whatever happens to zones: no rule is broken, no array goes ahead of a service while a
-// zone recovers, every service is whole in the end, and no zone stays withheld.
+// Whatever happens to zones: no invariant is violated, no array goes ahead of a service while a
+// zone recovers, every service has all replicas in the end, and no zone stays withheld.
 func TestZoneRecoveryOfGeneratedLosses(t *testing.T) {
 	for seed := range generatedSequences {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -319,9 +313,7 @@
 // Without the section, the records are those that the version in production knows, field
 // by field.
 func TestRecordsWithoutZoneRecovery(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		ctx, cancel := context.WithCancel(context.Background())
-		c := newZoneCluster(ctx, 2, false)
+	withZoneCluster(t, 2, false, func(t *testing.T, c *zoneCluster) {
 		c.failZone("a")
 		c.advanceWithArrays(30)
 		known := map[string]bool{"job": true, "done": true, "bind": true, "hand": true, "member": true, "rent": true, "leader": true, "term": true}
@@ -340,16 +332,12 @@
 		if code, _ := serveRequest(c.peerHandlers["n1"], http.MethodGet, zonecontrol.StatusPath, nil); code != http.StatusNotFound {
 			t.Errorf("the status page answers %d", code)
 		}
-		cancel()
-		c.shutdown()
 	})
 }
 
 // The status page says which zone is in which state, by what evidence, and what waits.
 func TestZoneStatus(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		ctx, cancel := context.WithCancel(context.Background())
-		c := newZoneCluster(ctx, 3, true)
+	withZoneCluster(t, 3, true, func(t *testing.T, c *zoneCluster) {
 		c.submitService(2, func(j *wire.Job) { j.Zone, j.SpreadZones = "a", false })
 		c.advanceWithArrays(20)
 		c.failUntilLost(t, "a")
@@ -360,7 +348,5 @@
 				t.Errorf("%q is not on the page:\n%s", part, page)
 			}
 		}
-		cancel()
-		c.shutdown()
 	})
 }
--- a/internal/simulation/history/order.go
+++ b/internal/simulation/history/recovery_order.go
@@ -1,5 +1,5 @@
-// Package history checks what a cluster decided, from the records that it wrote to the
-// state service, in the order in which they were written.
+// Package history checks what a cluster decided, from the records that it wrote to the store, in
+// the order in which they were written.
 package history
 
 import (
@@ -16,32 +16,32 @@
 	"lynxledge/wire"
 )
 
-// RecoveryOrderChecker finds arrays that were given a place ahead of a service which had waited
-// for it, and could have had it, while a zone recovered.
+// RecoveryOrderChecker finds arrays that were placed ahead of a service which had waited for
+// longer and fitted there, while a zone recovered.
 type RecoveryOrderChecker struct {
 	mu         sync.Mutex
 	view       *statecache.View
 	types      map[string]*wire.MachineType
 	params     config.Params
-	maxViewAge time.Duration // a service that waited for less may not be in the view that was placed by
+	maxViewAge time.Duration // a service that waited for less may not be in the view of the scheduler
 	sentAt     func(revision uint64) time.Time
-	always     bool // whatever the record says
+	always     bool // also while no zone recovers
 
 	waitingSince      map[wire.JobID]map[int]time.Time // service, replica: since when it is bound to no machine
 	checkedArrayTasks int
 	violations        []string
 }
 
-// NewRecoveryOrderChecker checks the records of a deployment. decided tells when what stands at a
-// revision was decided. always has it check at all times, for clusters without zone
+// NewRecoveryOrderChecker checks the records of a deployment. sentAt tells when the transaction of
+// a revision was first sent. always has it check at all times, for clusters without zone
 // recovery.
-func NewRecoveryOrderChecker(params config.Params, types []wire.MachineType, decided func(uint64) time.Time, always bool) *RecoveryOrderChecker {
+func NewRecoveryOrderChecker(params config.Params, types []wire.MachineType, sentAt func(uint64) time.Time, always bool) *RecoveryOrderChecker {
 	c := &RecoveryOrderChecker{
 		view:         statecache.NewUnfinishedView(statecache.ChunkTasks(params.Store.MaxValueKB)),
 		types:        map[string]*wire.MachineType{},
 		params:       params,
 		maxViewAge:   params.Workers.Heartbeats(statecache.MaxViewAgeHeartbeats),
-		sentAt:       decided,
+		sentAt:       sentAt,
 		always:       always,
 		waitingSince: map[wire.JobID]map[int]time.Time{},
 	}
@@ -51,11 +51,11 @@
 	return c
 }
 
-// Apply takes changes over, one revision after the other.
-func (c *RecoveryOrderChecker) Apply(d statecache.Update) {
+// Apply applies an update, one revision after the other, and checks what it decided.
+func (c *RecoveryOrderChecker) Apply(update statecache.Update) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for changes := d.Changes; len(changes) > 0; {
+	for changes := update.Changes; len(changes) > 0; {
 		n := 1
 		for n < len(changes) && changes[n].ModRevision == changes[0].ModRevision {
 			n++
@@ -65,14 +65,14 @@
 	}
 }
 
-// Violations lists what was found.
+// Violations lists the violations found so far.
 func (c *RecoveryOrderChecker) Violations() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.Clone(c.violations)
 }
 
-// CheckedArrayTasks is how many array tasks were given a place while it checked.
+// CheckedArrayTasks is how many array tasks were placed while it checked.
 func (c *RecoveryOrderChecker) CheckedArrayTasks() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -131,7 +131,7 @@
 	})
 }
 
-// recordWaiting keeps since when each replica waits.
+// recordWaiting records since when each replica waits.
 func (c *RecoveryOrderChecker) recordWaiting(now time.Time) {
 	for id, j := range c.view.Jobs {
 		if !j.Active() || j.Spec == nil || !j.Spec.IsService() || c.view.PendingTasks(id, j) <= 0 {
@@ -167,7 +167,7 @@
 	return first
 }
 
-// checkMachine looks for a service that waits although it fits where arrays were put.
+// checkMachine looks for services that wait although they fit where arrays were placed.
 func (c *RecoveryOrderChecker) checkMachine(m *statecache.Machine, arrays []*wire.Job, decided time.Time) {
 	if m == nil || c.types[m.MachineType] == nil {
 		return
