--- a/cmd/lynxledge/loopback_test.go
+++ b/cmd/lynxledge/loopback_test.go
@@ -10,9 +10,9 @@
 	"lynxledge/wire"
 )
 
-// A zone is killed, controller and workers, and comes back: every service is whole again,
+// A zone fails, controller and workers, and is restored: every service has all replicas again,
 // before and after, no array was placed ahead of a service that waited for its place, and
-// no rule is broken. Controllers are processes here, and everything crosses sockets.
+// no invariant is violated. Controllers are processes here, and everything crosses sockets.
 func TestZoneLossOnLoopback(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
--- a/cmd/lynxledge/sockets_test.go
+++ b/cmd/lynxledge/sockets_test.go
@@ -46,6 +46,27 @@
 	return c.Conn.Close()
 }
 
+// sendHeartbeatRound has each client send a heartbeat, with health checks in between, and counts
+// the requests that fail.
+func sendHeartbeatRound(clients []*http.Client, dial func(ctx context.Context, network, address string) (net.Conn, error), failed *atomic.Int64) {
+	post := func(client *http.Client) {
+		response, err := client.Post("http://n0:8080/hello", "application/json", bytes.NewReader([]byte("{}")))
+		if err != nil {
+			failed.Add(1)
+			return
+		}
+		response.Body.Close()
+	}
+	for i, client := range clients {
+		go post(client)
+		if i%100 == 0 {
+			go post(&http.Client{Timeout: time.Second, Transport: &http.Transport{DialContext: dial, DisableKeepAlives: true}})
+		}
+		time.Sleep(5 * time.Millisecond)
+	}
+	time.Sleep(5 * time.Second)
+}
+
 // More machines than a controller has sockets keep their connections open as long as they
 // are let. Each of them is answered in each round of heartbeats, health checks are too, and
 // the sockets that the controller needs for itself stay free.
@@ -68,27 +89,12 @@
 			}
 		}
 		var failed atomic.Int64
-		sendHeartbeat := func(client *http.Client) {
-			response, err := client.Post("http://n0:8080/hello", "application/json", bytes.NewReader([]byte("{}")))
-			if err != nil {
-				failed.Add(1)
-				return
-			}
-			response.Body.Close()
-		}
 		clients := make([]*http.Client, machines)
 		for i := range clients {
 			clients[i] = &http.Client{Timeout: 4 * time.Second, Transport: &http.Transport{DialContext: dial}}
 		}
 		for round := range rounds {
-			for i, client := range clients {
-				go sendHeartbeat(client)
-				if i%100 == 0 {
-					go sendHeartbeat(&http.Client{Timeout: time.Second, Transport: &http.Transport{DialContext: dial, DisableKeepAlives: true}})
-				}
-				time.Sleep(5 * time.Millisecond)
-			}
-			time.Sleep(5 * time.Second)
+			sendHeartbeatRound(clients, dial, &failed)
 			if n := failed.Load(); n > 0 {
 				t.Errorf("round %d: %d requests failed", round, n)
 			}
--- a/cmd/lynxledge/zone_measure_test.go
+++ b/cmd/lynxledge/zone_measure_test.go
@@ -18,141 +18,168 @@
 
 // zoneMeasurement is what one played loss of a zone gives.
 type zoneMeasurement struct {
-	spread, pinned wholeTimes // of services that may be elsewhere, and that may not
-	arraysBegun    int        // tasks
-	price          float64    // of the machines, in machine hours at their prices
+	spread, pinned restoreTimes // of services that may be elsewhere, and that may not
+	tasksStarted   int
+	price          float64 // of the machines, in machine hours at their prices
 	processor      time.Duration
 	allocated      uint64 // bytes
-	faults         []string
+	violations     []string
 	machinesLost   int
 }
 
-// wholeTimes is when services that lost replicas were whole again.
-type wholeTimes struct {
-	after       []time.Duration
-	never       int
-	replicaLost float64 // replica seconds that were missing
+// restoreTimes is when services that lost replicas had all of them again.
+type restoreTimes struct {
+	after              []time.Duration
+	never              int
+	replicaSecondsLost float64
 }
 
-func (t *wholeTimes) add(o *wholeTimes) {
-	t.after = append(t.after, o.after...)
-	t.never += o.never
-	t.replicaLost += o.replicaLost
+func (r *restoreTimes) add(o *restoreTimes) {
+	r.after = append(r.after, o.after...)
+	r.never += o.never
+	r.replicaSecondsLost += o.replicaSecondsLost
 }
 
-func (t *wholeTimes) String() string {
-	slices.Sort(t.after)
+func (r *restoreTimes) String() string {
+	slices.Sort(r.after)
 	median, last := time.Duration(0), time.Duration(0)
-	if n := len(t.after); n > 0 {
-		median, last = t.after[n/2], t.after[n-1]
+	if n := len(r.after); n > 0 {
+		median, last = r.after[n/2], r.after[n-1]
 	}
-	return fmt.Sprintf("%d hit, whole after %.0f s (median), %.0f s (last), %d never, %.0f replica seconds lost",
-		len(t.after)+t.never, median.Seconds(), last.Seconds(), t.never, t.replicaLost)
+	return fmt.Sprintf("%d degraded, restored after %.0f s (median), %.0f s (last), %d never, %.0f replica seconds lost",
+		len(r.after)+r.never, median.Seconds(), last.Seconds(), r.never, r.replicaSecondsLost)
 }
 
-// add takes the figures of another day in.
+// add adds the figures of another run.
 func (m *zoneMeasurement) add(o *zoneMeasurement) {
 	m.spread.add(&o.spread)
 	m.pinned.add(&o.pinned)
-	m.arraysBegun += o.arraysBegun
+	m.tasksStarted += o.tasksStarted
 	m.price += o.price
 	m.processor += o.processor
 	m.allocated += o.allocated
-	m.faults = append(m.faults, o.faults...)
+	m.violations = append(m.violations, o.violations...)
 	m.machinesLost += o.machinesLost
 }
 
 func (m *zoneMeasurement) String() string {
-	return fmt.Sprintf("%d machines lost; spread services: %v; pinned: %v; %d array tasks, price %.2f; %.1f s of processor, %d MB allocated; %d faults",
-		m.machinesLost, &m.spread, &m.pinned, m.arraysBegun, m.price, m.processor.Seconds(), m.allocated>>20, len(m.faults))
+	return fmt.Sprintf("%d machines lost; spread services: %v; pinned: %v; %d tasks started, price %.2f; %.1f s of processor, %d MB allocated; %d violations",
+		m.machinesLost, &m.spread, &m.pinned, m.tasksStarted, m.price, m.processor.Seconds(), m.allocated>>20, len(m.violations))
 }
 
-// zoneSizes are the fleets measured: machines of a pool, and the work on them.
-var zoneSizes = []struct {
+// zoneFleet is a fleet over three zones and the work on it.
+type zoneFleet struct {
 	machines int
-	load     zoneWorkload
-	tweak    func(*config.Params)
+	workload zoneWorkload
+	adjust   func(*config.Params) // changes the settings; nil: none
 	seeds    uint64
-}{
+}
+
+// zoneFleets are the fleets measured.
+var zoneFleets = []zoneFleet{
 	{48, smallZoneWorkload, nil, 8},
-	{400, zoneWorkload{pinnedReplicas: 60, services: 90, arrayTasks: 110}, fastState, 3},
-	{1400, zoneWorkload{pinnedReplicas: 200, services: 300, arrayTasks: 380}, fastState, 1},
-	{4000, zoneWorkload{pinnedReplicas: 560, services: 900, arrayTasks: 1100}, fastState, 1},
+	{400, zoneWorkload{pinnedReplicas: 60, services: 90, arrayTasks: 110}, fastStore, 3},
+	{1400, zoneWorkload{pinnedReplicas: 200, services: 300, arrayTasks: 380}, fastStore, 1},
+	{4000, zoneWorkload{pinnedReplicas: 560, services: 900, arrayTasks: 1100}, fastStore, 1},
 }
 
-func fastState(p *config.Params) {
+func fastStore(p *config.Params) {
 	p.Store = config.StoreLimits{RequestRate: 600, WriteRate: 180, MaxValueKB: 8, MaxTxnOps: 24}
 	p.Cloud = config.CloudLimits{RequestRate: 10, ListLag: 10 * time.Second}
 	p.Resources = config.ControllerResources{CPUCores: 0.34, MemoryMB: 220, FileDescriptorLimit: 9000}
 }
 
-// measureLoss loses a zone and has it return about a minute later, and watches for four.
-func measureLoss(t *testing.T, machines int, load zoneWorkload, tweak func(*config.Params), recovery, kill bool, seed uint64) *zoneMeasurement {
+// zoneLoss is one loss of a zone that is measured.
+type zoneLoss struct {
+	zoneFleet
+	recovery bool // zone recovery is on
+	fail     bool // the zone fails; otherwise it is partitioned
+	seed     uint64
+}
+
+// measure loses a zone and heals it about a minute later, and observes four minutes.
+func (l *zoneLoss) measure(t *testing.T) *zoneMeasurement {
+	t.Helper()
 	m := &zoneMeasurement{}
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		size := zoneClusterSize(recovery)
-		size.poolSize = machines / 6
-		c := newLoadedZoneCluster(ctx, seed, zoneClusterOptions{size: size, recovery: recovery, workload: load, adjust: tweak})
+		size := zoneClusterSize(l.recovery)
+		size.poolSize = l.machines / 6
+		c := newLoadedZoneCluster(ctx, l.seed, zoneClusterOptions{size: size, recovery: l.recovery, workload: l.workload, adjust: l.adjust})
 		c.setStoreLimits()
 		c.advanceWithArrays(60)
 		m.machinesLost = len(c.machinesIn("a"))
-		begun := c.invariants.StartedTasks()
-		var before, after runtime.MemStats
-		runtime.ReadMemStats(&before)
-		processor := processorTime()
-		if kill {
-			c.failZone("a")
-		} else {
-			c.partitionZone("a", false)
+		startedBefore := c.invariants.StartedTasks()
+		m.measureResources(func() { l.loseAndHeal(c, m) })
+		m.tasksStarted = c.invariants.StartedTasks() - startedBefore
+		m.violations = c.invariants.Violations()
+		if l.recovery {
+			m.violations = append(m.violations, c.orderChecker.Violations()...)
 		}
-		hit := map[wire.JobID]bool{}
-		back := 48 + 4*int(seed) // or all days would return at the same moment of a retry
-		for second := range 240 {
-			if second == back {
-				c.healZone("a", 0)
-			}
-			c.advanceWithArrays(1)
-			for _, j := range c.services {
-				if missing := j.TaskCount - c.invariants.RunningTasks(j.ID); missing > 0 {
-					hit[j.ID] = true
-					m.of(j).replicaLost += float64(missing)
-				}
-			}
-			for _, h := range c.cloud.Running() {
-				price := zoneMachineTypes[0].HourlyPrice
-				if h.Spot {
-					price = zoneMachineTypes[0].HourlySpotPrice
-				}
-				m.price += price / 3600
-			}
+		cancel()
+		c.shutdown()
+	})
+	return m
+}
+
+// measureResources adds the processor time and the memory that a function uses.
+func (m *zoneMeasurement) measureResources(f func()) {
+	var before, after runtime.MemStats
+	runtime.ReadMemStats(&before)
+	processor := processorTime()
+	f()
+	m.processor = processorTime() - processor
+	runtime.ReadMemStats(&after)
+	m.allocated = after.TotalAlloc - before.TotalAlloc
+}
+
+// loseAndHeal loses a zone and heals it, and measures what is missing and spent meanwhile.
+func (l *zoneLoss) loseAndHeal(c *zoneCluster, m *zoneMeasurement) {
+	if l.fail {
+		c.failZone("a")
+	} else {
+		c.partitionZone("a", false)
+	}
+	degraded := map[wire.JobID]bool{}
+	healAfter := 48 + 4*int(l.seed) // or all runs would heal at the same moment of a retry
+	for second := range 240 {
+		if second == healAfter {
+			c.healZone("a", 0)
 		}
-		m.processor = processorTime() - processor
-		runtime.ReadMemStats(&after)
-		m.allocated = after.TotalAlloc - before.TotalAlloc
+		c.advanceWithArrays(1)
 		for _, j := range c.services {
-			if !hit[j.ID] {
-				continue
-			}
-			if d, whole := c.restored[j.ID]; whole {
-				m.of(j).after = append(m.of(j).after, d)
-			} else {
-				m.of(j).never++
+			if missing := j.TaskCount - c.invariants.RunningTasks(j.ID); missing > 0 {
+				degraded[j.ID] = true
+				m.of(j).replicaSecondsLost += float64(missing)
 			}
 		}
-		m.arraysBegun = c.invariants.StartedTasks() - begun
-		m.faults = c.invariants.Violations()
-		if recovery {
-			m.faults = append(m.faults, c.orderChecker.Violations()...)
+		m.addPrice(c.cloud.Running())
+	}
+	for _, j := range c.services {
+		if !degraded[j.ID] {
+			continue
 		}
-		cancel()
-		c.shutdown()
-	})
-	return m
+		if duration, restored := c.restored[j.ID]; restored {
+			m.of(j).after = append(m.of(j).after, duration)
+		} else {
+			m.of(j).never++
+		}
+	}
+}
+
+// addPrice adds what machines cost in a second.
+func (m *zoneMeasurement) addPrice(running []wire.Instance) {
+	for _, instance := range running {
+		price := zoneMachineTypes[0].HourlyPrice
+		if instance.Spot {
+			price = zoneMachineTypes[0].HourlySpotPrice
+		}
+		m.price += price / 3600
+	}
 }
 
 // of is the figures of a service's kind.
-func (m *zoneMeasurement) of(j *wire.Job) *wholeTimes {
+func (m *zoneMeasurement) of(j *wire.Job) *restoreTimes {
 	if j.SpreadZones {
 		return &m.spread
 	}
@@ -172,19 +199,20 @@
 // recovery, on the same days and seeds. Run with: go test -tags measure -run
 // TestMeasureZoneLoss -v -timeout 60m ./cmd/lynxledge
 func TestMeasureZoneLoss(t *testing.T) {
-	for _, size := range zoneSizes {
-		for _, kill := range []bool{false, true} {
-			t.Run(fmt.Sprintf("%d machines, killed %v", size.machines, kill), func(t *testing.T) {
+	for _, fleet := range zoneFleets {
+		for _, fail := range []bool{false, true} {
+			t.Run(fmt.Sprintf("%d machines, failed %v", fleet.machines, fail), func(t *testing.T) {
 				sums := map[bool]*zoneMeasurement{false: {}, true: {}}
-				for seed := range size.seeds {
+				for seed := range fleet.seeds {
 					for recovery, sum := range sums {
-						sum.add(measureLoss(t, size.machines, size.load, size.tweak, recovery, kill, seed))
+						loss := &zoneLoss{zoneFleet: fleet, recovery: recovery, fail: fail, seed: seed}
+						sum.add(loss.measure(t))
 					}
 				}
 				for recovery, sum := range sums {
-					t.Logf("%d days, zone recovery %v: %v", size.seeds, recovery, sum)
-					for _, fault := range sum.faults[:min(3, len(sum.faults))] {
-						t.Error(fault)
+					t.Logf("%d runs, zone recovery %v: %v", fleet.seeds, recovery, sum)
+					for _, violation := range sum.violations[:min(3, len(sum.violations))] {
+						t.Error(violation)
 					}
 				}
 			})
