--- a/internal/heartbeat/receiver_test.go
+++ b/internal/heartbeat/receiver_test.go
@@ -244,7 +244,7 @@
 		if r := c.sendAndSettle(wire.Heartbeat{Incarnation: 1, Sequence: 1}); r.Outcome != Accepted {
 			t.Fatal("refused with a fresh view")
 		}
-		if r := c.sendAtViewAge(c.receiver.renewalWindow() + time.Second, wire.Heartbeat{Incarnation: 1, Sequence: 2}); r.Outcome == Accepted {
+		if r := c.sendAtViewAge(c.receiver.renewalWindow()+time.Second, wire.Heartbeat{Incarnation: 1, Sequence: 2}); r.Outcome == Accepted {
 			t.Error("lease renewed by a stale controller")
 		}
 	})
@@ -303,7 +303,7 @@
 		defer cancel()
 		c := newController(ctx, t, &statecache.Machine{Incarnation: 1, FencingToken: 9}, &statecache.Job{TaskCount: 1})
 		time.Sleep(100 * time.Millisecond) // the watch repeats what was just committed
-		if r := c.sendAtViewAge(40 * time.Second, wire.Heartbeat{Incarnation: 1, Sequence: 1, FencingToken: 9}); r.Outcome == Accepted || !c.reachable() {
+		if r := c.sendAtViewAge(40*time.Second, wire.Heartbeat{Incarnation: 1, Sequence: 1, FencingToken: 9}); r.Outcome == Accepted || !c.reachable() {
 			t.Errorf("accepted %v, reachable %v", r.Outcome == Accepted, c.reachable())
 		}
 	})
