--- a/cmd/lynxledge/controller.go
+++ b/cmd/lynxledge/controller.go
@@ -83,7 +83,7 @@
 		c.startZoneRecovery(ctx)
 	}
 	if cfg.Operator.Standby != nil {
-		c.standby = standby.Start(ctx, cfg, incarnation, c.cache, c.election)
+		c.standby = standby.Start(ctx, standby.Options{Config: cfg, Incarnation: incarnation, Cache: c.cache, Election: c.election})
 	}
 	c.run(ctx)
 	return c
--- a/cmd/lynxledge/loopback_test.go
+++ b/cmd/lynxledge/loopback_test.go
@@ -317,7 +317,7 @@
 	c.kill(lost)
 	t.Logf("lost after %v", c.await("the zone is recorded as lost", func() bool { return c.checker.Phase("a") == "lost" }))
 	status := &zonecontrol.Status{}
-	if err := fetchStatus(ctx, c.processes[1].mesh, zonecontrol.StatusPath, status); err != nil || len(status.Zones) == 0 || !status.Recorded {
+	if err := fetchStatus(ctx, c.processes[1].mesh, zonecontrol.StatusPath, status); err != nil || len(status.Zones) == 0 || !status.RecordSupported {
 		t.Errorf("status: %+v %v", status, err)
 	}
 	t.Logf("whole elsewhere after %v more", c.await("services are whole elsewhere", func() bool { return c.whole("a") }))
@@ -385,7 +385,7 @@
 		if p.running == nil || fetchStatus(c.ctx, p.mesh, standby.StatusPath, status) != nil {
 			return false
 		}
-		for _, o := range status.Others {
+		for _, o := range status.Peers {
 			if o.Level != failuredetector.Alive.String() || o.Connections < 2 {
 				return false
 			}
--- a/cmd/lynxledge/standby.go
+++ b/cmd/lynxledge/standby.go
@@ -34,19 +34,19 @@
 
 func printStandby(out io.Writer, status *standby.Status, now time.Time) error {
 	fmt.Fprintf(out, "as %s sees it; leader: %s; places: %s; stand by: %s\n",
-		status.Member, orNone(status.Leader), orNone(status.Placer), strings.Join(status.StandsBy, ", "))
-	if last := status.Last; last.What != "" {
-		fmt.Fprintf(out, "last takeover: %s of %s, %s ago: %s\n", last.What, last.Member, sinceText(last.At, now), last.Reason)
+		status.Member, orNone(status.Leader), orNone(status.ActiveScheduler), strings.Join(status.Successors, ", "))
+	if last := status.LastAction; last.Kind != "" {
+		fmt.Fprintf(out, "last takeover: %s of %s, %s ago: %s\n", last.Kind, last.Member, sinceText(last.At, now), last.Reason)
 	}
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "\nCONTROLLER\tLEVEL\tSILENT\tCONNECTIONS\tREFUTED\tHELD")
-	for _, other := range status.Others {
+	for _, other := range status.Peers {
 		held := "-"
 		if other.HeldUntil.After(now) {
 			held = other.HeldUntil.Sub(now).Round(time.Second).String()
 		}
 		fmt.Fprintf(table, "%s\t%s\t%.1f s\t%d\t%d\t%s\n",
-			other.Member, other.Level, float64(other.SilentMS)/1000, other.Connections, other.Refuted, held)
+			other.Member, other.Level, float64(other.SinceHeartbeatMS)/1000, other.Connections, other.Refutations, held)
 	}
 	return table.Flush()
 }
--- a/cmd/lynxledge/zones.go
+++ b/cmd/lynxledge/zones.go
@@ -64,13 +64,13 @@
 }
 
 func printZones(out io.Writer, status *zonecontrol.Status, now time.Time) error {
-	fmt.Fprintf(out, "as %s sees it; leader: %s; all members know the record: %v\n\n", status.Member, orNone(status.Leader), status.Recorded)
+	fmt.Fprintf(out, "as %s sees it; leader: %s; all members know the record: %v\n\n", status.Member, orNone(status.Leader), status.RecordSupported)
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "ZONE\tPHASE\tSINCE\tSERVICES\tARRAYS\tLOSSES\tEVIDENCE")
 	for _, zone := range status.Zones {
-		evidence := zone.Now
-		if zone.Evidence != "" {
-			evidence = fmt.Sprintf("%s (at the change: %s)", zone.Now, zone.Evidence)
+		evidence := zone.CurrentEvidence
+		if zone.TransitionEvidence != "" {
+			evidence = fmt.Sprintf("%s (at the change: %s)", zone.CurrentEvidence, zone.TransitionEvidence)
 		}
 		fmt.Fprintf(table, "%s\t%s\t%s\t%.0f%%\t%.0f%%\t%d\t%s\n",
 			zone.Zone, zone.Phase, sinceText(zone.Since, now), 100*zone.AdmittedServices, 100*zone.AdmittedArrays, zone.Losses, evidence)
@@ -80,7 +80,7 @@
 	}
 	for _, service := range status.Services {
 		fmt.Fprintf(table, "%s\t%s\t%d\t%d\t%d\t%s\n",
-			service.Service, service.Class, service.Waiting, service.AtRisk, service.Placeable, orNone(service.WaitsFor))
+			service.Service, service.Class, service.Pending, service.AtRisk, service.Placeable, orNone(service.PendingReason))
 	}
 	return table.Flush()
 }
--- a/internal/autoscaler/planning_input.go
+++ b/internal/autoscaler/planning_input.go
@@ -37,7 +37,7 @@
 		in.AvoidedZone = func(zone wire.Zone) bool { return r.zoneRecovery.IsLost(r.view.ZoneRecoveries, zone) }
 	}
 	in.Demands = slices.Concat(gather.runnableDemands(), gather.upcomingDemands(waits), gather.replacementDemands())
-	in.Machines = append(gather.machines(r.zoneRecovery.WithheldFor(now, r.view)), gather.unnamedMachines()...)
+	in.Machines = append(gather.machines(r.zoneRecovery.WithheldSeconds(now, r.view)), gather.unnamedMachines()...)
 	return in
 }
 
--- a/internal/recovery/admission.go
+++ b/internal/recovery/admission.go
@@ -18,14 +18,14 @@
 type Admission struct {
 	Phase zonehealth.Phase
 	// services and arrays are up to which order number tasks are admitted.
-	services, arrays uint64
+	maxServiceRank, maxArrayRank uint64
 	// arraysAnyway: the zone was lost so long ago that its machines that are heard
 	// take arrays again, whatever became of the others.
-	arraysAnyway bool
+	admitArraysWhileLost bool
 }
 
-// orderNumber is a machine's place in the order of admission.
-func orderNumber(machine wire.MachineID) uint64 {
+// admissionRank is a machine's place in the order of admission.
+func admissionRank(machine wire.MachineID) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(machine)) // never fails
 	return max(1, h.Sum64())        // 0 admits none
@@ -35,11 +35,11 @@
 func (a *Admission) admits(machine wire.MachineID, service bool) bool {
 	switch {
 	case a.Phase == zonehealth.Lost:
-		return !service && a.arraysAnyway
+		return !service && a.admitArraysWhileLost
 	case service:
-		return orderNumber(machine) <= a.services
+		return admissionRank(machine) <= a.maxServiceRank
 	}
-	return orderNumber(machine) <= a.arrays
+	return admissionRank(machine) <= a.maxArrayRank
 }
 
 // admissions works out the admission of every zone that is recovering.
@@ -52,31 +52,31 @@
 			continue
 		}
 		status := zonehealth.Status{Phase: phase, Step: z.Step}
-		order := orderNumbers(z.Zone, nodes)
+		order := admissionRanks(z.Zone, nodes)
 		out[z.Zone] = &Admission{
-			Phase:        phase,
-			services:     threshold(order, status.AdmittedShare(policy.Steps, true)),
-			arrays:       threshold(order, status.AdmittedShare(policy.Steps, false)),
-			arraysAnyway: now.Sub(z.Since.Time()) > policy.HoldDownMax,
+			Phase:                phase,
+			maxServiceRank:       rankThreshold(order, status.AdmittedShare(policy.AdmissionSteps, true)),
+			maxArrayRank:         rankThreshold(order, status.AdmittedShare(policy.AdmissionSteps, false)),
+			admitArraysWhileLost: now.Sub(z.Since.Time()) > policy.MaxHoldDown,
 		}
 	}
 	return out
 }
 
-// orderNumbers are those of a zone's machines that take tasks, sorted.
-func orderNumbers(zone wire.Zone, nodes []*placement.Node) []uint64 {
+// admissionRanks are those of a zone's machines that take tasks, sorted.
+func admissionRanks(zone wire.Zone, nodes []*placement.Node) []uint64 {
 	var order []uint64
 	for _, n := range nodes {
 		if n.Zone == zone && n.Schedulable {
-			order = append(order, orderNumber(n.Name))
+			order = append(order, admissionRank(n.Name))
 		}
 	}
 	slices.Sort(order)
 	return order
 }
 
-// threshold is the order number up to which a share of the machines lies, rounded up.
-func threshold(order []uint64, share float64) uint64 {
+// rankThreshold is the order number up to which a share of the machines lies, rounded up.
+func rankThreshold(order []uint64, share float64) uint64 {
 	switch n := int(math.Ceil(share * float64(len(order)))); {
 	case share >= 1:
 		return math.MaxUint64 // those that come up meanwhile too
--- a/internal/recovery/advisor.go
+++ b/internal/recovery/advisor.go
@@ -14,22 +14,22 @@
 
 // Advisor advises a placer while zones recover. It belongs to the placer's actor.
 type Advisor struct {
-	policy zonehealth.Policy
-	pause  time.Duration // advice is given anew after that
+	policy          zonehealth.Policy
+	refreshInterval time.Duration // advice is given anew after that
 
-	last  *advice
-	stamp uint64 // of the record that it follows
-	given time.Time
+	current        *advice
+	recordRevision uint64 // of the record that it follows
+	computedAt     time.Time
 }
 
-// adviceShare is the part of a report interval for which advice holds.
-const adviceShare = 1.0 / 3
+// adviceHeartbeats is the part of a report interval for which advice holds.
+const adviceHeartbeats = 1.0 / 3
 
 // NewAdvisor makes an advisor; the settings' ZoneRecovery section is set.
 func NewAdvisor(cfg *config.Config) *Advisor {
 	return &Advisor{
-		policy: zonehealth.PolicyOf(cfg),
-		pause:  cfg.Params.Workers.Heartbeats(adviceShare),
+		policy:          zonehealth.PolicyOf(cfg),
+		refreshInterval: cfg.Params.Workers.Heartbeats(adviceHeartbeats),
 	}
 }
 
@@ -37,14 +37,14 @@
 func (a *Advisor) Advise(now time.Time, cluster scheduler.ClusterState) scheduler.Advice {
 	record := cluster.View.ZoneRecoveries
 	if !Recovering(record) {
-		a.last = nil
+		a.current = nil
 		return nil
 	}
-	if a.last == nil || a.stamp != record.ModRevision || now.Sub(a.given) >= a.pause {
-		a.last = a.advise(now, cluster)
-		a.stamp, a.given = record.ModRevision, now
+	if a.current == nil || a.recordRevision != record.ModRevision || now.Sub(a.computedAt) >= a.refreshInterval {
+		a.current = a.advise(now, cluster)
+		a.recordRevision, a.computedAt = record.ModRevision, now
 	}
-	return a.last
+	return a.current
 }
 
 // Recovering tells whether any zone is lost or returning.
@@ -62,14 +62,14 @@
 
 func (a *Advisor) advise(now time.Time, cluster scheduler.ClusterState) *advice {
 	out := &advice{
-		zones:     admissions(now, cluster.View.ZoneRecoveries, &a.policy, cluster.Nodes),
-		preferred: map[wire.JobID][]*placement.Node{},
-		reserved:  map[*placement.Node]resources.Vector{},
-		positions: map[wire.JobID]int{},
+		admissions: admissions(now, cluster.View.ZoneRecoveries, &a.policy, cluster.Nodes),
+		preferred:  map[wire.JobID][]*placement.Node{},
+		reserved:   map[*placement.Node]resources.Vector{},
+		order:      map[wire.JobID]int{},
 	}
-	services := Services(cluster.View, cluster.ActiveJobs)
+	services := AffectedServices(cluster.View, cluster.ActiveJobs)
 	for i, s := range services {
-		out.positions[s.Job.ID] = i
+		out.order[s.Job.ID] = i
 	}
 	in := Input{
 		Services:  services,
@@ -85,7 +85,7 @@
 		case out.admits(n, true):
 			in.Nodes = append(in.Nodes, n)
 		default:
-			in.LastResort = append(in.LastResort, n)
+			in.Fallback = append(in.Fallback, n)
 		}
 	}
 	plan := Compute(in)
@@ -103,17 +103,17 @@
 
 // advice is what an Advisor tells; it stays as it is.
 type advice struct {
-	zones     map[wire.Zone]*Admission
-	preferred map[wire.JobID][]*placement.Node
-	reserved  map[*placement.Node]resources.Vector
-	positions map[wire.JobID]int
+	admissions map[wire.Zone]*Admission
+	preferred  map[wire.JobID][]*placement.Node
+	reserved   map[*placement.Node]resources.Vector
+	order      map[wire.JobID]int
 }
 
 // Admits tells whether a machine may take a task of a job.
 func (a *advice) Admits(n *placement.Node, j *wire.Job) bool { return a.admits(n, j.IsService()) }
 
 func (a *advice) admits(n *placement.Node, service bool) bool {
-	zone := a.zones[n.Zone]
+	zone := a.admissions[n.Zone]
 	return zone == nil || zone.admits(n.Name, service)
 }
 
@@ -128,10 +128,10 @@
 
 // RecoveryOrder is a service's place in the order; one that was not known yet comes last.
 func (a *advice) RecoveryOrder(service wire.JobID) int {
-	if i, known := a.positions[service]; known {
+	if i, known := a.order[service]; known {
 		return i
 	}
-	return len(a.positions)
+	return len(a.order)
 }
 
 // ReservedCapacity is the room kept for replicas that are about to be placed anew.
--- a/internal/recovery/plan.go
+++ b/internal/recovery/plan.go
@@ -14,9 +14,9 @@
 	Nodes []*placement.Node
 	// LastResort are machines of lost zones that are still heard. They take only what
 	// has no room on Nodes.
-	LastResort []*placement.Node
-	Usage      resources.Usage
-	TeamQuota  func(name wire.TeamName) config.TeamQuota
+	Fallback  []*placement.Node
+	Usage     resources.Usage
+	TeamQuota func(name wire.TeamName) config.TeamQuota
 }
 
 // Placement is one replica and a machine with room for it.
@@ -44,24 +44,24 @@
 	Solved bool
 }
 
-// maxReplicas bounds the replicas of one plan. Those beyond follow in the next.
-const maxReplicas = 2048
+// maxPlannedReplicas bounds the replicas of one plan. Those beyond follow in the next.
+const maxPlannedReplicas = 2048
 
 // Compute finds room for the replicas of services. It takes them in their order, each
 // where it fits first; only if that leaves some without room does the solver look for
 // a better distribution.
 func Compute(in Input) Plan {
-	first := newAssigner(&in, nil)
-	first.run()
-	if first.blocked == 0 {
+	first := newBinPacker(&in, nil)
+	first.pack()
+	if first.displaced == 0 {
 		return first.plan
 	}
 	shares := solve(&in)
 	if shares == nil {
 		return first.plan
 	}
-	second := newAssigner(&in, shares)
-	second.run()
+	second := newBinPacker(&in, shares)
+	second.pack()
 	if second.value <= first.value {
 		return first.plan
 	}
--- a/internal/recovery/plan_test.go
+++ b/internal/recovery/plan_test.go
@@ -36,10 +36,10 @@
 	case 2:
 		j.SingleZone, j.SpreadZones = true, false
 	}
-	s := &Service{Job: j, AtRisk: map[wire.Zone]int{}, Zones: placement.ZoneCounts{}, Since: statecache.Timestamp(id)}
+	s := &Service{Job: j, AtRisk: map[wire.Zone]int{}, BoundByZone: placement.ZoneCounts{}, RunnableSince: statecache.Timestamp(id)}
 	left := j.TaskCount
 	for _, zone := range []wire.Zone{"a", "b", "c"} {
-		if !s.Zones.Allows(j, zone) || j.Zone != "" && j.Zone != zone {
+		if !s.BoundByZone.Allows(j, zone) || j.Zone != "" && j.Zone != zone {
 			continue
 		}
 		n := rapid.IntRange(0, left).Draw(t, "bound")
@@ -47,11 +47,11 @@
 			n = min(n, (j.TaskCount+1)/2)
 		}
 		left -= n
-		if s.Zones[zone] += n; zone == "a" && n > 0 {
+		if s.BoundByZone[zone] += n; zone == "a" && n > 0 {
 			s.AtRisk["a"] = rapid.IntRange(0, n).Draw(t, "atRisk")
 		}
 	}
-	s.Waiting = left
+	s.Pending = left
 	return s
 }
 
@@ -69,7 +69,7 @@
 		}
 		n.Used = resources.Vector{CPUs: float64(rapid.IntRange(0, 4).Draw(t, "used")), MemoryGB: float64(rapid.IntRange(0, 8).Draw(t, "usedMemory"))}
 		if n.Zone == "a" {
-			in.LastResort = append(in.LastResort, n)
+			in.Fallback = append(in.Fallback, n)
 		} else {
 			in.Nodes = append(in.Nodes, n)
 		}
@@ -77,7 +77,7 @@
 	for i := range rapid.IntRange(0, 16).Draw(t, "services") {
 		in.Services = append(in.Services, genService(t, i))
 	}
-	Order(in.Services)
+	SortByRecoveryOrder(in.Services)
 	return in
 }
 
@@ -89,10 +89,10 @@
 	placed := map[*Service]int{}
 	for _, s := range in.Services {
 		bound := placement.ZoneCounts{}
-		for z, n := range s.Zones {
+		for z, n := range s.BoundByZone {
 			bound[z] = n
 		}
-		zones[s] = map[bool]placement.ZoneCounts{false: bound, true: s.zonesAfterLoss()}
+		zones[s] = map[bool]placement.ZoneCounts{false: bound, true: s.boundAfterLoss()}
 	}
 	for _, p := range plan.Placements {
 		j, n := p.Service.Job, p.Node
@@ -123,8 +123,8 @@
 		}
 	}
 	for _, s := range in.Services {
-		if placed[s] != s.Waiting+s.AtRiskCount() {
-			t.Fatalf("%s: %d of %d replicas are accounted for", s.Job.ID, placed[s], s.Waiting+s.AtRiskCount())
+		if placed[s] != s.Pending+s.AtRiskCount() {
+			t.Fatalf("%s: %d of %d replicas are accounted for", s.Job.ID, placed[s], s.Pending+s.AtRiskCount())
 		}
 	}
 }
@@ -137,11 +137,11 @@
 		in := genInput(t)
 		plan := Compute(in)
 		verify(t, &in, plan)
-		first := newAssigner(&in, nil)
-		first.run()
+		first := newBinPacker(&in, nil)
+		first.pack()
 		value := 0.0
 		for _, p := range plan.Placements {
-			value += weight(p.Service.Job)
+			value += priorityWeight(p.Service.Job)
 		}
 		if value < first.value {
 			t.Fatalf("worth %v, the order alone %v", value, first.value)
@@ -166,7 +166,7 @@
 	}
 	service := func(id wire.JobID, zone wire.Zone) *Service {
 		j := &wire.Job{ID: id, Team: "blue", Kind: wire.KindService, Priority: wire.PriorityProduction, TaskCount: 1, CPUs: 4, MemoryGB: 1, Zone: zone}
-		return &Service{Job: j, Waiting: 1, AtRisk: map[wire.Zone]int{}, Zones: placement.ZoneCounts{}}
+		return &Service{Job: j, Pending: 1, AtRisk: map[wire.Zone]int{}, BoundByZone: placement.ZoneCounts{}}
 	}
 	in := Input{
 		Services:  []*Service{service("req-000001", ""), service("req-000002", "b")},
@@ -186,11 +186,11 @@
 	}
 	for i := range 60 {
 		j := &wire.Job{ID: wire.JobID(fmt.Sprintf("req-%06d", i)), Team: "blue", Kind: wire.KindService, TaskCount: 9, CPUs: 1 + float64(i)/30, MemoryGB: 1, SpreadZones: true}
-		in.Services = append(in.Services, &Service{Job: j, Waiting: 9, AtRisk: map[wire.Zone]int{}, Zones: placement.ZoneCounts{}})
+		in.Services = append(in.Services, &Service{Job: j, Pending: 9, AtRisk: map[wire.Zone]int{}, BoundByZone: placement.ZoneCounts{}})
 	}
-	p := build(&in, newRoom(in.Nodes))
-	if len(p.rows) == 0 || len(p.rows) > maxRows || len(p.columns) > maxColumns {
-		t.Errorf("%d rows, %d columns", len(p.rows), len(p.columns))
+	p := buildProgram(&in, newFreeCapacity(in.Nodes))
+	if len(p.constraints) == 0 || len(p.constraints) > maxConstraints || len(p.variables) > maxVariables {
+		t.Errorf("%d rows, %d columns", len(p.constraints), len(p.variables))
 	}
 	if plan := Compute(in); len(plan.Placements) == 0 {
 		t.Error("nothing is placed")
@@ -205,9 +205,9 @@
 		for i := range rapid.IntRange(1, 50).Draw(t, "machines") {
 			nodes = append(nodes, &placement.Node{Name: wire.MachineID(fmt.Sprintf("i-%06d", i*7)), Zone: "a", Schedulable: true})
 		}
-		order := orderNumbers("a", nodes)
+		order := admissionRanks("a", nodes)
 		count := func(share float64) (n int) {
-			a := Admission{Phase: 3, services: threshold(order, share)}
+			a := Admission{Phase: 3, maxServiceRank: rankThreshold(order, share)}
 			for _, node := range nodes {
 				if a.admits(node.Name, true) {
 					n++
@@ -237,7 +237,7 @@
 				ID: wire.JobID(fmt.Sprintf("req-%06d", i)), Team: "blue", Kind: wire.KindService, Priority: wire.PriorityProduction,
 				TaskCount: 4, CPUs: 1 + float64(i%3), MemoryGB: 2, SpreadZones: true,
 			}
-			in.Services = append(in.Services, &Service{Job: j, Waiting: 1, AtRisk: map[wire.Zone]int{"a": 1}, Zones: placement.ZoneCounts{"a": 1, "b": 1, "c": 1}})
+			in.Services = append(in.Services, &Service{Job: j, Pending: 1, AtRisk: map[wire.Zone]int{"a": 1}, BoundByZone: placement.ZoneCounts{"a": 1, "b": 1, "c": 1}})
 		}
 		b.Run(fmt.Sprint(machines), func(b *testing.B) {
 			b.ReportAllocs()
--- a/internal/recovery/scaling_policy.go
+++ b/internal/recovery/scaling_policy.go
@@ -14,15 +14,15 @@
 // a lost zone, and machines that are not admitted yet count from when they will be. The
 // demand itself goes through the planner's load vectors like any other.
 type ScalingPolicy struct {
-	policy   zonehealth.Policy
-	evacuate time.Duration
+	policy        zonehealth.Policy
+	evacuateAfter time.Duration
 }
 
 // NewScalingPolicy makes it; the settings' ZoneRecovery section is set.
 func NewScalingPolicy(cfg *config.Config) *ScalingPolicy {
 	return &ScalingPolicy{
-		policy:   zonehealth.PolicyOf(cfg),
-		evacuate: cfg.Params.Workers.Leases(cfg.Operator.ZoneRecovery.EvacuateLeases),
+		policy:        zonehealth.PolicyOf(cfg),
+		evacuateAfter: cfg.Params.Workers.Leases(cfg.Operator.ZoneRecovery.EvacuateLeases),
 	}
 }
 
@@ -36,7 +36,7 @@
 // certain: until then they may run, and after that nothing on it does. A machine that
 // holds arrays alone is left: its zone may be back, and then it has its images still.
 func (r *ScalingPolicy) ShouldEvacuate(view *statecache.View, m *statecache.Machine, silentFor time.Duration) bool {
-	if !r.IsLost(view.ZoneRecoveries, m.Zone) || silentFor < r.evacuate {
+	if !r.IsLost(view.ZoneRecoveries, m.Zone) || silentFor < r.evacuateAfter {
 		return false
 	}
 	return slices.ContainsFunc(m.Bindings, func(t statecache.TaskBinding) bool {
@@ -51,16 +51,16 @@
 	return r != nil && phaseOf(record, zone) == zonehealth.Lost
 }
 
-// WithheldFor tells in how many seconds machines that are up will take tasks, for those
+// WithheldSeconds tells in how many seconds machines that are up will take tasks, for those
 // that don't yet.
-func (r *ScalingPolicy) WithheldFor(now time.Time, view *statecache.View) map[wire.MachineID]float64 {
+func (r *ScalingPolicy) WithheldSeconds(now time.Time, view *statecache.View) map[wire.MachineID]float64 {
 	if r == nil || !Recovering(view.ZoneRecoveries) {
 		return nil
 	}
 	order := map[wire.Zone][]uint64{} // by zone
 	for name, m := range view.Machines {
 		if m.Schedulable() {
-			order[m.Zone] = append(order[m.Zone], orderNumber(name))
+			order[m.Zone] = append(order[m.Zone], admissionRank(name))
 		}
 	}
 	for zone := range order {
@@ -72,30 +72,30 @@
 		if z == nil || !m.Schedulable() {
 			continue
 		}
-		if s := r.withheldFor(now, z, order[m.Zone], orderNumber(name)); s > 0 {
+		if s := r.secondsUntilAdmitted(now, z, order[m.Zone], admissionRank(name)); s > 0 {
 			withheld[name] = s
 		}
 	}
 	return withheld
 }
 
-// withheldFor is when services are admitted to a machine: for those of a lost zone, when
+// secondsUntilAdmitted is when services are admitted to a machine: for those of a lost zone, when
 // its machines that are heard are used in any case.
-func (r *ScalingPolicy) withheldFor(now time.Time, z *statecache.ZoneRecovery, order []uint64, number uint64) float64 {
+func (r *ScalingPolicy) secondsUntilAdmitted(now time.Time, z *statecache.ZoneRecovery, order []uint64, number uint64) float64 {
 	phase, err := zonehealth.ParsePhase(z.Phase)
 	if err != nil {
 		return 0
 	}
 	switch phase {
 	case zonehealth.Lost:
-		return max(0, (r.policy.HoldDownMax - now.Sub(z.Since.Time())).Seconds())
+		return max(0, (r.policy.MaxHoldDown - now.Sub(z.Since.Time())).Seconds())
 	case zonehealth.Returning:
-		for ahead := 0; z.Step+ahead < len(r.policy.Steps); ahead++ {
-			if number <= threshold(order, r.policy.Steps[z.Step+ahead]) {
-				return float64(ahead) * r.policy.StepTime.Seconds()
+		for ahead := 0; z.Step+ahead < len(r.policy.AdmissionSteps); ahead++ {
+			if number <= rankThreshold(order, r.policy.AdmissionSteps[z.Step+ahead]) {
+				return float64(ahead) * r.policy.StepDuration.Seconds()
 			}
 		}
-		return float64(len(r.policy.Steps)-z.Step) * r.policy.StepTime.Seconds()
+		return float64(len(r.policy.AdmissionSteps)-z.Step) * r.policy.StepDuration.Seconds()
 	}
 	return 0
 }
--- a/internal/recovery/service.go
+++ b/internal/recovery/service.go
@@ -18,14 +18,14 @@
 type Service struct {
 	Job *wire.Job
 	// Waiting counts replicas that are bound to no machine.
-	Waiting int
+	Pending int
 	// AtRisk counts replicas, by zone, that are bound to machines of lost zones which
 	// nobody hears. They count until they are proved gone, and may still run.
 	AtRisk map[wire.Zone]int
 	// Zones counts all bound replicas by zone, those at risk included.
-	Zones placement.ZoneCounts
+	BoundByZone placement.ZoneCounts
 	// Since is the time of day from which the service could run.
-	Since statecache.Timestamp
+	RunnableSince statecache.Timestamp
 }
 
 // AtRiskCount is the number of replicas at risk.
@@ -37,41 +37,41 @@
 	return n
 }
 
-// serving is the share of the replicas that certainly run somewhere else.
-func (s *Service) serving() float64 {
-	return 1 - float64(s.Waiting+s.AtRiskCount())/float64(s.Job.TaskCount)
+// runningShare is the share of the replicas that certainly run somewhere else.
+func (s *Service) runningShare() float64 {
+	return 1 - float64(s.Pending+s.AtRiskCount())/float64(s.Job.TaskCount)
 }
 
-// zonesAfterLoss counts the replicas that are left once those at risk are gone.
-func (s *Service) zonesAfterLoss() placement.ZoneCounts {
+// boundAfterLoss counts the replicas that are left once those at risk are gone.
+func (s *Service) boundAfterLoss() placement.ZoneCounts {
 	left := placement.ZoneCounts{}
-	for zone, n := range s.Zones {
+	for zone, n := range s.BoundByZone {
 		left[zone] = n - s.AtRisk[zone]
 	}
 	return left
 }
 
-// Order sorts services in the order in which they are made whole: the higher priority
+// SortByRecoveryOrder sorts services in the order in which they are made whole: the higher priority
 // first, then those of which the least is left, then those that wait the longest.
-func Order(services []*Service) {
+func SortByRecoveryOrder(services []*Service) {
 	slices.SortFunc(services, func(a, b *Service) int {
 		return cmp.Or(
 			cmp.Compare(b.Job.Priority, a.Job.Priority),
-			cmp.Compare(a.serving(), b.serving()),
-			cmp.Compare(a.Since, b.Since),
+			cmp.Compare(a.runningShare(), b.runningShare()),
+			cmp.Compare(a.RunnableSince, b.RunnableSince),
 			strings.Compare(string(a.Job.ID), string(b.Job.ID)),
 		)
 	})
 }
 
-// Services finds the services that lack replicas, or are about to, in order.
-func Services(view *statecache.View, active map[wire.JobID]*statecache.Job) []*Service {
+// AffectedServices finds the services that lack replicas, or are about to, in order.
+func AffectedServices(view *statecache.View, active map[wire.JobID]*statecache.Job) []*Service {
 	found := map[wire.JobID]*Service{}
 	get := func(id wire.JobID) *Service {
 		s := found[id]
 		if s == nil {
 			j := active[id]
-			s = &Service{Job: j.Spec, AtRisk: map[wire.Zone]int{}, Zones: placement.ZoneCountsOf(view, id), Since: j.RunnableSince()}
+			s = &Service{Job: j.Spec, AtRisk: map[wire.Zone]int{}, BoundByZone: placement.ZoneCountsOf(view, id), RunnableSince: j.RunnableSince()}
 			found[id] = s
 		}
 		return s
@@ -81,11 +81,11 @@
 			continue
 		}
 		if n := view.PendingTasks(id, j); n > 0 {
-			get(id).Waiting = n
+			get(id).Pending = n
 		}
 	}
 	for _, m := range view.Machines {
-		if !unheard(view, m) {
+		if !unreachableInLostZone(view, m) {
 			continue
 		}
 		for i := range m.Bindings {
@@ -98,12 +98,12 @@
 	for _, s := range found {
 		services = append(services, s)
 	}
-	Order(services)
+	SortByRecoveryOrder(services)
 	return services
 }
 
-// unheard tells whether a machine is in a lost zone and nobody hears it.
-func unheard(view *statecache.View, m *statecache.Machine) bool {
+// unreachableInLostZone tells whether a machine is in a lost zone and nobody hears it.
+func unreachableInLostZone(view *statecache.View, m *statecache.Machine) bool {
 	return (m.Suspected || m.Terminating) && phaseOf(view.ZoneRecoveries, m.Zone) == zonehealth.Lost
 }
 
--- a/internal/standby/status.go
+++ b/internal/standby/status.go
@@ -9,29 +9,29 @@
 	"lynxledge/internal/failuredetector"
 )
 
-// StatusPath is where a controller answers with its Status, on its mesh address.
+// StatusPath is where a controller answers with its Status, on its peer address.
 const StatusPath = "/status/standby"
 
-// Status is what a controller thinks of the others, and what it would do.
+// Status is what a controller takes the others for, and what it would do.
 type Status struct {
-	Member string `json:"member"`
-	Leader string `json:"leader,omitempty"`
-	Placer string `json:"placer,omitempty"`
-	// StandsBy is who would claim the lead if the leader failed now, the first first.
-	StandsBy []string      `json:"standsBy"`
-	Others   []OtherStatus `json:"others"`
-	// Last is the last takeover of this controller.
-	Last Action `json:"last"`
+	Member          string `json:"member"`
+	Leader          string `json:"leader,omitempty"`
+	ActiveScheduler string `json:"placer,omitempty"`
+	// Successors is who would claim the leadership if the leader failed now, in order.
+	Successors []string     `json:"standsBy"`
+	Peers      []PeerStatus `json:"others"`
+	// LastAction is the last takeover of this controller.
+	LastAction Action `json:"last"`
 }
 
-// OtherStatus is what is known of another controller.
-type OtherStatus struct {
-	Member      string    `json:"member"`
-	Level       string    `json:"level"`
-	SilentMS    int64     `json:"silentMs"`
-	Connections int       `json:"connections"`
-	Refuted     int       `json:"refuted,omitempty"`
-	HeldUntil   time.Time `json:"heldUntil,omitzero"`
+// PeerStatus is what is known of another controller.
+type PeerStatus struct {
+	Member           string    `json:"member"`
+	Level            string    `json:"level"`
+	SinceHeartbeatMS int64     `json:"silentMs"`
+	Connections      int       `json:"connections"`
+	Refutations      int       `json:"refuted,omitempty"`
+	HeldUntil        time.Time `json:"heldUntil,omitzero"`
 }
 
 // ServeHTTP answers with the Status.
@@ -46,21 +46,26 @@
 }
 
 func (s *Standby) status(now time.Time) Status {
-	status := Status{Member: s.config.MemberName, Placer: s.activeScheduler(), Last: s.last}
+	status := Status{Member: s.config.MemberName, ActiveScheduler: s.activeScheduler(), LastAction: s.lastAction}
 	if s.view.Leader != nil {
 		status.Leader = s.view.Leader.Member
-		status.StandsBy = s.successors(now, status.Leader)
+		status.Successors = s.successors(now, status.Leader)
 	}
-	for _, g := range s.detector.Statuses(now) {
-		status.Others = append(status.Others, s.otherStatus(g))
+	for _, member := range s.detector.Statuses(now) {
+		status.Peers = append(status.Peers, s.peerStatus(member))
 	}
 	return status
 }
 
-func (s *Standby) otherStatus(g failuredetector.MemberStatus) OtherStatus {
-	o := OtherStatus{Member: g.Member, Level: g.Level.String(), SilentMS: g.SilentFor.Milliseconds(), Connections: g.Connections}
-	if h := s.holds[g.Member]; h != nil {
-		o.Refuted, o.HeldUntil = h.refuted, h.until
+func (s *Standby) peerStatus(member failuredetector.MemberStatus) PeerStatus {
+	status := PeerStatus{
+		Member:           member.Member,
+		Level:            member.Level.String(),
+		SinceHeartbeatMS: member.SinceHeartbeat.Milliseconds(),
+		Connections:      member.Connections,
 	}
-	return o
+	if h := s.holdDowns[member.Member]; h != nil {
+		status.Refutations, status.HeldUntil = h.refutations, h.until
+	}
+	return status
 }
--- a/internal/zonecontrol/controller.go
+++ b/internal/zonecontrol/controller.go
@@ -20,31 +20,31 @@
 // Controller is the actor.
 type Controller struct {
 	*actor.Actor
-	config      *config.Config
-	incarnation uint64
-	cache       *statecache.Cache
-	scheduler   ClusterOwner
-	policy      zonehealth.Policy
-	period      time.Duration // between two looks
+	config        *config.Config
+	incarnation   uint64
+	cache         *statecache.Cache
+	scheduler     ClusterStateProvider
+	policy        zonehealth.Policy
+	checkInterval time.Duration // between two looks
 
 	view         *statecache.View // of machines, members and the recovery; it has no jobs
 	revision     uint64
 	freshAsOf    time.Time
 	machineTypes []wire.MachineType
 
-	census         *zonehealth.Census
-	tracker        *zonehealth.Tracker
+	reachability   *zonehealth.ReachabilityTracker
+	phases         *zonehealth.PhaseTracker
 	exhaustedPools map[resources.Pool]time.Time // until when the cloud is not asked again
 	lastCheck      time.Time
 
-	term       uint64 // of the leadership that the tracker's state belongs to
-	serial     uint64 // of the record that was written last
-	writing    bool
-	unreadable bool // a record that can't be read was logged
+	term             uint64 // of the leadership that the tracker's state belongs to
+	recordSerial     uint64 // of the record that was written last
+	writeInFlight    bool
+	recordUnreadable bool // a record that can't be read was logged
 }
 
-// ClusterOwner runs a function that looks at all that is placed.
-type ClusterOwner interface {
+// ClusterStateProvider runs a function that looks at all that is placed.
+type ClusterStateProvider interface {
 	WithClusterState(f func(scheduler.ClusterState)) bool
 }
 
@@ -52,7 +52,7 @@
 const checksPerHeartbeat = 4
 
 // Start runs the actor; the settings' ZoneRecovery section is set.
-func Start(ctx context.Context, cfg *config.Config, boot uint64, l *statecache.Cache, placer ClusterOwner) *Controller {
+func Start(ctx context.Context, cfg *config.Config, boot uint64, l *statecache.Cache, placer ClusterStateProvider) *Controller {
 	policy := zonehealth.PolicyOf(cfg)
 	now := time.Now()
 	c := &Controller{
@@ -62,15 +62,15 @@
 		cache:          l,
 		scheduler:      placer,
 		policy:         policy,
-		period:         cfg.Params.Workers.HeartbeatInterval / checksPerHeartbeat,
+		checkInterval:  cfg.Params.Workers.HeartbeatInterval / checksPerHeartbeat,
 		view:           statecache.NewUnfinishedView(statecache.ChunkTasks(cfg.Params.Store.MaxValueKB)),
-		census:         zonehealth.NewCensus(now, policy.Silence),
-		tracker:        zonehealth.NewTracker(policy),
+		reachability:   zonehealth.NewReachabilityTracker(now, policy.UnreachableAfter),
+		phases:         zonehealth.NewPhaseTracker(policy),
 		exhaustedPools: map[resources.Pool]time.Time{},
 		lastCheck:      now,
 	}
 	l.Subscribe(func(d statecache.Update) { c.Send(func() { c.apply(d) }) })
-	c.Every(c.period, c.check)
+	c.Every(c.checkInterval, c.check)
 	return c
 }
 
@@ -81,7 +81,7 @@
 
 // MachinesReachable notes that a controller has heard machines.
 func (c *Controller) MachinesReachable(controller string, machines []wire.MachineID) {
-	c.Post(func() { c.census.MachinesReachable(controller, machines) })
+	c.Post(func() { c.reachability.MachinesReachable(controller, machines) })
 }
 
 // PoolExhausted notes that the cloud rents no machines of a pool for now.
@@ -97,73 +97,73 @@
 			continue // nothing here depends on them
 		}
 		for _, m := range c.view.Apply(change) {
-			c.machineChanged(m)
+			c.applyMachineChange(m)
 		}
 		if change.Kind == statecache.KindZoneRecovery {
-			c.recordChanged()
+			c.applyRecord()
 		}
 	}
 }
 
-// machineChanged keeps the census. A machine that is drained for another reason than
+// applyMachineChange keeps the census. A machine that is drained for another reason than
 // its silence or failure goes in an orderly way, and is no evidence.
-func (c *Controller) machineChanged(m statecache.MachineChange) {
+func (c *Controller) applyMachineChange(m statecache.MachineChange) {
 	switch {
 	case m.New == nil:
-		c.census.Dismiss(m.Machine, false)
+		c.reachability.RemoveMachine(m.Machine, false)
 	case m.New.Incarnation == 0:
 	case m.New.DrainReason == "" && !m.New.Terminating:
-		c.census.Expect(m.Machine, m.New.Zone)
+		c.reachability.AddMachine(m.Machine, m.New.Zone)
 	default:
-		c.census.Dismiss(m.Machine, m.New.DrainReason == statecache.DrainFailed || m.New.DrainReason == statecache.DrainUnreachable)
+		c.reachability.RemoveMachine(m.Machine, m.New.DrainReason == statecache.DrainFailed || m.New.DrainReason == statecache.DrainUnreachable)
 	}
 }
 
-// recordChanged takes over what another process has written.
-func (c *Controller) recordChanged() {
+// applyRecord takes over what another process has written.
+func (c *Controller) applyRecord() {
 	record := c.view.ZoneRecoveries
 	switch {
 	case record != nil && record.Unreadable:
-		if !c.unreadable {
+		if !c.recordUnreadable {
 			slog.Warn("recovery record is in the layout of another version; zones are treated as without recovery", "key", statecache.ZoneRecoveryKey)
 		}
-		c.unreadable = true
+		c.recordUnreadable = true
 		return
-	case record != nil && record.Term == c.term && record.Serial == c.serial:
+	case record != nil && record.Term == c.term && record.Serial == c.recordSerial:
 		return // our own
 	}
-	c.unreadable = false
-	c.restore()
+	c.recordUnreadable = false
+	c.restorePhases()
 }
 
-func (c *Controller) restore() { c.tracker.Restore(time.Now(), statusesOf(c.view.ZoneRecoveries)) }
+func (c *Controller) restorePhases() { c.phases.Restore(time.Now(), statusesOf(c.view.ZoneRecoveries)) }
 
 // check judges the evidence, if this process leads, and records what follows.
 func (c *Controller) check() {
 	now := time.Now()
-	c.census.Advance(now, c.period, now.Sub(c.lastCheck))
+	c.reachability.Advance(now, c.checkInterval, now.Sub(c.lastCheck))
 	c.lastCheck = now
-	lead, ok := c.leadership()
-	if !ok || c.writing || c.unreadable {
+	lead, ok := c.confirmLeadership()
+	if !ok || c.writeInFlight || c.recordUnreadable {
 		return
 	}
 	evidence := c.evidence(now)
-	if !c.census.Complete(now) || zonehealth.Blind(evidence) {
-		c.tracker.Suspend(now)
+	if !c.reachability.Complete(now) || zonehealth.NoneReachable(evidence) {
+		c.phases.Suspend(now)
 		return
 	}
-	changes := c.tracker.Judge(now, evidence)
-	c.record(lead, changes)
+	changes := c.phases.Evaluate(now, evidence)
+	c.writeRecord(lead, changes)
 }
 
-// leadership is the leadership of this process, if it is confirmed. A new leader goes on from
+// confirmLeadership is the leadership of this process, if it is confirmed. A new leader goes on from
 // the record.
-func (c *Controller) leadership() (election.Leadership, bool) {
+func (c *Controller) confirmLeadership() (election.Leadership, bool) {
 	maxAge := c.config.Params.Workers.Heartbeats(maxViewAgeHeartbeats)
 	lead, ok := election.ConfirmLeadership(c.view, c.incarnation, c.revision, c.freshAsOf, maxAge)
 	if ok && c.term != lead.Term() {
-		c.term, c.serial = lead.Term(), 0
-		c.restore()
+		c.term, c.recordSerial = lead.Term(), 0
+		c.restorePhases()
 	}
 	return lead, ok
 }
@@ -174,7 +174,7 @@
 // evidence is what is known of every zone: of its machines, its controllers, and what
 // the cloud refuses there.
 func (c *Controller) evidence(now time.Time) map[wire.Zone]zonehealth.Evidence {
-	all := c.census.Evidence()
+	all := c.reachability.Evidence()
 	// A process that began after a zone had lost its last machine knows the zone from the
 	// record alone: it has to be judged all the same, or it would stay lost for ever.
 	for name := range statusesOf(c.view.ZoneRecoveries) {
@@ -197,7 +197,7 @@
 		}
 		e.Controllers++
 		if c.view.Members[member] == nil {
-			e.ControllersGone++
+			e.ControllersDown++
 		}
 	}
 	count(c.config.MemberName, c.config.Zone)
@@ -215,7 +215,7 @@
 			for _, spot := range []bool{false, true} {
 				e.Pools++
 				if now.Before(c.exhaustedPools[resources.Pool{MachineType: c.machineTypes[i].Name, Zone: zone, Spot: spot}]) {
-					e.PoolsRefused++
+					e.PoolsExhausted++
 				}
 			}
 		}
--- a/internal/zonecontrol/controller_test.go
+++ b/internal/zonecontrol/controller_test.go
@@ -173,7 +173,7 @@
 			t.Errorf("rewritten: %s", b.state.Value(statecache.ZoneRecoveryKey))
 		}
 		status, err := m.zones.Status(b.ctx)
-		if err != nil || status.Recorded {
+		if err != nil || status.RecordSupported {
 			t.Errorf("%+v %v", status, err)
 		}
 	})
@@ -257,7 +257,7 @@
 			Zone: wire.Zone(fmt.Sprintf("zone-with-a-name-%d", i)), Phase: phase, Since: 1e12, Losses: 3, HoldUntil: 1e12, Evidence: []int{100, 90, 10, 3, 2, 1, 8, 4},
 		})
 	}
-	kept := fitting(zones, 1024)
+	kept := fitToValueSize(zones, 1024)
 	b, _ := json.Marshal(statecache.ZoneRecoveries{LayoutVersion: 1, Term: 1 << 40, Serial: 1 << 40, Zones: kept})
 	if len(b) > 1024 || len(kept) < 4 {
 		t.Errorf("%d zones in %d bytes", len(kept), len(b))
--- a/internal/zonecontrol/record.go
+++ b/internal/zonecontrol/record.go
@@ -13,19 +13,19 @@
 	"lynxledge/wire"
 )
 
-// record writes how far the zones are, if that differs from what stands. The write is
+// writeRecord writes how far the zones are, if that differs from what stands. The write is
 // guarded on leadership and on the record as it was seen: of two leaders, or two writes
 // of one, only one can stand.
-func (c *Controller) record(lead election.Leadership, changes []zonehealth.Change) {
+func (c *Controller) writeRecord(lead election.Leadership, changes []zonehealth.Transition) {
 	zones := c.zoneRecords()
 	standing := c.view.ZoneRecoveries
 	commit := statecache.Commit{
 		Preconditions: []wire.Precondition{
 			lead.Precondition(),
-			{Key: statecache.ZoneRecoveryKey, ModRevision: revisionOf(standing)},
+			{Key: statecache.ZoneRecoveryKey, ModRevision: modRevisionOf(standing)},
 		},
 		RetryUntilCertain: true,
-		RetryFor:          2 * c.period,
+		RetryFor:          2 * c.checkInterval,
 	}
 	switch {
 	case !c.view.AllMembersSupport(statecache.CapabilityZoneRecovery) || len(zones) == 0:
@@ -34,33 +34,33 @@
 			return
 		}
 		commit.Deletes = []string{statecache.ZoneRecoveryKey}
-	case standing != nil && slices.EqualFunc(zones, standing.Zones, sameZone):
+	case standing != nil && slices.EqualFunc(zones, standing.Zones, equalExceptEvidence):
 		return
 	default:
-		c.serial++
+		c.recordSerial++
 		commit.Puts = []statecache.Put{{Key: statecache.ZoneRecoveryKey, Record: &statecache.ZoneRecoveries{
-			LayoutVersion: statecache.ZoneRecoveryLayoutVersion, Term: lead.Term(), Serial: c.serial, Zones: zones,
+			LayoutVersion: statecache.ZoneRecoveryLayoutVersion, Term: lead.Term(), Serial: c.recordSerial, Zones: zones,
 		}}}
 	}
-	c.writing = true
-	c.cache.Commit(commit, func(out statecache.Outcome) { c.Send(func() { c.recorded(out, changes) }) })
+	c.writeInFlight = true
+	c.cache.Commit(commit, func(out statecache.Outcome) { c.Send(func() { c.recordWritten(out, changes) }) })
 }
 
-// recorded takes the outcome of a write. What did not come to stand is judged again
+// recordWritten takes the outcome of a write. What did not come to stand is judged again
 // from what does.
-func (c *Controller) recorded(out statecache.Outcome, changes []zonehealth.Change) {
-	c.writing = false
+func (c *Controller) recordWritten(out statecache.Outcome, changes []zonehealth.Transition) {
+	c.writeInFlight = false
 	if out != statecache.Committed {
-		c.serial++ // should the write come to stand all the same, it isn't known here
-		c.restore()
+		c.recordSerial++ // should the write come to stand all the same, it isn't known here
+		c.restorePhases()
 		return
 	}
 	for i := range changes {
-		logChange(&changes[i])
+		logTransition(&changes[i])
 	}
 }
 
-func logChange(change *zonehealth.Change) {
+func logTransition(change *zonehealth.Transition) {
 	from, to := &change.From, &change.To
 	attributes := []any{"zone", change.Zone, "evidence", to.Evidence.String()}
 	switch {
@@ -77,7 +77,7 @@
 
 // zoneRecords are the zones of which there is anything to say, as many as fit a value.
 func (c *Controller) zoneRecords() []statecache.ZoneRecovery {
-	statuses := c.tracker.Statuses()
+	statuses := c.phases.Statuses()
 	var zones []statecache.ZoneRecovery
 	for _, name := range slices.Sorted(maps.Keys(statuses)) {
 		status := statuses[name]
@@ -86,15 +86,15 @@
 		}
 		zones = append(zones, zoneRecordOf(name, status))
 	}
-	return fitting(zones, c.config.Params.Store.ValueSizeLimit())
+	return fitToValueSize(zones, c.config.Params.Store.ValueSizeLimit())
 }
 
-// fitting drops what matters least until the zones fit a value: evidence first, then
+// fitToValueSize drops what matters least until the zones fit a value: evidence first, then
 // zones that aren't recovering.
-func fitting(zones []statecache.ZoneRecovery, valueBytes int) []statecache.ZoneRecovery {
+func fitToValueSize(zones []statecache.ZoneRecovery, valueBytes int) []statecache.ZoneRecovery {
 	fits := func() bool {
 		b, err := json.Marshal(statecache.ZoneRecoveries{Zones: zones})
-		return err == nil && len(b)+recordMargin <= valueBytes
+		return err == nil && len(b)+recordOverheadBytes <= valueBytes
 	}
 	if fits() {
 		return zones
@@ -111,10 +111,10 @@
 	})
 }
 
-// recordMargin is for the record's own figures, which are not known yet.
-const recordMargin = 64
+// recordOverheadBytes is for the record's own figures, which are not known yet.
+const recordOverheadBytes = 64
 
-func revisionOf(r *statecache.ZoneRecoveries) uint64 {
+func modRevisionOf(r *statecache.ZoneRecoveries) uint64 {
 	if r == nil {
 		return 0
 	}
@@ -127,9 +127,9 @@
 		Phase:     status.Phase.String(),
 		Since:     statecache.TimestampOf(status.Since),
 		Losses:    status.Losses,
-		HoldUntil: milliseconds(status.HoldUntil),
+		HoldUntil: timestampOf(status.HoldUntil),
 		Step:      status.Step,
-		Evidence:  status.Evidence.Figures(),
+		Evidence:  status.Evidence.Counts(),
 	}
 }
 
@@ -151,20 +151,20 @@
 			Losses:    z.Losses,
 			HoldUntil: timeOf(z.HoldUntil),
 			Step:      z.Step,
-			Evidence:  zonehealth.EvidenceOf(z.Evidence),
+			Evidence:  zonehealth.EvidenceFromCounts(z.Evidence),
 		}
 	}
 	return statuses
 }
 
-// sameZone compares all but the evidence, which changes all the time.
-func sameZone(a, b statecache.ZoneRecovery) bool {
+// equalExceptEvidence compares all but the evidence, which changes all the time.
+func equalExceptEvidence(a, b statecache.ZoneRecovery) bool {
 	a.Evidence, b.Evidence = nil, nil
 	return a.Zone == b.Zone && a.Phase == b.Phase && a.Since == b.Since && a.Losses == b.Losses &&
 		a.HoldUntil == b.HoldUntil && a.Step == b.Step
 }
 
-func milliseconds(t time.Time) statecache.Timestamp {
+func timestampOf(t time.Time) statecache.Timestamp {
 	if t.IsZero() {
 		return 0
 	}
--- a/internal/zonecontrol/status.go
+++ b/internal/zonecontrol/status.go
@@ -25,9 +25,9 @@
 	Member string `json:"member"`
 	Leader string `json:"leader,omitempty"`
 	// Recorded: all members know the record, so that what is judged is also followed.
-	Recorded bool            `json:"recorded"`
-	Zones    []ZoneStatus    `json:"zones"`
-	Services []ServiceStatus `json:"services"`
+	RecordSupported bool            `json:"recorded"`
+	Zones           []ZoneStatus    `json:"zones"`
+	Services        []ServiceStatus `json:"services"`
 }
 
 // ZoneStatus is the state of a zone.
@@ -36,10 +36,10 @@
 	Phase string    `json:"phase"`
 	Since time.Time `json:"since,omitzero"`
 	// Evidence is that of the last change; Now is what this controller sees.
-	Evidence  string    `json:"evidence,omitempty"`
-	Now       string    `json:"now"`
-	Losses    int       `json:"losses,omitempty"`
-	HoldUntil time.Time `json:"holdUntil,omitzero"`
+	TransitionEvidence string    `json:"evidence,omitempty"`
+	CurrentEvidence    string    `json:"now"`
+	Losses             int       `json:"losses,omitempty"`
+	HoldUntil          time.Time `json:"holdUntil,omitzero"`
 	// Admitted are the shares of the zone's machines that take new tasks.
 	AdmittedServices float64 `json:"admittedServices"`
 	AdmittedArrays   float64 `json:"admittedArrays"`
@@ -49,20 +49,20 @@
 type ServiceStatus struct {
 	Service wire.JobID `json:"service"`
 	Class   string     `json:"class"`
-	Waiting int        `json:"waiting"`
+	Pending int        `json:"waiting"`
 	AtRisk  int        `json:"atRisk"`
 	// Placeable is how many of them have room now.
 	Placeable int `json:"placeable"`
 	// WaitsFor says what the others wait for.
-	WaitsFor string `json:"waitsFor,omitempty"`
+	PendingReason string `json:"waitsFor,omitempty"`
 }
 
-// statusWait bounds for how long a status waits for the actors.
-const statusWait = 2 * time.Second
+// statusTimeout bounds for how long a status waits for the actors.
+const statusTimeout = 2 * time.Second
 
 // ServeHTTP answers with the Status.
 func (c *Controller) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	ctx, cancel := context.WithTimeout(r.Context(), statusWait)
+	ctx, cancel := context.WithTimeout(r.Context(), statusTimeout)
 	defer cancel()
 	status, err := c.Status(ctx)
 	if err != nil {
@@ -78,7 +78,7 @@
 	zones := make(chan *Status, 1)
 	services := make(chan []ServiceStatus, 1)
 	asked := c.Post(func() { zones <- c.zoneStatus(time.Now()) }) &&
-		c.scheduler.WithClusterState(func(cluster scheduler.ClusterState) { services <- serviceStatus(cluster) })
+		c.scheduler.WithClusterState(func(cluster scheduler.ClusterState) { services <- serviceStatuses(cluster) })
 	if !asked {
 		return nil, errBusy
 	}
@@ -99,7 +99,7 @@
 var errBusy = fmt.Errorf("the controller is too busy to tell")
 
 func (c *Controller) zoneStatus(now time.Time) *Status {
-	status := &Status{Member: c.config.MemberName, Recorded: c.view.AllMembersSupport(statecache.CapabilityZoneRecovery) && !c.unreadable}
+	status := &Status{Member: c.config.MemberName, RecordSupported: c.view.AllMembersSupport(statecache.CapabilityZoneRecovery) && !c.recordUnreadable}
 	if c.view.Leader != nil {
 		status.Leader = c.view.Leader.Member
 	}
@@ -118,23 +118,23 @@
 			Zone:             name,
 			Phase:            s.Phase.String(),
 			Since:            s.Since,
-			Now:              evidence[name].String(),
+			CurrentEvidence:  evidence[name].String(),
 			Losses:           s.Losses,
 			HoldUntil:        s.HoldUntil,
-			AdmittedServices: s.AdmittedShare(c.policy.Steps, true),
-			AdmittedArrays:   s.AdmittedShare(c.policy.Steps, false),
+			AdmittedServices: s.AdmittedShare(c.policy.AdmissionSteps, true),
+			AdmittedArrays:   s.AdmittedShare(c.policy.AdmissionSteps, false),
 		}
 		if s.Phase != zonehealth.Healthy {
-			zone.Evidence = s.Evidence.String()
+			zone.TransitionEvidence = s.Evidence.String()
 		}
 		status.Zones = append(status.Zones, zone)
 	}
 	return status
 }
 
-// serviceStatus says of each service that lacks replicas what it waits for.
-func serviceStatus(cluster scheduler.ClusterState) []ServiceStatus {
-	services := recovery.Services(cluster.View, cluster.ActiveJobs)
+// serviceStatuses says of each service that lacks replicas what it waits for.
+func serviceStatuses(cluster scheduler.ClusterState) []ServiceStatus {
+	services := recovery.AffectedServices(cluster.View, cluster.ActiveJobs)
 	var nodes []*placement.Node
 	for _, n := range cluster.Nodes {
 		if n.Schedulable {
@@ -153,15 +153,15 @@
 	out := make([]ServiceStatus, 0, len(services))
 	for _, s := range services {
 		status := ServiceStatus{
-			Service:   s.Job.ID,
-			Class:     s.Job.Class,
-			Waiting:   s.Waiting,
-			AtRisk:    s.AtRiskCount(),
-			Placeable: placeable[s],
-			WaitsFor:  string(causes[s]),
+			Service:       s.Job.ID,
+			Class:         s.Job.Class,
+			Pending:       s.Pending,
+			AtRisk:        s.AtRiskCount(),
+			Placeable:     placeable[s],
+			PendingReason: string(causes[s]),
 		}
-		if status.WaitsFor == "" && status.AtRisk > 0 {
-			status.WaitsFor = "proof that its replicas in the lost zone are gone"
+		if status.PendingReason == "" && status.AtRisk > 0 {
+			status.PendingReason = "proof that its replicas in the lost zone are gone"
 		}
 		out = append(out, status)
 	}
--- a/internal/zonehealth/census.go
+++ b/internal/zonehealth/census.go
@@ -8,68 +8,68 @@
 	"github.com/RoaringBitmap/roaring/v2"
 )
 
-// Census is which machines each zone should have, and which of them were heard lately
+// ReachabilityTracker is which machines each zone should have, and which of them were heard lately
 // by which controller. Machines are numbered, so that sets of them are compressed
 // bitmaps: those of several controllers merge without looking at single machines, and
 // what a report costs does not depend on the size of the fleet.
-type Census struct {
-	silence  time.Duration
-	machines map[wire.MachineID]machine
-	next     uint32 // numbers are not used again: a late report may still name an old one
-	zones    map[wire.Zone]*zoneSets
-	hearings map[string]*window // by controller
-	rotated  time.Time
-	since    time.Time // from when on nothing was missed
+type ReachabilityTracker struct {
+	unreachableAfter time.Duration
+	machines         map[wire.MachineID]trackedMachine
+	nextNumber       uint32 // numbers are not used again: a late report may still name an old one
+	zones            map[wire.Zone]*zoneMachines
+	reachable        map[string]*window // by controller
+	lastRotation     time.Time
+	completeSince    time.Time // from when on nothing was missed
 }
 
-type machine struct {
+type trackedMachine struct {
 	number uint32
 	zone   wire.Zone
 }
 
-type zoneSets struct {
+type zoneMachines struct {
 	expected *roaring.Bitmap
 	failed   *window
 }
 
-// NewCensus begins at a time. A machine counts as silent when no controller has heard
+// NewReachabilityTracker begins at a time. A machine counts as silent when no controller has heard
 // it for silence.
-func NewCensus(now time.Time, silence time.Duration) *Census {
-	return &Census{
-		silence:  silence,
-		machines: map[wire.MachineID]machine{},
-		zones:    map[wire.Zone]*zoneSets{},
-		hearings: map[string]*window{},
-		rotated:  now,
-		since:    now,
+func NewReachabilityTracker(now time.Time, silence time.Duration) *ReachabilityTracker {
+	return &ReachabilityTracker{
+		unreachableAfter: silence,
+		machines:         map[wire.MachineID]trackedMachine{},
+		zones:            map[wire.Zone]*zoneMachines{},
+		reachable:        map[string]*window{},
+		lastRotation:     now,
+		completeSince:    now,
 	}
 }
 
-// notReachable is whose hearing machines are put into that nobody has heard yet.
-const notReachable = ""
+// noController is whose hearing machines are put into that nobody has heard yet.
+const noController = ""
 
-// Expect notes that a machine should report from now on. It has the whole time of
+// AddMachine notes that a machine should report from now on. It has the whole time of
 // silence to be heard.
-func (c *Census) Expect(name wire.MachineID, zone wire.Zone) {
+func (c *ReachabilityTracker) AddMachine(name wire.MachineID, zone wire.Zone) {
 	m, known := c.machines[name]
 	if !known {
-		m = machine{c.next, zone}
-		c.next++
+		m = trackedMachine{c.nextNumber, zone}
+		c.nextNumber++
 		c.machines[name] = m
-		c.hearing(notReachable).add(m.number)
+		c.reachableFrom(noController).add(m.number)
 	}
-	c.sets(zone).expected.Add(m.number)
+	c.zone(zone).expected.Add(m.number)
 }
 
-// Dismiss notes that a machine is not expected any more. One that failed, or was given
+// RemoveMachine notes that a machine is not expected any more. One that failed, or was given
 // up, counts as down for a while: a zone whose machines are all gone at once is lost.
-func (c *Census) Dismiss(name wire.MachineID, failed bool) {
+func (c *ReachabilityTracker) RemoveMachine(name wire.MachineID, failed bool) {
 	m, known := c.machines[name]
 	if !known {
 		return
 	}
 	delete(c.machines, name)
-	sets := c.sets(m.zone)
+	sets := c.zone(m.zone)
 	sets.expected.Remove(m.number)
 	if failed {
 		sets.failed.add(m.number)
@@ -77,8 +77,8 @@
 }
 
 // MachinesReachable notes that a controller has heard machines.
-func (c *Census) MachinesReachable(controller string, names []wire.MachineID) {
-	h := c.hearing(controller)
+func (c *ReachabilityTracker) MachinesReachable(controller string, names []wire.MachineID) {
+	h := c.reachableFrom(controller)
 	for _, name := range names {
 		if m, known := c.machines[name]; known {
 			h.add(m.number)
@@ -86,19 +86,19 @@
 	}
 }
 
-func (c *Census) hearing(controller string) *window {
-	h := c.hearings[controller]
+func (c *ReachabilityTracker) reachableFrom(controller string) *window {
+	h := c.reachable[controller]
 	if h == nil {
 		h = newWindow()
-		c.hearings[controller] = h
+		c.reachable[controller] = h
 	}
 	return h
 }
 
-func (c *Census) sets(zone wire.Zone) *zoneSets {
+func (c *ReachabilityTracker) zone(zone wire.Zone) *zoneMachines {
 	s := c.zones[zone]
 	if s == nil {
-		s = &zoneSets{expected: roaring.New(), failed: newWindow()}
+		s = &zoneMachines{expected: roaring.New(), failed: newWindow()}
 		c.zones[zone] = s
 	}
 	return s
@@ -107,15 +107,15 @@
 // Advance lets time pass. A gap that is longer than it should be means that this
 // process stood still, and what was said meanwhile may be lost: nothing is complete
 // until a whole time of silence has passed again.
-func (c *Census) Advance(now time.Time, expectedGap, gap time.Duration) {
-	if gap > maxGaps*expectedGap {
-		c.since = now
+func (c *ReachabilityTracker) Advance(now time.Time, expectedGap, gap time.Duration) {
+	if gap > maxGapMultiple*expectedGap {
+		c.completeSince = now
 	}
-	for step := c.silence / (windowBuckets - 1); now.Sub(c.rotated) >= step; c.rotated = c.rotated.Add(step) {
-		if now.Sub(c.rotated) > windowBuckets*step { // nothing older is left
-			c.rotated = now.Add(-windowBuckets * step)
+	for step := c.unreachableAfter / (windowBuckets - 1); now.Sub(c.lastRotation) >= step; c.lastRotation = c.lastRotation.Add(step) {
+		if now.Sub(c.lastRotation) > windowBuckets*step { // nothing older is left
+			c.lastRotation = now.Add(-windowBuckets * step)
 		}
-		for _, h := range c.hearings {
+		for _, h := range c.reachable {
 			h.rotate()
 		}
 		for _, z := range c.zones {
@@ -124,20 +124,22 @@
 	}
 }
 
-// maxGaps is how many times the expected gap between two calls of Advance may be.
-const maxGaps = 3
+// maxGapMultiple is how many times the expected gap between two calls of Advance may be.
+const maxGapMultiple = 3
 
 // Complete tells whether the census has missed nothing for the time of silence.
-func (c *Census) Complete(now time.Time) bool { return now.Sub(c.since) >= c.silence }
+func (c *ReachabilityTracker) Complete(now time.Time) bool {
+	return now.Sub(c.completeSince) >= c.unreachableAfter
+}
 
 // Evidence is what is known of the machines of each zone.
-func (c *Census) Evidence() map[wire.Zone]Evidence {
+func (c *ReachabilityTracker) Evidence() map[wire.Zone]Evidence {
 	var all []*roaring.Bitmap
 	var byController []*roaring.Bitmap
-	for controller, h := range c.hearings {
+	for controller, h := range c.reachable {
 		union := h.union()
 		all = append(all, union)
-		if controller != notReachable {
+		if controller != noController {
 			byController = append(byController, union)
 		}
 	}
@@ -148,10 +150,10 @@
 			Expected: int(sets.expected.GetCardinality()),
 			Failed:   int(sets.failed.union().GetCardinality()),
 		}
-		e.Silent = e.Expected - int(sets.expected.AndCardinality(heard))
+		e.Unreachable = e.Expected - int(sets.expected.AndCardinality(heard))
 		for _, h := range byController {
 			if h.Intersects(sets.expected) {
-				e.HeardBy++
+				e.ReachableFrom++
 			}
 		}
 		out[name] = e
--- a/internal/zonehealth/census_test.go
+++ b/internal/zonehealth/census_test.go
@@ -17,14 +17,14 @@
 	return out
 }
 
-func expect(c *Census, zone wire.Zone, machines []wire.MachineID) {
+func expect(c *ReachabilityTracker, zone wire.Zone, machines []wire.MachineID) {
 	for _, m := range machines {
-		c.Expect(m, zone)
+		c.AddMachine(m, zone)
 	}
 }
 
 // pass lets the census' time go by.
-func pass(c *Census, now *time.Time, ticks int, each func()) {
+func pass(c *ReachabilityTracker, now *time.Time, ticks int, each func()) {
 	for range ticks {
 		*now = now.Add(tick)
 		c.Advance(*now, tick, tick)
@@ -36,7 +36,7 @@
 // several controllers hear counts together.
 func TestCensusOfSeveralControllers(t *testing.T) {
 	now := time.Unix(1000, 0)
-	c := NewCensus(now, 9*tick)
+	c := NewReachabilityTracker(now, 9*tick)
 	a, b := names("a", 10), names("b", 4)
 	expect(c, "a", a)
 	expect(c, "b", b)
@@ -45,21 +45,21 @@
 		c.MachinesReachable("n1", a[2:7])
 		c.MachinesReachable("n1", []wire.MachineID{"stranger"})
 	})
-	if e := c.Evidence()["a"]; e.Silent != 3 || e.HeardBy != 2 || e.Expected != 10 {
+	if e := c.Evidence()["a"]; e.Unreachable != 3 || e.ReachableFrom != 2 || e.Expected != 10 {
 		t.Errorf("a: %v", e)
 	}
-	if e := c.Evidence()["b"]; e.Silent != 4 || e.HeardBy != 0 {
+	if e := c.Evidence()["b"]; e.Unreachable != 4 || e.ReachableFrom != 0 {
 		t.Errorf("b: %v", e)
 	}
-	if Blind(c.Evidence()) {
+	if NoneReachable(c.Evidence()) {
 		t.Error("blind though a is heard")
 	}
 	pass(c, &now, 8, func() {})
-	if e := c.Evidence()["a"]; e.Silent != 3 {
+	if e := c.Evidence()["a"]; e.Unreachable != 3 {
 		t.Errorf("a, before the time of silence: %v", e)
 	}
 	pass(c, &now, 5, func() {})
-	if e := c.Evidence()["a"]; e.Silent != 10 || !Blind(c.Evidence()) {
+	if e := c.Evidence()["a"]; e.Unreachable != 10 || !NoneReachable(c.Evidence()) {
 		t.Errorf("a, after it: %v", e)
 	}
 }
@@ -68,21 +68,21 @@
 // don't. A new machine is not silent before it had its time.
 func TestCensusOfChanges(t *testing.T) {
 	now := time.Unix(1000, 0)
-	c := NewCensus(now, 9*tick)
+	c := NewReachabilityTracker(now, 9*tick)
 	a := names("a", 10)
 	expect(c, "a", a)
 	for i, m := range a[:6] {
-		c.Dismiss(m, i%2 == 0)
+		c.RemoveMachine(m, i%2 == 0)
 	}
-	if e := c.Evidence()["a"]; e.Expected != 4 || e.Failed != 3 || e.Silent != 0 {
+	if e := c.Evidence()["a"]; e.Expected != 4 || e.Failed != 3 || e.Unreachable != 0 {
 		t.Errorf("at once: %v", e)
 	}
 	pass(c, &now, 20, func() { c.MachinesReachable("n0", a) })
-	if e := c.Evidence()["a"]; e.Expected != 4 || e.Failed != 0 || e.Silent != 0 {
+	if e := c.Evidence()["a"]; e.Expected != 4 || e.Failed != 0 || e.Unreachable != 0 {
 		t.Errorf("later: %v", e)
 	}
-	c.Expect("a-new", "a")
-	if e := c.Evidence()["a"]; e.Expected != 5 || e.Silent != 0 {
+	c.AddMachine("a-new", "a")
+	if e := c.Evidence()["a"]; e.Expected != 5 || e.Unreachable != 0 {
 		t.Errorf("with a new one: %v", e)
 	}
 }
@@ -91,7 +91,7 @@
 // until it has listened for long enough.
 func TestCensusAfterAStall(t *testing.T) {
 	now := time.Unix(1000, 0)
-	c := NewCensus(now, 9*tick)
+	c := NewReachabilityTracker(now, 9*tick)
 	if c.Complete(now) {
 		t.Error("complete at the beginning")
 	}
@@ -115,7 +115,7 @@
 func BenchmarkCensus(b *testing.B) {
 	for _, machines := range []int{50, 500, 4000} {
 		now := time.Unix(1000, 0)
-		c := NewCensus(now, 9*tick)
+		c := NewReachabilityTracker(now, 9*tick)
 		all := names("a", machines)
 		expect(c, "a", all)
 		b.Run(fmt.Sprintf("report/%d", machines), func(b *testing.B) {
--- a/internal/zonehealth/tracker_test.go
+++ b/internal/zonehealth/tracker_test.go
@@ -15,26 +15,28 @@
 
 var testPolicy = Policy{
 	DegradedShare: 0.3, LostShare: 0.6, ReturnShare: 0.5, MinMachines: 4,
-	Silence: 8 * tick, Confirm: 2 * tick, Proof: 6 * tick,
-	Steps: []float64{0.25, 0.5, 1}, StepTime: 5 * tick,
-	HoldDown: 7 * tick, HoldDownMax: 24 * tick, FlapMemory: 60 * tick,
+	UnreachableAfter: 8 * tick, LossConfirmation: 2 * tick, ReturnConfirmation: 6 * tick,
+	AdmissionSteps: []float64{0.25, 0.5, 1}, StepDuration: 5 * tick,
+	HoldDown: 7 * tick, MaxHoldDown: 24 * tick, FlapWindow: 60 * tick,
 }
 
 // drive judges the evidence of one zone for so many ticks.
-func drive(t *Tracker, now *time.Time, ticks int, e Evidence) Status {
+func drive(t *PhaseTracker, now *time.Time, ticks int, e Evidence) Status {
 	for range ticks {
 		*now = now.Add(tick)
-		t.Judge(*now, map[wire.Zone]Evidence{"a": e})
+		t.Evaluate(*now, map[wire.Zone]Evidence{"a": e})
 	}
 	return t.Status("a")
 }
 
-func down(silent, of int) Evidence { return Evidence{Expected: of, Silent: silent, HeardBy: 1} }
+func down(silent, of int) Evidence {
+	return Evidence{Expected: of, Unreachable: silent, ReachableFrom: 1}
+}
 
 // A zone goes through its phases in order, each once its evidence has held for long
 // enough.
 func TestPhases(t *testing.T) {
-	tracker, now := NewTracker(testPolicy), time.Unix(1000, 0)
+	tracker, now := NewPhaseTracker(testPolicy), time.Unix(1000, 0)
 	for i, step := range []struct {
 		ticks int
 		e     Evidence
@@ -54,10 +56,10 @@
 		{6, down(5, 10), Lost, 0},
 		{1, down(5, 10), Returning, 0.25}, // half of the machines is enough
 		{5, down(5, 10), Returning, 0.5},
-		{20, Evidence{Expected: 10, Silent: 6, HeardBy: 1}, Lost, 0}, // undone
+		{20, Evidence{Expected: 10, Unreachable: 6, ReachableFrom: 1}, Lost, 0}, // undone
 	} {
 		s := drive(tracker, &now, step.ticks, step.e)
-		if share := s.AdmittedShare(testPolicy.Steps, true); s.Phase != step.want || share != step.share {
+		if share := s.AdmittedShare(testPolicy.AdmissionSteps, true); s.Phase != step.want || share != step.share {
 			t.Errorf("step %d: %v with %v admitted, not %v with %v", i, s.Phase, share, step.want, step.share)
 		}
 	}
@@ -68,7 +70,7 @@
 
 // A zone that flaps is held longer each time, up to a bound, and forgets its losses.
 func TestHoldDownGrows(t *testing.T) {
-	tracker, now := NewTracker(testPolicy), time.Unix(1000, 0)
+	tracker, now := NewPhaseTracker(testPolicy), time.Unix(1000, 0)
 	var holds []time.Duration
 	for range 4 {
 		lost := drive(tracker, &now, 3, down(10, 10))
@@ -89,21 +91,21 @@
 // its controllers are gone too, a smaller share is enough; one without any machine is
 // tried again.
 func TestEvidenceOfOtherKinds(t *testing.T) {
-	tracker, now := NewTracker(testPolicy), time.Unix(1000, 0)
+	tracker, now := NewPhaseTracker(testPolicy), time.Unix(1000, 0)
 	if s := drive(tracker, &now, 50, down(3, 3)); s.Phase != Healthy {
 		t.Errorf("three machines: %v", s.Phase)
 	}
-	gone := Evidence{Expected: 10, Silent: 4, Controllers: 1, ControllersGone: 1}
+	gone := Evidence{Expected: 10, Unreachable: 4, Controllers: 1, ControllersDown: 1}
 	if s := drive(tracker, &now, 5, gone); s.Phase != Lost {
 		t.Errorf("with its controllers gone: %v", s.Phase)
 	}
-	if s := drive(tracker, &now, 20, Evidence{Pools: 2, PoolsRefused: 2}); s.Phase != Lost {
+	if s := drive(tracker, &now, 20, Evidence{Pools: 2, PoolsExhausted: 2}); s.Phase != Lost {
 		t.Errorf("with nothing to be had: %v", s.Phase)
 	}
 	if s := drive(tracker, &now, 8, Evidence{Pools: 2}); s.Phase != Returning {
 		t.Errorf("empty: %v", s.Phase)
 	}
-	if s := drive(tracker, &now, 50, Evidence{Expected: 20, Silent: 11, HeardBy: 1}); s.Phase != Returning || s.Step != 0 {
+	if s := drive(tracker, &now, 50, Evidence{Expected: 20, Unreachable: 11, ReachableFrom: 1}); s.Phase != Returning || s.Step != 0 {
 		t.Errorf("held: %v at step %d", s.Phase, s.Step)
 	}
 }
@@ -113,23 +115,23 @@
 // forgotten after a long calm. A tracker that takes over in the middle goes on from there.
 func TestTrackerWithAnyEvidence(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		tracker, now := NewTracker(testPolicy), time.Unix(1000, 0)
+		tracker, now := NewPhaseTracker(testPolicy), time.Unix(1000, 0)
 		for range rapid.IntRange(1, 60).Draw(t, "spells") {
 			of := rapid.IntRange(0, 12).Draw(t, "machines")
 			e := Evidence{
-				Expected: of, Silent: rapid.IntRange(0, of).Draw(t, "silent"), Failed: rapid.IntRange(0, 3).Draw(t, "failed"),
-				Controllers: 1, ControllersGone: rapid.IntRange(0, 1).Draw(t, "gone"),
+				Expected: of, Unreachable: rapid.IntRange(0, of).Draw(t, "silent"), Failed: rapid.IntRange(0, 3).Draw(t, "failed"),
+				Controllers: 1, ControllersDown: rapid.IntRange(0, 1).Draw(t, "gone"),
 			}
 			before := tracker.Status("a")
 			s := drive(tracker, &now, rapid.IntRange(1, 9).Draw(t, "ticks"), e)
 			if s.Phase == Returning && before.Phase != Returning && (before.Phase != Lost || s.Since.Before(s.HoldUntil)) {
 				t.Fatalf("returning since %v from %+v", s.Since, before)
 			}
-			if s.AdmittedShare(testPolicy.Steps, false) > s.AdmittedShare(testPolicy.Steps, true) {
+			if s.AdmittedShare(testPolicy.AdmissionSteps, false) > s.AdmittedShare(testPolicy.AdmissionSteps, true) {
 				t.Fatalf("arrays before services: %+v", s)
 			}
 			if rapid.IntRange(0, 9).Draw(t, "takeover") == 0 {
-				next := NewTracker(testPolicy)
+				next := NewPhaseTracker(testPolicy)
 				next.Restore(now, tracker.Statuses())
 				if next.Status("a").Phase != s.Phase || next.Status("a").Step != s.Step {
 					t.Fatalf("%+v became %+v", s, next.Status("a"))
