--- a/internal/zonehealth/tracker_test.go
+++ b/internal/zonehealth/phase_tracker_test.go
@@ -20,8 +20,8 @@
 	HoldDown: 7 * tick, MaxHoldDown: 24 * tick, FlapWindow: 60 * tick,
 }
 
-// drive judges the evidence of one zone for so many ticks.
-func drive(t *PhaseTracker, now *time.Time, ticks int, e Evidence) Status {
+// evaluate evaluates the evidence of one zone for so many ticks.
+func evaluate(t *PhaseTracker, now *time.Time, ticks int, e Evidence) Status {
 	for range ticks {
 		*now = now.Add(tick)
 		t.Evaluate(*now, map[wire.Zone]Evidence{"a": e})
@@ -29,8 +29,8 @@
 	return t.Status("a")
 }
 
-func down(silent, of int) Evidence {
-	return Evidence{Expected: of, Unreachable: silent, ReachableFrom: 1}
+func down(unreachable, of int) Evidence {
+	return Evidence{Expected: of, Unreachable: unreachable, ReachableFrom: 1}
 }
 
 // A zone goes through its phases in order, each once its evidence has held for long
@@ -51,14 +51,14 @@
 		{2, down(10, 10), Degraded, 1}, // not confirmed yet
 		{1, down(0, 10), Healthy, 1},   // it was a moment
 		{3, down(6, 10), Lost, 0},
-		{4, down(0, 10), Lost, 0}, // heard, but not proved
-		{2, down(6, 10), Lost, 0}, // the proof begins anew
+		{4, down(0, 10), Lost, 0}, // reachable, but not confirmed
+		{2, down(6, 10), Lost, 0}, // the confirmation begins anew
 		{6, down(5, 10), Lost, 0},
 		{1, down(5, 10), Returning, 0.25}, // half of the machines is enough
 		{5, down(5, 10), Returning, 0.5},
 		{20, Evidence{Expected: 10, Unreachable: 6, ReachableFrom: 1}, Lost, 0}, // undone
 	} {
-		s := drive(tracker, &now, step.ticks, step.e)
+		s := evaluate(tracker, &now, step.ticks, step.e)
 		if share := s.AdmittedShare(testPolicy.AdmissionSteps, true); s.Phase != step.want || share != step.share {
 			t.Errorf("step %d: %v with %v admitted, not %v with %v", i, s.Phase, share, step.want, step.share)
 		}
@@ -68,52 +68,52 @@
 	}
 }
 
-// A zone that flaps is held longer each time, up to a bound, and forgets its losses.
+// A zone that flaps is held down longer each time, up to a bound, and its losses are forgotten.
 func TestHoldDownGrows(t *testing.T) {
 	tracker, now := NewPhaseTracker(testPolicy), time.Unix(1000, 0)
-	var holds []time.Duration
+	var holdDowns []time.Duration
 	for range 4 {
-		lost := drive(tracker, &now, 3, down(10, 10))
-		holds = append(holds, lost.HoldUntil.Sub(lost.Since))
+		lost := evaluate(tracker, &now, 3, down(10, 10))
+		holdDowns = append(holdDowns, lost.HoldUntil.Sub(lost.Since))
 		for n := 0; tracker.Status("a").Phase == Lost && n < 100; n++ {
-			drive(tracker, &now, 1, down(0, 10))
+			evaluate(tracker, &now, 1, down(0, 10))
 		}
 	}
-	if want := []time.Duration{7 * tick, 14 * tick, 24 * tick, 24 * tick}; !slices.Equal(holds, want) {
-		t.Errorf("held for %v, not %v", holds, want)
+	if want := []time.Duration{7 * tick, 14 * tick, 24 * tick, 24 * tick}; !slices.Equal(holdDowns, want) {
+		t.Errorf("held down for %v, not %v", holdDowns, want)
 	}
-	if s := drive(tracker, &now, 200, down(0, 10)); s.Phase != Healthy || s.Losses != 0 {
-		t.Errorf("%v with %d losses after a long calm", s.Phase, s.Losses)
+	if s := evaluate(tracker, &now, 200, down(0, 10)); s.Phase != Healthy || s.Losses != 0 {
+		t.Errorf("%v with %d losses after a long healthy time", s.Phase, s.Losses)
 	}
 }
 
-// Evidence that falls back holds a step; a zone with few machines is never lost; where
-// its controllers are gone too, a smaller share is enough; one without any machine is
+// Evidence that falls back holdDowns a step; a zone with few machines is never lost; where
+// its controllers are down too, a smaller share is enough; one without any machine is
 // tried again.
-func TestEvidenceOfOtherKinds(t *testing.T) {
+func TestEvidenceOfControllersAndPools(t *testing.T) {
 	tracker, now := NewPhaseTracker(testPolicy), time.Unix(1000, 0)
-	if s := drive(tracker, &now, 50, down(3, 3)); s.Phase != Healthy {
+	if s := evaluate(tracker, &now, 50, down(3, 3)); s.Phase != Healthy {
 		t.Errorf("three machines: %v", s.Phase)
 	}
-	gone := Evidence{Expected: 10, Unreachable: 4, Controllers: 1, ControllersDown: 1}
-	if s := drive(tracker, &now, 5, gone); s.Phase != Lost {
-		t.Errorf("with its controllers gone: %v", s.Phase)
+	controllersDown := Evidence{Expected: 10, Unreachable: 4, Controllers: 1, ControllersDown: 1}
+	if s := evaluate(tracker, &now, 5, controllersDown); s.Phase != Lost {
+		t.Errorf("with its controllers down: %v", s.Phase)
 	}
-	if s := drive(tracker, &now, 20, Evidence{Pools: 2, PoolsExhausted: 2}); s.Phase != Lost {
-		t.Errorf("with nothing to be had: %v", s.Phase)
+	if s := evaluate(tracker, &now, 20, Evidence{Pools: 2, PoolsExhausted: 2}); s.Phase != Lost {
+		t.Errorf("with all pools exhausted: %v", s.Phase)
 	}
-	if s := drive(tracker, &now, 8, Evidence{Pools: 2}); s.Phase != Returning {
+	if s := evaluate(tracker, &now, 8, Evidence{Pools: 2}); s.Phase != Returning {
 		t.Errorf("empty: %v", s.Phase)
 	}
-	if s := drive(tracker, &now, 50, Evidence{Expected: 20, Unreachable: 11, ReachableFrom: 1}); s.Phase != Returning || s.Step != 0 {
+	if s := evaluate(tracker, &now, 50, Evidence{Expected: 20, Unreachable: 11, ReachableFrom: 1}); s.Phase != Returning || s.Step != 0 {
 		t.Errorf("held: %v at step %d", s.Phase, s.Step)
 	}
 }
 
 // Whatever the evidence: no zone returns before its hold-down, none goes from healthy to
 // returning, arrays are never admitted where services are not, and all is healthy and
-// forgotten after a long calm. A tracker that takes over in the middle goes on from there.
-func TestTrackerWithAnyEvidence(t *testing.T) {
+// forgotten after a long healthy time. A tracker that takes over in the middle goes on from there.
+func TestPhasesWithAnyEvidence(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tracker, now := NewPhaseTracker(testPolicy), time.Unix(1000, 0)
 		for range rapid.IntRange(1, 60).Draw(t, "spells") {
@@ -123,7 +123,7 @@
 				Controllers: 1, ControllersDown: rapid.IntRange(0, 1).Draw(t, "gone"),
 			}
 			before := tracker.Status("a")
-			s := drive(tracker, &now, rapid.IntRange(1, 9).Draw(t, "ticks"), e)
+			s := evaluate(tracker, &now, rapid.IntRange(1, 9).Draw(t, "ticks"), e)
 			if s.Phase == Returning && before.Phase != Returning && (before.Phase != Lost || s.Since.Before(s.HoldUntil)) {
 				t.Fatalf("returning since %v from %+v", s.Since, before)
 			}
@@ -139,7 +139,7 @@
 				tracker = next
 			}
 		}
-		if s := drive(tracker, &now, 200, down(0, 10)); s.Phase != Healthy || s.Losses != 0 {
+		if s := evaluate(tracker, &now, 200, down(0, 10)); s.Phase != Healthy || s.Losses != 0 {
 			t.Fatalf("stuck: %+v", s)
 		}
 	})
--- a/internal/zonehealth/policy.go
+++ b/internal/zonehealth/policy.go
@@ -6,23 +6,24 @@
 	"lynxledge/internal/config"
 )
 
-// Policy is when a zone goes from one phase to another.
+// Policy sets when a zone goes from one phase to another. Shares are parts of a zone's
+// machines, from 0 to 1.
 type Policy struct {
-	DegradedShare      float64 // of its machines down: degraded
-	LostShare          float64 // of its machines down: lost
-	ReturnShare        float64 // no more than this down: may return
-	MinMachines        int     // with fewer, a zone is never lost
-	UnreachableAfter   time.Duration
-	LossConfirmation   time.Duration // for which a verdict needs its evidence
+	DegradedShare      float64       // down: degraded
+	LostShare          float64       // down: lost
+	ReturnShare        float64       // at most this down: may return
+	MinMachines        int           // with fewer, a zone is never lost
+	UnreachableAfter   time.Duration // without a heartbeat
+	LossConfirmation   time.Duration // for which a loss needs its evidence
 	ReturnConfirmation time.Duration // for which a return needs its evidence
-	AdmissionSteps     []float64     // shares of the machines admitted while returning
+	AdmissionSteps     []float64     // shares admitted while returning
 	StepDuration       time.Duration
 	HoldDown           time.Duration // from a loss to the return; doubles with each flap
 	MaxHoldDown        time.Duration
-	FlapWindow         time.Duration
+	FlapWindow         time.Duration // after a hold-down, for which a loss is remembered
 }
 
-// PolicyOf is the policy that settings ask for; their ZoneRecovery section is set.
+// PolicyOf returns the policy of the settings, whose ZoneRecovery section must be set.
 func PolicyOf(cfg *config.Config) Policy {
 	section, workers := cfg.Operator.ZoneRecovery, cfg.Params.Workers
 	return Policy{
@@ -43,12 +44,12 @@
 
 // holdDownAfter is the time from the n-th loss in a row until a return may begin.
 func (p *Policy) holdDownAfter(losses int) time.Duration {
-	hold := p.HoldDown
+	holdDown := p.HoldDown
 	for range losses - 1 {
-		if hold >= p.MaxHoldDown {
+		if holdDown >= p.MaxHoldDown {
 			break
 		}
-		hold *= 2
+		holdDown *= 2
 	}
-	return min(hold, p.MaxHoldDown)
+	return min(holdDown, p.MaxHoldDown)
 }
--- a/internal/zonehealth/window.go
+++ b/internal/zonehealth/window.go
@@ -6,8 +6,8 @@
 // but one of them in full.
 const windowBuckets = 4
 
-// window is the set of numbers added lately. Adding costs the same however many
-// numbers it holds, and old ones go a bucket at a time.
+// window is a sliding window over the numbers added lately. Adding costs the same however many
+// numbers it holds, and old ones expire a bucket at a time.
 type window struct {
 	buckets [windowBuckets]*roaring.Bitmap
 	current int
@@ -21,7 +21,7 @@
 	return w
 }
 
-func (w *window) add(n uint32) { w.buckets[w.current].Add(n) }
+func (w *window) add(number uint32) { w.buckets[w.current].Add(number) }
 
 // rotate drops the oldest bucket and begins a new one.
 func (w *window) rotate() {
@@ -29,5 +29,5 @@
 	w.buckets[w.current].Clear()
 }
 
-// union is all numbers of the window.
+// union returns all numbers of the window.
 func (w *window) union() *roaring.Bitmap { return roaring.FastOr(w.buckets[:]...) }
