--- a/cmd/lynxledge/controller.go
+++ b/cmd/lynxledge/controller.go
@@ -23,6 +23,7 @@
 	"lynxledge/internal/statecache"
 	"lynxledge/internal/storelimits"
 	"lynxledge/internal/zonecontrol"
+	"lynxledge/internal/zonehealth"
 	"lynxledge/wire"
 )
 
@@ -170,9 +171,16 @@
 // startZoneRecovery starts what follows the health of zones, and has the scheduler and the
 // autoscaler heed it.
 func (c *controller) startZoneRecovery(ctx context.Context) {
-	c.zoneController = zonecontrol.Start(ctx, c.config, c.incarnation, c.cache, c.scheduler)
-	c.scheduler.SetAdvisor(recovery.NewAdvisor(c.config))
-	c.autoscaler.SetZoneRecovery(recovery.NewScalingPolicy(c.config), c.zoneController.PoolExhausted)
+	policy := zonehealth.PolicyOf(c.config)
+	c.zoneController = zonecontrol.Start(ctx, zonecontrol.Options{
+		Config:      c.config,
+		Incarnation: c.incarnation,
+		Cache:       c.cache,
+		Scheduler:   c.scheduler,
+		Policy:      policy,
+	})
+	c.scheduler.SetAdvisor(recovery.NewAdvisor(c.config, policy))
+	c.autoscaler.SetZoneRecovery(recovery.NewScalingPolicy(c.config, policy), c.zoneController.PoolExhausted)
 	c.receiver.OnReachable(func(machines []wire.MachineID) {
 		c.zoneController.MachinesReachable(c.config.MemberName, machines)
 	})
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -83,6 +83,14 @@
 // Leases returns the duration of n leases.
 func (w WorkerTimings) Leases(n float64) time.Duration { return multiple(w.LeaseDuration, n) }
 
+// launchViewAgeHeartbeats is the greatest age, in heartbeat intervals, of a view from which tasks
+// are launched. A cache that reaches the store keeps its view fresher than that when nothing
+// changes.
+const launchViewAgeHeartbeats = 0.75
+
+// MaxLaunchViewAge returns how old the view may be from which a task is launched.
+func (w WorkerTimings) MaxLaunchViewAge() time.Duration { return w.Heartbeats(launchViewAgeHeartbeats) }
+
 // CloudLimits holds the limits of the cloud.
 type CloudLimits struct {
 	RequestRate float64
--- a/internal/heartbeat/respond.go
+++ b/internal/heartbeat/respond.go
@@ -6,7 +6,6 @@
 	"time"
 
 	"lynxledge/internal/reconcile"
-	"lynxledge/internal/scheduler"
 	"lynxledge/internal/statecache"
 	"lynxledge/wire"
 )
@@ -117,7 +116,7 @@
 // cancellation deadline by their lease, but none may start any more.
 func (r *Receiver) allowedCommands(result *reconcile.Result, now time.Time) []wire.Command {
 	commands := result.Commands
-	if now.Sub(r.freshAsOf) > scheduler.MaxLaunchViewAge(r.config) {
+	if now.Sub(r.freshAsOf) > r.config.Params.Workers.MaxLaunchViewAge() {
 		commands = slices.DeleteFunc(commands, func(command wire.Command) bool { return command.Op == wire.OpLaunch })
 	}
 	if commands == nil {
--- a/internal/recovery/advisor.go
+++ b/internal/recovery/advisor.go
@@ -6,7 +6,6 @@
 	"lynxledge/internal/config"
 	"lynxledge/internal/placement"
 	"lynxledge/internal/resources"
-	"lynxledge/internal/scheduler"
 	"lynxledge/internal/statecache"
 	"lynxledge/internal/zonehealth"
 	"lynxledge/wire"
@@ -25,16 +24,16 @@
 // adviceHeartbeats is the part of a report interval for which advice holds.
 const adviceHeartbeats = 1.0 / 3
 
-// NewAdvisor makes an advisor; the settings' ZoneRecovery section is set.
-func NewAdvisor(cfg *config.Config) *Advisor {
+// NewAdvisor returns an advisor that follows a policy.
+func NewAdvisor(cfg *config.Config, policy zonehealth.Policy) *Advisor {
 	return &Advisor{
-		policy:          zonehealth.PolicyOf(cfg),
+		policy:          policy,
 		refreshInterval: cfg.Params.Workers.Heartbeats(adviceHeartbeats),
 	}
 }
 
 // Advise tells how to place while zones recover; nil when none does.
-func (a *Advisor) Advise(now time.Time, cluster scheduler.ClusterState) scheduler.Advice {
+func (a *Advisor) Advise(now time.Time, cluster placement.ClusterState) placement.Advice {
 	record := cluster.View.ZoneRecoveries
 	if !Recovering(record) {
 		a.current = nil
@@ -60,7 +59,7 @@
 	return false
 }
 
-func (a *Advisor) advise(now time.Time, cluster scheduler.ClusterState) *advice {
+func (a *Advisor) advise(now time.Time, cluster placement.ClusterState) *advice {
 	out := &advice{
 		admissions: admissions(now, cluster.View.ZoneRecoveries, &a.policy, cluster.Nodes),
 		preferred:  map[wire.JobID][]*placement.Node{},
--- a/internal/recovery/scaling_policy.go
+++ b/internal/recovery/scaling_policy.go
@@ -19,9 +19,9 @@
 }
 
 // NewScalingPolicy makes it; the settings' ZoneRecovery section is set.
-func NewScalingPolicy(cfg *config.Config) *ScalingPolicy {
+func NewScalingPolicy(cfg *config.Config, policy zonehealth.Policy) *ScalingPolicy {
 	return &ScalingPolicy{
-		policy:        zonehealth.PolicyOf(cfg),
+		policy:        policy,
 		evacuateAfter: cfg.Params.Workers.Leases(cfg.Operator.ZoneRecovery.EvacuateLeases),
 	}
 }
--- a/internal/scheduler/advisor_test.go
+++ b/internal/scheduler/advisor_test.go
@@ -16,7 +16,7 @@
 // idleAdvisor never has any advice.
 type idleAdvisor struct{}
 
-func (idleAdvisor) Advise(time.Time, ClusterState) Advice { return nil }
+func (idleAdvisor) Advise(time.Time, placement.ClusterState) placement.Advice { return nil }
 
 // zoneAdvice withholds a zone from arrays, and reserves capacity on machines.
 type zoneAdvice struct {
@@ -24,7 +24,7 @@
 	reserved map[*placement.Node]resources.Vector
 }
 
-func (a zoneAdvice) Advise(time.Time, ClusterState) Advice { return a }
+func (a zoneAdvice) Advise(time.Time, placement.ClusterState) placement.Advice { return a }
 func (a zoneAdvice) Admits(n *placement.Node, j *wire.Job) bool {
 	return j.IsService() || n.Zone != a.zone
 }
@@ -123,8 +123,8 @@
 // fallbackAdvice admits services to no machine, but to all as a fallback.
 type fallbackAdvice struct{ zoneAdvice }
 
-func (a fallbackAdvice) Advise(time.Time, ClusterState) Advice      { return a }
-func (a fallbackAdvice) Admits(_ *placement.Node, j *wire.Job) bool { return !j.IsService() }
+func (a fallbackAdvice) Advise(time.Time, placement.ClusterState) placement.Advice { return a }
+func (a fallbackAdvice) Admits(_ *placement.Node, j *wire.Job) bool                { return !j.IsService() }
 func (a fallbackAdvice) IsFallback(_ *placement.Node, j *wire.Job) bool {
 	return j.IsService()
 }
--- a/internal/scheduler/commands.go
+++ b/internal/scheduler/commands.go
@@ -4,7 +4,6 @@
 	"log/slog"
 	"time"
 
-	"lynxledge/internal/config"
 	"lynxledge/internal/statecache"
 	"lynxledge/wire"
 )
@@ -47,21 +46,12 @@
 	}
 }
 
-// launchViewAgeHeartbeats, in heartbeat intervals, is what a cache that reaches the store keeps
-// the age of its view under when nothing changes.
-const launchViewAgeHeartbeats = 0.75
-
-// MaxLaunchViewAge is how old the view may be from which a task is launched.
-func MaxLaunchViewAge(cfg *config.Config) time.Duration {
-	return cfg.Params.Workers.Heartbeats(launchViewAgeHeartbeats)
-}
-
 // launch sends the commands of a committed cycle, under the fencing tokens of its own records:
 // a later record may have stopped a task again. What is lost or refused is repeated when the
 // worker sends a heartbeat. That is left to a heartbeat, too, if the commit took long, or this
 // process stood still since: a job may have been cancelled after its precondition held.
 func (s *Scheduler) launch(c *cycle) {
-	if time.Since(c.now) > MaxLaunchViewAge(s.config) {
+	if time.Since(c.now) > s.config.Params.Workers.MaxLaunchViewAge() {
 		return
 	}
 	for machine, rec := range c.commands.machines {
--- a/internal/scheduler/job_queue.go
+++ b/internal/scheduler/job_queue.go
@@ -8,6 +8,7 @@
 
 	"lynxledge/internal/config"
 	"lynxledge/internal/estimate"
+	"lynxledge/internal/placement"
 	"lynxledge/internal/statecache"
 	"lynxledge/wire"
 )
@@ -76,7 +77,7 @@
 // More than that would make the whole queue late again.
 //
 // While zones recover, services go before all arrays, whatever their priority.
-func (q *jobQueue) pending(assignments map[wire.TeamName]*statecache.Assignment, advice Advice, now time.Time) []queuedJob {
+func (q *jobQueue) pending(assignments map[wire.TeamName]*statecache.Assignment, advice placement.Advice, now time.Time) []queuedJob {
 	if len(assignments) == 0 {
 		return nil
 	}
@@ -101,7 +102,7 @@
 }
 
 // setOrder says by what a job with pending tasks is ordered.
-func (q *jobQueue) setOrder(entry *queuedJob, advice Advice, now time.Time) {
+func (q *jobQueue) setOrder(entry *queuedJob, advice placement.Advice, now time.Time) {
 	job := entry.job
 	if advice != nil && job.Spec.IsService() {
 		entry.recoversFirst, entry.orderKey = true, float64(advice.RecoveryOrder(entry.id))
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -7,6 +7,7 @@
 	"lynxledge/internal/actor"
 	"lynxledge/internal/config"
 	"lynxledge/internal/overload"
+	"lynxledge/internal/placement"
 	"lynxledge/internal/reconcile"
 	"lynxledge/internal/statecache"
 	"lynxledge/internal/storelimits"
@@ -92,7 +93,7 @@
 
 // WithClusterState runs a function in the scheduler's actor that looks at all that is placed;
 // false if the scheduler is too busy.
-func (s *Scheduler) WithClusterState(f func(ClusterState)) bool {
+func (s *Scheduler) WithClusterState(f func(placement.ClusterState)) bool {
 	return s.Post(func() { f(s.clusterState()) })
 }
 
--- a/internal/zonecontrol/controller.go
+++ b/internal/zonecontrol/controller.go
@@ -1,5 +1,5 @@
-// Package zonecontrol is the actor that watches over the zones: every controller gathers
-// evidence, and the leader judges by it and records how far each zone's recovery is.
+// Package zonecontrol is the actor that controls the recovery of zones: every controller gathers
+// evidence, and the leader evaluates it and records each zone's progress.
 package zonecontrol
 
 import (
@@ -10,8 +10,8 @@
 	"lynxledge/internal/actor"
 	"lynxledge/internal/config"
 	"lynxledge/internal/election"
+	"lynxledge/internal/placement"
 	"lynxledge/internal/resources"
-	"lynxledge/internal/scheduler"
 	"lynxledge/internal/statecache"
 	"lynxledge/internal/zonehealth"
 	"lynxledge/wire"
@@ -25,7 +25,7 @@
 	cache         *statecache.Cache
 	scheduler     ClusterStateProvider
 	policy        zonehealth.Policy
-	checkInterval time.Duration // between two looks
+	checkInterval time.Duration
 
 	view         *statecache.View // of machines, members and the recovery; it has no jobs
 	revision     uint64
@@ -37,67 +37,80 @@
 	exhaustedPools map[resources.Pool]time.Time // until when the cloud is not asked again
 	lastCheck      time.Time
 
-	term             uint64 // of the leadership that the tracker's state belongs to
+	term             uint64 // of the leadership that the phases belong to
 	recordSerial     uint64 // of the record that was written last
 	writeInFlight    bool
-	recordUnreadable bool // a record that can't be read was logged
+	recordUnreadable bool // the record can't be read, which was logged
 }
 
-// ClusterStateProvider runs a function that looks at all that is placed.
+// ClusterStateProvider runs a function that looks at all that is placed; false if it is too
+// busy.
 type ClusterStateProvider interface {
-	WithClusterState(f func(scheduler.ClusterState)) bool
+	WithClusterState(f func(placement.ClusterState)) bool
 }
 
-// checksPerHeartbeat is how often in a report interval the evidence is looked at.
+// Options are what a Controller works with.
+type Options struct {
+	Config      *config.Config
+	Incarnation uint64 // of this process
+	Cache       *statecache.Cache
+	Scheduler   ClusterStateProvider
+	Policy      zonehealth.Policy
+}
+
+// mailboxSize is how many messages may wait for the actor before senders do.
+const mailboxSize = 256
+
+// checksPerHeartbeat is how often per heartbeat interval the evidence is checked.
 const checksPerHeartbeat = 4
 
-// Start runs the actor; the settings' ZoneRecovery section is set.
-func Start(ctx context.Context, cfg *config.Config, boot uint64, l *statecache.Cache, placer ClusterStateProvider) *Controller {
-	policy := zonehealth.PolicyOf(cfg)
+// Start runs the actor until ctx ends.
+func Start(ctx context.Context, o Options) *Controller {
 	now := time.Now()
 	c := &Controller{
-		Actor:          actor.Start(ctx, "zonecontrol", 256),
-		config:         cfg,
-		incarnation:    boot,
-		cache:          l,
-		scheduler:      placer,
-		policy:         policy,
-		checkInterval:  cfg.Params.Workers.HeartbeatInterval / checksPerHeartbeat,
-		view:           statecache.NewUnfinishedView(statecache.ChunkTasks(cfg.Params.Store.MaxValueKB)),
-		reachability:   zonehealth.NewReachabilityTracker(now, policy.UnreachableAfter),
-		phases:         zonehealth.NewPhaseTracker(policy),
+		Actor:          actor.Start(ctx, "zonecontrol", mailboxSize),
+		config:         o.Config,
+		incarnation:    o.Incarnation,
+		cache:          o.Cache,
+		scheduler:      o.Scheduler,
+		policy:         o.Policy,
+		checkInterval:  o.Config.Params.Workers.HeartbeatInterval / checksPerHeartbeat,
+		view:           statecache.NewUnfinishedView(statecache.ChunkTasks(o.Config.Params.Store.MaxValueKB)),
+		reachability:   zonehealth.NewReachabilityTracker(now, o.Policy.UnreachableAfter),
+		phases:         zonehealth.NewPhaseTracker(o.Policy),
 		exhaustedPools: map[resources.Pool]time.Time{},
 		lastCheck:      now,
 	}
-	l.Subscribe(func(d statecache.Update) { c.Send(func() { c.apply(d) }) })
+	o.Cache.Subscribe(func(update statecache.Update) { c.Send(func() { c.apply(update) }) })
 	c.Every(c.checkInterval, c.check)
 	return c
 }
 
-// SetMachineTypes tells the actor of the machine types.
+// SetMachineTypes sets the machine types that the cloud offers.
 func (c *Controller) SetMachineTypes(types []wire.MachineType) {
 	c.Send(func() { c.machineTypes = types })
 }
 
-// MachinesReachable notes that a controller has heard machines.
+// MachinesReachable tells of machines whose heartbeats a controller has received.
 func (c *Controller) MachinesReachable(controller string, machines []wire.MachineID) {
 	c.Post(func() { c.reachability.MachinesReachable(controller, machines) })
 }
 
-// PoolExhausted notes that the cloud rents no machines of a pool for now.
+// PoolExhausted tells that the cloud has no machines of a pool for now.
 func (c *Controller) PoolExhausted(pool resources.Pool, until time.Time) {
 	c.Post(func() { c.exhaustedPools[pool] = until })
 }
 
-func (c *Controller) apply(d statecache.Update) {
-	c.revision, c.freshAsOf = d.Revision, d.FreshAsOf
-	for _, change := range d.Changes {
+// apply follows an update of the cache.
+func (c *Controller) apply(update statecache.Update) {
+	c.revision, c.freshAsOf = update.Revision, update.FreshAsOf
+	for _, change := range update.Changes {
 		switch change.Kind {
 		case statecache.KindJob, statecache.KindCompletionChunk:
 			continue // nothing here depends on them
 		}
-		for _, m := range c.view.Apply(change) {
-			c.applyMachineChange(m)
+		for _, machine := range c.view.Apply(change) {
+			c.applyMachineChange(machine)
 		}
 		if change.Kind == statecache.KindZoneRecovery {
 			c.applyRecord()
@@ -105,27 +118,29 @@
 	}
 }
 
-// applyMachineChange keeps the census. A machine that is drained for another reason than
-// its silence or failure goes in an orderly way, and is no evidence.
-func (c *Controller) applyMachineChange(m statecache.MachineChange) {
+// applyMachineChange follows a machine's new record. A machine that is drained for another
+// reason than that it failed or is unreachable is no evidence.
+func (c *Controller) applyMachineChange(change statecache.MachineChange) {
+	machine := change.New
 	switch {
-	case m.New == nil:
-		c.reachability.RemoveMachine(m.Machine, false)
-	case m.New.Incarnation == 0:
-	case m.New.DrainReason == "" && !m.New.Terminating:
-		c.reachability.AddMachine(m.Machine, m.New.Zone)
+	case machine == nil:
+		c.reachability.RemoveMachine(change.Machine, false)
+	case machine.Incarnation == 0:
+	case machine.DrainReason == "" && !machine.Terminating:
+		c.reachability.AddMachine(change.Machine, machine.Zone)
 	default:
-		c.reachability.RemoveMachine(m.Machine, m.New.DrainReason == statecache.DrainFailed || m.New.DrainReason == statecache.DrainUnreachable)
+		failed := machine.DrainReason == statecache.DrainFailed || machine.DrainReason == statecache.DrainUnreachable
+		c.reachability.RemoveMachine(change.Machine, failed)
 	}
 }
 
-// applyRecord takes over what another process has written.
+// applyRecord takes over what another process has recorded.
 func (c *Controller) applyRecord() {
 	record := c.view.ZoneRecoveries
 	switch {
 	case record != nil && record.Unreadable:
 		if !c.recordUnreadable {
-			slog.Warn("recovery record is in the layout of another version; zones are treated as without recovery", "key", statecache.ZoneRecoveryKey)
+			slog.Warn("zone recovery record unreadable", "key", statecache.ZoneRecoveryKey, "reason", "layout of another version")
 		}
 		c.recordUnreadable = true
 		return
@@ -136,14 +151,16 @@
 	c.restorePhases()
 }
 
-func (c *Controller) restorePhases() { c.phases.Restore(time.Now(), statusesOf(c.view.ZoneRecoveries)) }
+func (c *Controller) restorePhases() {
+	c.phases.Restore(time.Now(), statusesOf(c.view.ZoneRecoveries))
+}
 
-// check judges the evidence, if this process leads, and records what follows.
+// check evaluates the evidence, if this process leads, and records what follows.
 func (c *Controller) check() {
 	now := time.Now()
 	c.reachability.Advance(now, c.checkInterval, now.Sub(c.lastCheck))
 	c.lastCheck = now
-	lead, ok := c.confirmLeadership()
+	leadership, ok := c.confirmLeadership()
 	if !ok || c.writeInFlight || c.recordUnreadable {
 		return
 	}
@@ -152,72 +169,21 @@
 		c.phases.Suspend(now)
 		return
 	}
-	changes := c.phases.Evaluate(now, evidence)
-	c.writeRecord(lead, changes)
+	transitions := c.phases.Evaluate(now, evidence)
+	c.writeRecord(leadership, transitions)
 }
 
-// confirmLeadership is the leadership of this process, if it is confirmed. A new leader goes on from
-// the record.
+// maxViewAgeHeartbeats is how old a view may be to lead by it, in heartbeat intervals.
+const maxViewAgeHeartbeats = 2
+
+// confirmLeadership returns the leadership of this process, if it is confirmed. A new leader
+// continues from the record.
 func (c *Controller) confirmLeadership() (election.Leadership, bool) {
 	maxAge := c.config.Params.Workers.Heartbeats(maxViewAgeHeartbeats)
-	lead, ok := election.ConfirmLeadership(c.view, c.incarnation, c.revision, c.freshAsOf, maxAge)
-	if ok && c.term != lead.Term() {
-		c.term, c.recordSerial = lead.Term(), 0
+	leadership, ok := election.ConfirmLeadership(c.view, c.incarnation, c.revision, c.freshAsOf, maxAge)
+	if ok && c.term != leadership.Term() {
+		c.term, c.recordSerial = leadership.Term(), 0
 		c.restorePhases()
 	}
-	return lead, ok
-}
-
-// maxViewAgeHeartbeats is how old a view may be to judge by it, in report intervals.
-const maxViewAgeHeartbeats = 2
-
-// evidence is what is known of every zone: of its machines, its controllers, and what
-// the cloud refuses there.
-func (c *Controller) evidence(now time.Time) map[wire.Zone]zonehealth.Evidence {
-	all := c.reachability.Evidence()
-	// A process that began after a zone had lost its last machine knows the zone from the
-	// record alone: it has to be judged all the same, or it would stay lost for ever.
-	for name := range statusesOf(c.view.ZoneRecoveries) {
-		if _, known := all[name]; !known {
-			all[name] = zonehealth.Evidence{}
-		}
-	}
-	for name, e := range all {
-		c.countControllers(name, &e)
-		c.countPools(name, now, &e)
-		all[name] = e
-	}
-	return all
-}
-
-func (c *Controller) countControllers(zone wire.Zone, e *zonehealth.Evidence) {
-	count := func(member string, at wire.Zone) {
-		if at != zone {
-			return
-		}
-		e.Controllers++
-		if c.view.Members[member] == nil {
-			e.ControllersDown++
-		}
-	}
-	count(c.config.MemberName, c.config.Zone)
-	for _, p := range c.config.Peers {
-		count(p.Name, p.Zone)
-	}
-}
-
-func (c *Controller) countPools(zone wire.Zone, now time.Time, e *zonehealth.Evidence) {
-	for i := range c.machineTypes {
-		for _, z := range c.machineTypes[i].Zones {
-			if z != zone {
-				continue
-			}
-			for _, spot := range []bool{false, true} {
-				e.Pools++
-				if now.Before(c.exhaustedPools[resources.Pool{MachineType: c.machineTypes[i].Name, Zone: zone, Spot: spot}]) {
-					e.PoolsExhausted++
-				}
-			}
-		}
-	}
+	return leadership, ok
 }
--- a/internal/zonecontrol/record.go
+++ b/internal/zonecontrol/record.go
@@ -2,10 +2,8 @@
 
 import (
 	"encoding/json"
-	"log/slog"
 	"maps"
 	"slices"
-	"time"
 
 	"lynxledge/internal/election"
 	"lynxledge/internal/statecache"
@@ -13,69 +11,65 @@
 	"lynxledge/wire"
 )
 
-// writeRecord writes how far the zones are, if that differs from what stands. The write is
-// guarded on leadership and on the record as it was seen: of two leaders, or two writes
-// of one, only one can stand.
-func (c *Controller) writeRecord(lead election.Leadership, changes []zonehealth.Transition) {
+// writeRecord records the zones' progress, if that differs from what is recorded.
+func (c *Controller) writeRecord(leadership election.Leadership, transitions []zonehealth.Transition) {
+	commit, needed := c.nextRecord(leadership)
+	if !needed {
+		return
+	}
+	c.writeInFlight = true
+	c.cache.Commit(commit, func(outcome statecache.Outcome) {
+		c.Send(func() { c.recordWritten(outcome, transitions) })
+	})
+}
+
+// nextRecord returns the commit that records the zones' progress, if one is needed. It is
+// conditional on leadership and on the record as it was seen: of two leaders, or two writes
+// of one, only one can succeed.
+func (c *Controller) nextRecord(leadership election.Leadership) (commit statecache.Commit, needed bool) {
 	zones := c.zoneRecords()
-	standing := c.view.ZoneRecoveries
-	commit := statecache.Commit{
+	recorded := c.view.ZoneRecoveries
+	commit = statecache.Commit{
 		Preconditions: []wire.Precondition{
-			lead.Precondition(),
-			{Key: statecache.ZoneRecoveryKey, ModRevision: modRevisionOf(standing)},
+			leadership.Precondition(),
+			{Key: statecache.ZoneRecoveryKey, ModRevision: modRevisionOf(recorded)},
 		},
 		RetryUntilCertain: true,
 		RetryFor:          2 * c.checkInterval,
 	}
 	switch {
 	case !c.view.AllMembersSupport(statecache.CapabilityZoneRecovery) || len(zones) == 0:
-		// A version that doesn't know the record serves, or nothing is left to say.
-		if standing == nil {
-			return
+		// A version that doesn't know the record is a member, or nothing is left to record.
+		if recorded == nil {
+			return commit, false
 		}
 		commit.Deletes = []string{statecache.ZoneRecoveryKey}
-	case standing != nil && slices.EqualFunc(zones, standing.Zones, equalExceptEvidence):
-		return
+	case recorded != nil && slices.EqualFunc(zones, recorded.Zones, equalExceptEvidence):
+		return commit, false
 	default:
 		c.recordSerial++
 		commit.Puts = []statecache.Put{{Key: statecache.ZoneRecoveryKey, Record: &statecache.ZoneRecoveries{
-			LayoutVersion: statecache.ZoneRecoveryLayoutVersion, Term: lead.Term(), Serial: c.recordSerial, Zones: zones,
+			LayoutVersion: statecache.ZoneRecoveryLayoutVersion, Term: leadership.Term(), Serial: c.recordSerial, Zones: zones,
 		}}}
 	}
-	c.writeInFlight = true
-	c.cache.Commit(commit, func(out statecache.Outcome) { c.Send(func() { c.recordWritten(out, changes) }) })
+	return commit, true
 }
 
-// recordWritten takes the outcome of a write. What did not come to stand is judged again
-// from what does.
-func (c *Controller) recordWritten(out statecache.Outcome, changes []zonehealth.Transition) {
+// recordWritten takes the outcome of a write. What was not committed is evaluated again
+// from what is recorded.
+func (c *Controller) recordWritten(outcome statecache.Outcome, transitions []zonehealth.Transition) {
 	c.writeInFlight = false
-	if out != statecache.Committed {
-		c.recordSerial++ // should the write come to stand all the same, it isn't known here
+	if outcome != statecache.Committed {
+		c.recordSerial++ // should the write succeed all the same, it isn't taken for our own
 		c.restorePhases()
 		return
 	}
-	for i := range changes {
-		logTransition(&changes[i])
+	for i := range transitions {
+		logTransition(&transitions[i])
 	}
 }
 
-func logTransition(change *zonehealth.Transition) {
-	from, to := &change.From, &change.To
-	attributes := []any{"zone", change.Zone, "evidence", to.Evidence.String()}
-	switch {
-	case to.Phase == zonehealth.Lost:
-		slog.Warn("zone lost", append(attributes, "losses", to.Losses, "hold_until", to.HoldUntil.UTC().Format(time.TimeOnly))...)
-	case to.Phase == zonehealth.Returning && from.Phase != to.Phase:
-		slog.Info("zone returns", attributes...)
-	case to.Phase == zonehealth.Returning:
-		slog.Info("zone goes on to the next step", append(attributes, "step", to.Step+1)...)
-	case to.Phase != from.Phase:
-		slog.Info("zone "+to.Phase.String(), append(attributes, "was", from.Phase.String())...)
-	}
-}
-
-// zoneRecords are the zones of which there is anything to say, as many as fit a value.
+// zoneRecords returns the zones that are not just healthy, as many as fit into a value.
 func (c *Controller) zoneRecords() []statecache.ZoneRecovery {
 	statuses := c.phases.Statuses()
 	var zones []statecache.ZoneRecovery
@@ -89,12 +83,15 @@
 	return fitToValueSize(zones, c.config.Params.Store.ValueSizeLimit())
 }
 
-// fitToValueSize drops what matters least until the zones fit a value: evidence first, then
+// recordOverheadBytes is for the record's own fields, which are not known yet.
+const recordOverheadBytes = 64
+
+// fitToValueSize drops what matters least until the zones fit into a value: evidence first, then
 // zones that aren't recovering.
-func fitToValueSize(zones []statecache.ZoneRecovery, valueBytes int) []statecache.ZoneRecovery {
+func fitToValueSize(zones []statecache.ZoneRecovery, maxBytes int) []statecache.ZoneRecovery {
 	fits := func() bool {
-		b, err := json.Marshal(statecache.ZoneRecoveries{Zones: zones})
-		return err == nil && len(b)+recordOverheadBytes <= valueBytes
+		encoded, err := json.Marshal(statecache.ZoneRecoveries{Zones: zones})
+		return err == nil && len(encoded)+recordOverheadBytes <= maxBytes
 	}
 	if fits() {
 		return zones
@@ -105,75 +102,8 @@
 	if fits() {
 		return zones
 	}
-	return slices.DeleteFunc(zones, func(z statecache.ZoneRecovery) bool {
-		phase, err := zonehealth.ParsePhase(z.Phase)
+	return slices.DeleteFunc(zones, func(zone statecache.ZoneRecovery) bool {
+		phase, err := zonehealth.ParsePhase(zone.Phase)
 		return err != nil || !phase.Recovering()
 	})
 }
-
-// recordOverheadBytes is for the record's own figures, which are not known yet.
-const recordOverheadBytes = 64
-
-func modRevisionOf(r *statecache.ZoneRecoveries) uint64 {
-	if r == nil {
-		return 0
-	}
-	return r.ModRevision
-}
-
-func zoneRecordOf(name wire.Zone, status zonehealth.Status) statecache.ZoneRecovery {
-	return statecache.ZoneRecovery{
-		Zone:      name,
-		Phase:     status.Phase.String(),
-		Since:     statecache.TimestampOf(status.Since),
-		Losses:    status.Losses,
-		HoldUntil: timestampOf(status.HoldUntil),
-		Step:      status.Step,
-		Evidence:  status.Evidence.Counts(),
-	}
-}
-
-// statusesOf reads a record; zones in a phase that is not known are left out.
-func statusesOf(record *statecache.ZoneRecoveries) map[wire.Zone]zonehealth.Status {
-	statuses := map[wire.Zone]zonehealth.Status{}
-	if record == nil {
-		return statuses
-	}
-	for i := range record.Zones {
-		z := &record.Zones[i]
-		phase, err := zonehealth.ParsePhase(z.Phase)
-		if err != nil {
-			continue
-		}
-		statuses[z.Zone] = zonehealth.Status{
-			Phase:     phase,
-			Since:     z.Since.Time(),
-			Losses:    z.Losses,
-			HoldUntil: timeOf(z.HoldUntil),
-			Step:      z.Step,
-			Evidence:  zonehealth.EvidenceFromCounts(z.Evidence),
-		}
-	}
-	return statuses
-}
-
-// equalExceptEvidence compares all but the evidence, which changes all the time.
-func equalExceptEvidence(a, b statecache.ZoneRecovery) bool {
-	a.Evidence, b.Evidence = nil, nil
-	return a.Zone == b.Zone && a.Phase == b.Phase && a.Since == b.Since && a.Losses == b.Losses &&
-		a.HoldUntil == b.HoldUntil && a.Step == b.Step
-}
-
-func timestampOf(t time.Time) statecache.Timestamp {
-	if t.IsZero() {
-		return 0
-	}
-	return statecache.TimestampOf(t)
-}
-
-func timeOf(ms statecache.Timestamp) time.Time {
-	if ms == 0 {
-		return time.Time{}
-	}
-	return ms.Time()
-}
--- a/internal/zonecontrol/status.go
+++ b/internal/zonecontrol/status.go
@@ -3,28 +3,27 @@
 import (
 	"context"
 	"encoding/json"
-	"fmt"
+	"errors"
 	"maps"
 	"net/http"
 	"slices"
 	"time"
 
 	"lynxledge/internal/placement"
-	"lynxledge/internal/recovery"
-	"lynxledge/internal/scheduler"
 	"lynxledge/internal/statecache"
 	"lynxledge/internal/zonehealth"
 	"lynxledge/wire"
 )
 
-// StatusPath is where a controller answers with its Status, on its mesh address.
+// StatusPath is where a controller answers with its Status, on its peer address.
 const StatusPath = "/status/zones"
 
-// Status is what a controller knows of the zones and of what waits for their recovery.
+// Status is what a controller knows of the zones, and of the services that wait for their
+// recovery.
 type Status struct {
 	Member string `json:"member"`
 	Leader string `json:"leader,omitempty"`
-	// Recorded: all members know the record, so that what is judged is also followed.
+	// RecordSupported: all members know the record, so that what is evaluated is also followed.
 	RecordSupported bool            `json:"recorded"`
 	Zones           []ZoneStatus    `json:"zones"`
 	Services        []ServiceStatus `json:"services"`
@@ -35,12 +34,14 @@
 	Zone  wire.Zone `json:"zone"`
 	Phase string    `json:"phase"`
 	Since time.Time `json:"since,omitzero"`
-	// Evidence is that of the last change; Now is what this controller sees.
+	// TransitionEvidence is that of the last transition; CurrentEvidence is what this controller
+	// sees now.
 	TransitionEvidence string    `json:"evidence,omitempty"`
 	CurrentEvidence    string    `json:"now"`
 	Losses             int       `json:"losses,omitempty"`
 	HoldUntil          time.Time `json:"holdUntil,omitzero"`
-	// Admitted are the shares of the zone's machines that take new tasks.
+	// AdmittedServices and AdmittedArrays are the shares of the zone's machines that take new
+	// tasks.
 	AdmittedServices float64 `json:"admittedServices"`
 	AdmittedArrays   float64 `json:"admittedArrays"`
 }
@@ -51,9 +52,9 @@
 	Class   string     `json:"class"`
 	Pending int        `json:"waiting"`
 	AtRisk  int        `json:"atRisk"`
-	// Placeable is how many of them have room now.
+	// Placeable is how many of both find capacity now.
 	Placeable int `json:"placeable"`
-	// WaitsFor says what the others wait for.
+	// PendingReason says what the others wait for.
 	PendingReason string `json:"waitsFor,omitempty"`
 }
 
@@ -73,97 +74,63 @@
 	_ = json.NewEncoder(w).Encode(status) // the client may have gone
 }
 
+// ErrBusy is the error of a status that the actors don't answer in time.
+var ErrBusy = errors.New("the controller is too busy to tell")
+
 // Status asks the actors for what they know.
 func (c *Controller) Status(ctx context.Context) (*Status, error) {
 	zones := make(chan *Status, 1)
 	services := make(chan []ServiceStatus, 1)
 	asked := c.Post(func() { zones <- c.zoneStatus(time.Now()) }) &&
-		c.scheduler.WithClusterState(func(cluster scheduler.ClusterState) { services <- serviceStatuses(cluster) })
+		c.scheduler.WithClusterState(func(cluster placement.ClusterState) { services <- serviceStatuses(cluster) })
 	if !asked {
-		return nil, errBusy
+		return nil, ErrBusy
 	}
 	var status *Status
-	var waiting []ServiceStatus
-	for status == nil || waiting == nil {
+	var pending []ServiceStatus
+	for status == nil || pending == nil {
 		select {
 		case status = <-zones:
-		case waiting = <-services:
+		case pending = <-services:
 		case <-ctx.Done():
-			return nil, errBusy
+			return nil, ErrBusy
 		}
 	}
-	status.Services = waiting
+	status.Services = pending
 	return status, nil
 }
 
-var errBusy = fmt.Errorf("the controller is too busy to tell")
-
+// zoneStatus returns the status without the services.
 func (c *Controller) zoneStatus(now time.Time) *Status {
-	status := &Status{Member: c.config.MemberName, RecordSupported: c.view.AllMembersSupport(statecache.CapabilityZoneRecovery) && !c.recordUnreadable}
+	status := &Status{
+		Member:          c.config.MemberName,
+		RecordSupported: c.view.AllMembersSupport(statecache.CapabilityZoneRecovery) && !c.recordUnreadable,
+	}
 	if c.view.Leader != nil {
 		status.Leader = c.view.Leader.Member
 	}
-	evidence := c.evidence(now)
+	evidence := c.evidence(now) // of the recorded zones too
 	recorded := statusesOf(c.view.ZoneRecoveries)
-	names := slices.Collect(maps.Keys(evidence))
-	for name := range recorded {
-		if _, seen := evidence[name]; !seen {
-			names = append(names, name)
-		}
-	}
-	slices.Sort(names)
-	for _, name := range names {
-		s := recorded[name]
-		zone := ZoneStatus{
-			Zone:             name,
-			Phase:            s.Phase.String(),
-			Since:            s.Since,
-			CurrentEvidence:  evidence[name].String(),
-			Losses:           s.Losses,
-			HoldUntil:        s.HoldUntil,
-			AdmittedServices: s.AdmittedShare(c.policy.AdmissionSteps, true),
-			AdmittedArrays:   s.AdmittedShare(c.policy.AdmissionSteps, false),
-		}
-		if s.Phase != zonehealth.Healthy {
-			zone.TransitionEvidence = s.Evidence.String()
-		}
-		status.Zones = append(status.Zones, zone)
+	for _, name := range slices.Sorted(maps.Keys(evidence)) {
+		status.Zones = append(status.Zones, c.statusOfZone(name, recorded[name], evidence[name]))
 	}
 	return status
 }
 
-// serviceStatuses says of each service that lacks replicas what it waits for.
-func serviceStatuses(cluster scheduler.ClusterState) []ServiceStatus {
-	services := recovery.AffectedServices(cluster.View, cluster.ActiveJobs)
-	var nodes []*placement.Node
-	for _, n := range cluster.Nodes {
-		if n.Schedulable {
-			nodes = append(nodes, n)
-		}
-	}
-	plan := recovery.Compute(recovery.Input{Services: services, Nodes: nodes, Usage: cluster.Usage, TeamQuota: cluster.TeamQuota})
-	placeable := map[*recovery.Service]int{}
-	for _, p := range plan.Placements {
-		placeable[p.Service]++
+// statusOfZone returns a zone's status, given what is recorded and what is seen now.
+func (c *Controller) statusOfZone(name wire.Zone, recorded zonehealth.Status, current zonehealth.Evidence) ZoneStatus {
+	zone := ZoneStatus{
+		Zone:             name,
+		Phase:            recorded.Phase.String(),
+		Since:            recorded.Since,
+		CurrentEvidence:  current.String(),
+		Losses:           recorded.Losses,
+		HoldUntil:        recorded.HoldUntil,
+		AdmittedServices: recorded.AdmittedShare(c.policy.AdmissionSteps, true),
+		AdmittedArrays:   recorded.AdmittedShare(c.policy.AdmissionSteps, false),
 	}
-	causes := map[*recovery.Service]recovery.Cause{}
-	for _, s := range plan.Shortfalls {
-		causes[s.Service] = s.Cause
-	}
-	out := make([]ServiceStatus, 0, len(services))
-	for _, s := range services {
-		status := ServiceStatus{
-			Service:       s.Job.ID,
-			Class:         s.Job.Class,
-			Pending:       s.Pending,
-			AtRisk:        s.AtRiskCount(),
-			Placeable:     placeable[s],
-			PendingReason: string(causes[s]),
-		}
-		if status.PendingReason == "" && status.AtRisk > 0 {
-			status.PendingReason = "proof that its replicas in the lost zone are gone"
-		}
-		out = append(out, status)
+	if recorded.Phase != zonehealth.Healthy {
+		zone.TransitionEvidence = recorded.Evidence.String()
 	}
-	return out
+	return zone
 }
