--- a/internal/recovery/admission.go
+++ b/internal/recovery/admission.go
@@ -17,18 +17,18 @@
 // admitted from the front: a later step admits those of the earlier ones, and more.
 type Admission struct {
 	Phase zonehealth.Phase
-	// services and arrays are up to which order number tasks are admitted.
+	// maxServiceRank and maxArrayRank are up to which admission rank tasks are admitted.
 	maxServiceRank, maxArrayRank uint64
-	// arraysAnyway: the zone was lost so long ago that its machines that are heard
-	// take arrays again, whatever became of the others.
+	// admitArraysWhileLost: the zone was lost so long ago that its reachable machines take
+	// arrays again, whatever became of the others.
 	admitArraysWhileLost bool
 }
 
 // admissionRank is a machine's place in the order of admission.
 func admissionRank(machine wire.MachineID) uint64 {
-	h := fnv.New64a()
-	_, _ = h.Write([]byte(machine)) // never fails
-	return max(1, h.Sum64())        // 0 admits none
+	hash := fnv.New64a()
+	_, _ = hash.Write([]byte(machine)) // never fails
+	return max(1, hash.Sum64())        // 0 admits none
 }
 
 // admits tells whether a machine takes tasks of services, or of arrays.
@@ -42,47 +42,47 @@
 	return admissionRank(machine) <= a.maxArrayRank
 }
 
-// admissions works out the admission of every zone that is recovering.
-func admissions(now time.Time, record *statecache.ZoneRecoveries, policy *zonehealth.Policy, nodes []*placement.Node) map[wire.Zone]*Admission {
-	out := map[wire.Zone]*Admission{}
+// admissionsOf works out the admission of every zone that is recovering.
+func admissionsOf(now time.Time, record *statecache.ZoneRecoveries, policy *zonehealth.Policy, nodes []*placement.Node) map[wire.Zone]*Admission {
+	admissions := map[wire.Zone]*Admission{}
 	for i := range record.Zones {
-		z := &record.Zones[i]
-		phase := phaseOf(record, z.Zone)
+		zone := &record.Zones[i]
+		phase := phaseOf(record, zone.Zone)
 		if !phase.Recovering() {
 			continue
 		}
-		status := zonehealth.Status{Phase: phase, Step: z.Step}
-		order := admissionRanks(z.Zone, nodes)
-		out[z.Zone] = &Admission{
+		status := zonehealth.Status{Phase: phase, Step: zone.Step}
+		ranks := admissionRanks(zone.Zone, nodes)
+		admissions[zone.Zone] = &Admission{
 			Phase:                phase,
-			maxServiceRank:       rankThreshold(order, status.AdmittedShare(policy.AdmissionSteps, true)),
-			maxArrayRank:         rankThreshold(order, status.AdmittedShare(policy.AdmissionSteps, false)),
-			admitArraysWhileLost: now.Sub(z.Since.Time()) > policy.MaxHoldDown,
+			maxServiceRank:       rankThreshold(ranks, status.AdmittedShare(policy.AdmissionSteps, true)),
+			maxArrayRank:         rankThreshold(ranks, status.AdmittedShare(policy.AdmissionSteps, false)),
+			admitArraysWhileLost: now.Sub(zone.Since.Time()) > policy.MaxHoldDown,
 		}
 	}
-	return out
+	return admissions
 }
 
-// admissionRanks are those of a zone's machines that take tasks, sorted.
+// admissionRanks are those of a zone's schedulable machines, sorted.
 func admissionRanks(zone wire.Zone, nodes []*placement.Node) []uint64 {
-	var order []uint64
+	var ranks []uint64
 	for _, n := range nodes {
 		if n.Zone == zone && n.Schedulable {
-			order = append(order, admissionRank(n.Name))
+			ranks = append(ranks, admissionRank(n.Name))
 		}
 	}
-	slices.Sort(order)
-	return order
+	slices.Sort(ranks)
+	return ranks
 }
 
-// rankThreshold is the order number up to which a share of the machines lies, rounded up.
-func rankThreshold(order []uint64, share float64) uint64 {
-	switch n := int(math.Ceil(share * float64(len(order)))); {
+// rankThreshold is the rank up to which a share of the machines lies, rounded up.
+func rankThreshold(ranks []uint64, share float64) uint64 {
+	switch count := int(math.Ceil(share * float64(len(ranks)))); {
 	case share >= 1:
 		return math.MaxUint64 // those that come up meanwhile too
-	case n == 0:
+	case count == 0:
 		return 0
 	default:
-		return order[n-1]
+		return ranks[count-1]
 	}
 }
--- a/internal/recovery/advisor.go
+++ b/internal/recovery/advisor.go
@@ -5,23 +5,20 @@
 
 	"lynxledge/internal/config"
 	"lynxledge/internal/placement"
-	"lynxledge/internal/resources"
-	"lynxledge/internal/statecache"
 	"lynxledge/internal/zonehealth"
-	"lynxledge/wire"
 )
 
-// Advisor advises a placer while zones recover. It belongs to the placer's actor.
+// Advisor advises a scheduler while zones recover. It belongs to the scheduler's actor.
 type Advisor struct {
 	policy          zonehealth.Policy
-	refreshInterval time.Duration // advice is given anew after that
+	refreshInterval time.Duration // after which advice is computed anew
 
 	current        *advice
-	recordRevision uint64 // of the record that it follows
+	recordRevision uint64 // mod revision of the record that current follows
 	computedAt     time.Time
 }
 
-// adviceHeartbeats is the part of a report interval for which advice holds.
+// adviceHeartbeats is for how long advice holds, in heartbeat intervals.
 const adviceHeartbeats = 1.0 / 3
 
 // NewAdvisor returns an advisor that follows a policy.
@@ -46,92 +43,27 @@
 	return a.current
 }
 
-// Recovering tells whether any zone is lost or returning.
-func Recovering(record *statecache.ZoneRecoveries) bool {
-	if record == nil || record.Unreadable {
-		return false
-	}
-	for i := range record.Zones {
-		if phaseOf(record, record.Zones[i].Zone).Recovering() {
-			return true
-		}
-	}
-	return false
-}
-
+// advise computes advice by the cluster's state.
 func (a *Advisor) advise(now time.Time, cluster placement.ClusterState) *advice {
-	out := &advice{
-		admissions: admissions(now, cluster.View.ZoneRecoveries, &a.policy, cluster.Nodes),
-		preferred:  map[wire.JobID][]*placement.Node{},
-		reserved:   map[*placement.Node]resources.Vector{},
-		order:      map[wire.JobID]int{},
-	}
 	services := AffectedServices(cluster.View, cluster.ActiveJobs)
-	for i, s := range services {
-		out.order[s.Job.ID] = i
+	advice := newAdvice(admissionsOf(now, cluster.View.ZoneRecoveries, &a.policy, cluster.Nodes), services)
+	if len(services) == 0 {
+		return advice
 	}
 	in := Input{
 		Services:  services,
 		Usage:     cluster.Usage,
 		TeamQuota: cluster.TeamQuota,
 	}
-	if len(services) == 0 {
-		return out
-	}
 	for _, n := range cluster.Nodes {
 		switch {
 		case !n.Schedulable:
-		case out.admits(n, true):
+		case advice.admits(n, true):
 			in.Nodes = append(in.Nodes, n)
 		default:
 			in.Fallback = append(in.Fallback, n)
 		}
 	}
-	plan := Compute(in)
-	for _, p := range plan.Placements {
-		need := resources.OfTask(p.Service.Job)
-		if p.AtRisk {
-			out.reserved[p.Node] = out.reserved[p.Node].Plus(need, 1)
-			continue
-		}
-		id := p.Service.Job.ID
-		out.preferred[id] = append(out.preferred[id], p.Node)
-	}
-	return out
+	advice.follow(Compute(in))
+	return advice
 }
-
-// advice is what an Advisor tells; it stays as it is.
-type advice struct {
-	admissions map[wire.Zone]*Admission
-	preferred  map[wire.JobID][]*placement.Node
-	reserved   map[*placement.Node]resources.Vector
-	order      map[wire.JobID]int
-}
-
-// Admits tells whether a machine may take a task of a job.
-func (a *advice) Admits(n *placement.Node, j *wire.Job) bool { return a.admits(n, j.IsService()) }
-
-func (a *advice) admits(n *placement.Node, service bool) bool {
-	zone := a.admissions[n.Zone]
-	return zone == nil || zone.admits(n.Name, service)
-}
-
-// IsFallback tells whether a machine may take a replica that has no room elsewhere: any
-// machine that is heard, or the steps of a return would leave a service short.
-func (a *advice) IsFallback(n *placement.Node, j *wire.Job) bool {
-	return j.IsService() && !a.admits(n, true)
-}
-
-// PreferredNodes are machines with room for the waiting replicas of a service.
-func (a *advice) PreferredNodes(service wire.JobID) []*placement.Node { return a.preferred[service] }
-
-// RecoveryOrder is a service's place in the order; one that was not known yet comes last.
-func (a *advice) RecoveryOrder(service wire.JobID) int {
-	if i, known := a.order[service]; known {
-		return i
-	}
-	return len(a.order)
-}
-
-// ReservedCapacity is the room kept for replicas that are about to be placed anew.
-func (a *advice) ReservedCapacity() map[*placement.Node]resources.Vector { return a.reserved }
--- a/internal/recovery/plan_test.go
+++ b/internal/recovery/plan_test.go
@@ -7,12 +7,11 @@
 
 	"pgregory.net/rapid"
 
+	"lynxledge/internal/config"
 	"lynxledge/internal/placement"
 	_ "lynxledge/internal/rapidseed"
 	"lynxledge/internal/resources"
 	"lynxledge/internal/statecache"
-
-	"lynxledge/internal/config"
 	"lynxledge/wire"
 )
 
@@ -21,7 +20,7 @@
 	{Name: "l", CPUs: 16, MemoryGB: 32},
 }
 
-func genService(t *rapid.T, id int) *Service {
+func generateService(t *rapid.T, id int) *Service {
 	j := &wire.Job{
 		ID: wire.JobID(fmt.Sprintf("req-%06d", id)), Team: rapid.SampledFrom([]wire.TeamName{"red", "blue"}).Draw(t, "team"), Kind: wire.KindService,
 		Priority: wire.Priority(rapid.IntRange(0, 3).Draw(t, "rank")), TaskCount: rapid.IntRange(1, 6).Draw(t, "replicas"),
@@ -55,7 +54,7 @@
 	return s
 }
 
-func genInput(t *rapid.T) Input {
+func generateInput(t *rapid.T) Input {
 	in := Input{Usage: resources.Usage{}, TeamQuota: func(name wire.TeamName) config.TeamQuota {
 		if name == "red" {
 			return config.TeamQuota{Name: name, MaxCPUs: 24}
@@ -75,14 +74,14 @@
 		}
 	}
 	for i := range rapid.IntRange(0, 16).Draw(t, "services") {
-		in.Services = append(in.Services, genService(t, i))
+		in.Services = append(in.Services, generateService(t, i))
 	}
 	SortByRecoveryOrder(in.Services)
 	return in
 }
 
-// verify checks a plan against the protocol's rules, machine by machine.
-func verify(t *rapid.T, in *Input, plan Plan) {
+// checkPlan checks a plan against the protocol's rules, machine by machine.
+func checkPlan(t *rapid.T, in *Input, plan Plan) {
 	used := map[*placement.Node]resources.Vector{}
 	teams := resources.Usage{}
 	zones := map[*Service]map[bool]placement.ZoneCounts{}
@@ -106,7 +105,7 @@
 		zones[p.Service][p.AtRisk][n.Zone]++
 		used[n] = used[n].Plus(need, 1)
 		if !n.Used.Plus(used[n], 1).Fits(resources.OfMachineType(n.MachineType)) {
-			t.Fatalf("%s is overfull", n.Name)
+			t.Fatalf("%s is over capacity", n.Name)
 		}
 		if !p.AtRisk {
 			teams[j.Team] = teams[j.Team].Plus(need, 1)
@@ -119,7 +118,7 @@
 	for _, s := range plan.Shortfalls {
 		placed[s.Service] += s.Count
 		if s.Cause == "" {
-			t.Fatalf("%s falls short for no cause", s.Service.Job.ID)
+			t.Fatalf("%s has a shortfall without a cause", s.Service.Job.ID)
 		}
 	}
 	for _, s := range in.Services {
@@ -130,21 +129,21 @@
 }
 
 // Every plan keeps the protocol's rules and accounts for every replica; it is worth at
-// least what the order alone finds; and the same input gives the same plan.
-func TestPlansKeepTheRules(t *testing.T) {
+// least what first-fit finds; and the same input gives the same plan.
+func TestPlansKeepProtocolRules(t *testing.T) {
 	solved := 0
 	rapid.Check(t, func(t *rapid.T) {
-		in := genInput(t)
+		in := generateInput(t)
 		plan := Compute(in)
-		verify(t, &in, plan)
-		first := newBinPacker(&in, nil)
-		first.pack()
+		checkPlan(t, &in, plan)
+		firstFit := newBinPacker(&in, nil)
+		firstFit.pack()
 		value := 0.0
 		for _, p := range plan.Placements {
 			value += priorityWeight(p.Service.Job)
 		}
-		if value < first.value {
-			t.Fatalf("worth %v, the order alone %v", value, first.value)
+		if value < firstFit.value {
+			t.Fatalf("worth %v, first-fit alone %v", value, firstFit.value)
 		}
 		if plan.Solved {
 			solved++
@@ -160,7 +159,7 @@
 
 // A service that may be anywhere leaves the only zone that another allows to it: the
 // order alone would not.
-func TestSolverLeavesTheOnlyZone(t *testing.T) {
+func TestSolverLeavesOnlyAllowedZone(t *testing.T) {
 	node := func(name wire.MachineID, zone wire.Zone) *placement.Node {
 		return &placement.Node{Name: name, MachineType: testTypes[0], Zone: zone, Schedulable: true}
 	}
@@ -188,9 +187,9 @@
 		j := &wire.Job{ID: wire.JobID(fmt.Sprintf("req-%06d", i)), Team: "blue", Kind: wire.KindService, TaskCount: 9, CPUs: 1 + float64(i)/30, MemoryGB: 1, SpreadZones: true}
 		in.Services = append(in.Services, &Service{Job: j, Pending: 9, AtRisk: map[wire.Zone]int{}, BoundByZone: placement.ZoneCounts{}})
 	}
-	p := buildProgram(&in, newFreeCapacity(in.Nodes))
-	if len(p.constraints) == 0 || len(p.constraints) > maxConstraints || len(p.variables) > maxVariables {
-		t.Errorf("%d rows, %d columns", len(p.constraints), len(p.variables))
+	program := buildProgram(&in, newFreeCapacity(in.Nodes))
+	if len(program.constraints) == 0 || len(program.constraints) > maxConstraints || len(program.variables) > maxVariables {
+		t.Errorf("%d constraints, %d variables", len(program.constraints), len(program.variables))
 	}
 	if plan := Compute(in); len(plan.Placements) == 0 {
 		t.Error("nothing is placed")
@@ -199,15 +198,15 @@
 
 // An admission of a larger share holds all machines of a smaller one; each admits its
 // share, rounded up.
-func TestAdmissionGrows(t *testing.T) {
+func TestAdmissionGrowsWithShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var nodes []*placement.Node
 		for i := range rapid.IntRange(1, 50).Draw(t, "machines") {
 			nodes = append(nodes, &placement.Node{Name: wire.MachineID(fmt.Sprintf("i-%06d", i*7)), Zone: "a", Schedulable: true})
 		}
-		order := admissionRanks("a", nodes)
+		ranks := admissionRanks("a", nodes)
 		count := func(share float64) (n int) {
-			a := Admission{Phase: 3, maxServiceRank: rankThreshold(order, share)}
+			a := Admission{Phase: 3, maxServiceRank: rankThreshold(ranks, share)}
 			for _, node := range nodes {
 				if a.admits(node.Name, true) {
 					n++
--- a/internal/recovery/scaling_policy.go
+++ b/internal/recovery/scaling_policy.go
@@ -10,15 +10,16 @@
 	"lynxledge/wire"
 )
 
-// ScalingPolicy tells the planner what recovering zones mean for renting: nothing is rented in
-// a lost zone, and machines that are not admitted yet count from when they will be. The
-// demand itself goes through the planner's load vectors like any other.
+// ScalingPolicy tells the autoscaler what recovering zones mean for scaling: nothing is
+// provisioned in a lost zone, and machines that are not admitted yet count from when they will
+// be. The demand itself goes through the planner's load vectors like any other. The nil
+// ScalingPolicy treats zones that recover like any other.
 type ScalingPolicy struct {
 	policy        zonehealth.Policy
 	evacuateAfter time.Duration
 }
 
-// NewScalingPolicy makes it; the settings' ZoneRecovery section is set.
+// NewScalingPolicy returns a scaling policy; the settings' ZoneRecovery section must be set.
 func NewScalingPolicy(cfg *config.Config, policy zonehealth.Policy) *ScalingPolicy {
 	return &ScalingPolicy{
 		policy:        policy,
@@ -27,75 +28,102 @@
 }
 
 // IsRecovering tells whether a zone is lost or returning.
-func (r *ScalingPolicy) IsRecovering(record *statecache.ZoneRecoveries, zone wire.Zone) bool {
-	return r != nil && phaseOf(record, zone).Recovering()
+func (p *ScalingPolicy) IsRecovering(record *statecache.ZoneRecoveries, zone wire.Zone) bool {
+	return p != nil && phaseOf(record, zone).Recovering()
 }
 
-// ShouldEvacuate tells whether a machine of a lost zone should be returned, so that its
-// replicas are proved gone and can be placed elsewhere. Its lease must have ended for
+// IsLost tells whether a zone is lost, so that nothing should be provisioned in it.
+func (p *ScalingPolicy) IsLost(record *statecache.ZoneRecoveries, zone wire.Zone) bool {
+	return p != nil && phaseOf(record, zone) == zonehealth.Lost
+}
+
+// ShouldEvacuate tells whether a machine of a lost zone should be scaled in, so that its
+// replicas are proved terminated and can be placed elsewhere. Its lease must have expired for
 // certain: until then they may run, and after that nothing on it does. A machine that
 // holds arrays alone is left: its zone may be back, and then it has its images still.
-func (r *ScalingPolicy) ShouldEvacuate(view *statecache.View, m *statecache.Machine, silentFor time.Duration) bool {
-	if !r.IsLost(view.ZoneRecoveries, m.Zone) || silentFor < r.evacuateAfter {
+func (p *ScalingPolicy) ShouldEvacuate(view *statecache.View, machine *statecache.Machine, unreachableFor time.Duration) bool {
+	if !p.IsLost(view.ZoneRecoveries, machine.Zone) || unreachableFor < p.evacuateAfter {
 		return false
 	}
-	return slices.ContainsFunc(m.Bindings, func(t statecache.TaskBinding) bool {
-		j := view.Jobs[t.Job]
-		return j != nil && j.Active() && j.Spec.IsService()
+	return slices.ContainsFunc(machine.Bindings, func(binding statecache.TaskBinding) bool {
+		job := view.Jobs[binding.Job]
+		return job != nil && job.Active() && job.Spec.IsService()
 	})
 }
 
-// IsLost tells whether nothing should be rented in a zone. The nil Rentals knows of no
-// zone that is.
-func (r *ScalingPolicy) IsLost(record *statecache.ZoneRecoveries, zone wire.Zone) bool {
-	return r != nil && phaseOf(record, zone) == zonehealth.Lost
-}
-
-// WithheldSeconds tells in how many seconds machines that are up will take tasks, for those
-// that don't yet.
-func (r *ScalingPolicy) WithheldSeconds(now time.Time, view *statecache.View) map[wire.MachineID]float64 {
-	if r == nil || !Recovering(view.ZoneRecoveries) {
+// WithheldSeconds tells in how many seconds schedulable machines will be admitted, for those
+// that aren't yet.
+func (p *ScalingPolicy) WithheldSeconds(now time.Time, view *statecache.View) map[wire.MachineID]float64 {
+	if p == nil || !Recovering(view.ZoneRecoveries) {
 		return nil
 	}
-	order := map[wire.Zone][]uint64{} // by zone
-	for name, m := range view.Machines {
-		if m.Schedulable() {
-			order[m.Zone] = append(order[m.Zone], admissionRank(name))
-		}
-	}
-	for zone := range order {
-		slices.Sort(order[zone])
-	}
+	schedules := p.admissionSchedules(now, view)
 	withheld := map[wire.MachineID]float64{}
-	for name, m := range view.Machines {
-		z := view.ZoneRecoveries.Find(m.Zone)
-		if z == nil || !m.Schedulable() {
+	for name, machine := range view.Machines {
+		schedule, recorded := schedules[machine.Zone]
+		if !recorded || !machine.Schedulable() {
 			continue
 		}
-		if s := r.secondsUntilAdmitted(now, z, order[m.Zone], admissionRank(name)); s > 0 {
-			withheld[name] = s
+		if seconds := schedule.secondsUntilAdmitted(admissionRank(name)); seconds > 0 {
+			withheld[name] = seconds
 		}
 	}
 	return withheld
 }
 
-// secondsUntilAdmitted is when services are admitted to a machine: for those of a lost zone, when
-// its machines that are heard are used in any case.
-func (r *ScalingPolicy) secondsUntilAdmitted(now time.Time, z *statecache.ZoneRecovery, order []uint64, number uint64) float64 {
-	phase, err := zonehealth.ParsePhase(z.Phase)
+// admissionSchedules returns when the machines of the recorded zones will be admitted.
+func (p *ScalingPolicy) admissionSchedules(now time.Time, view *statecache.View) map[wire.Zone]admissionSchedule {
+	ranks := map[wire.Zone][]uint64{}
+	for name, machine := range view.Machines {
+		if machine.Schedulable() {
+			ranks[machine.Zone] = append(ranks[machine.Zone], admissionRank(name))
+		}
+	}
+	schedules := map[wire.Zone]admissionSchedule{}
+	for zone := range ranks {
+		if record := view.ZoneRecoveries.Find(zone); record != nil {
+			slices.Sort(ranks[zone])
+			schedules[zone] = p.admissionSchedule(now, record, ranks[zone])
+		}
+	}
+	return schedules
+}
+
+// admissionSchedule is when services are admitted to the machines of a zone.
+type admissionSchedule struct {
+	thresholds  []uint64 // ranks admitted now, after one more step, ...
+	stepSeconds float64
+	lastSeconds float64 // seconds until the machines beyond all thresholds are admitted
+}
+
+// admissionSchedule returns a zone's schedule: the machines of a lost one are admitted when its
+// reachable machines are used in any case.
+func (p *ScalingPolicy) admissionSchedule(now time.Time, record *statecache.ZoneRecovery, ranks []uint64) admissionSchedule {
+	phase, err := zonehealth.ParsePhase(record.Phase)
 	if err != nil {
-		return 0
+		return admissionSchedule{}
 	}
 	switch phase {
 	case zonehealth.Lost:
-		return max(0, (r.policy.MaxHoldDown - now.Sub(z.Since.Time())).Seconds())
+		return admissionSchedule{lastSeconds: max(0, (p.policy.MaxHoldDown - now.Sub(record.Since.Time())).Seconds())}
 	case zonehealth.Returning:
-		for ahead := 0; z.Step+ahead < len(r.policy.AdmissionSteps); ahead++ {
-			if number <= rankThreshold(order, r.policy.AdmissionSteps[z.Step+ahead]) {
-				return float64(ahead) * r.policy.StepDuration.Seconds()
-			}
+		steps := p.policy.AdmissionSteps
+		schedule := admissionSchedule{stepSeconds: p.policy.StepDuration.Seconds()}
+		for step := record.Step; step < len(steps); step++ {
+			schedule.thresholds = append(schedule.thresholds, rankThreshold(ranks, steps[step]))
+		}
+		schedule.lastSeconds = float64(len(steps)-record.Step) * schedule.stepSeconds
+		return schedule
+	}
+	return admissionSchedule{}
+}
+
+// secondsUntilAdmitted is in how many seconds a machine with a rank is admitted.
+func (s *admissionSchedule) secondsUntilAdmitted(rank uint64) float64 {
+	for ahead, threshold := range s.thresholds {
+		if rank <= threshold {
+			return float64(ahead) * s.stepSeconds
 		}
-		return float64(len(r.policy.AdmissionSteps)-z.Step) * r.policy.StepDuration.Seconds()
 	}
-	return 0
+	return s.lastSeconds
 }
