--- a/internal/failuredetector/detector.go
+++ b/internal/failuredetector/detector.go
@@ -104,7 +104,7 @@
 	return append(verdicts, d.failedProcesses(now)...)
 }
 
-// replacedProcesses returns verdicts on processes of which a later one was heard.
+// replacedProcesses returns verdicts on processes that a later incarnation has replaced.
 func (d *Detector) replacedProcesses() []Verdict {
 	var verdicts []Verdict
 	for _, name := range d.names {
--- a/internal/recovery/bin_packer.go
+++ b/internal/recovery/bin_packer.go
@@ -39,7 +39,7 @@
 }
 
 // replicas are replicas of one service, which are placed one by one. The zones of the service's
-// other replicas are handed beside them: in here they would escape to the heap.
+// other replicas are separate arguments: in here they would escape to the heap.
 type replicas struct {
 	service *Service
 	team    config.TeamQuota
--- a/internal/recovery/plan_test.go
+++ b/internal/recovery/plan_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"maps"
 	"reflect"
 	"testing"
 
@@ -80,52 +81,65 @@
 	return in
 }
 
-// checkPlan checks a plan against the protocol's rules, machine by machine.
+// checkPlan checks a plan against the protocol's rules, machine by machine, and that it accounts
+// for every replica.
 func checkPlan(t *rapid.T, in *Input, plan Plan) {
-	used := map[*placement.Node]resources.Vector{}
-	teams := resources.Usage{}
-	zones := map[*Service]map[bool]placement.ZoneCounts{}
-	placed := map[*Service]int{}
+	accounted := checkPlacements(t, in, plan.Placements)
+	for _, shortfall := range plan.Shortfalls {
+		accounted[shortfall.Service] += shortfall.Count
+		if shortfall.Cause == "" {
+			t.Fatalf("%s has a shortfall without a cause", shortfall.Service.Job.ID)
+		}
+	}
 	for _, s := range in.Services {
-		bound := placement.ZoneCounts{}
-		for z, n := range s.BoundByZone {
-			bound[z] = n
+		if accounted[s] != s.Pending+s.AtRiskCount() {
+			t.Fatalf("%s: %d of %d replicas are accounted for", s.Job.ID, accounted[s], s.Pending+s.AtRiskCount())
 		}
-		zones[s] = map[bool]placement.ZoneCounts{false: bound, true: s.boundAfterLoss()}
 	}
-	for _, p := range plan.Placements {
-		j, n := p.Service.Job, p.Node
-		need := resources.OfTask(j)
-		if !placement.Allowed(j, n.MachineType.Name, n.Zone, n.Spot) {
-			t.Fatalf("%s may not be on %s", j.ID, n.Name)
+}
+
+// checkPlacements checks placements against the protocol's rules, machine by machine, and counts
+// them by service.
+func checkPlacements(t *rapid.T, in *Input, placements []Placement) map[*Service]int {
+	used := map[*placement.Node]resources.Vector{}
+	teams := resources.Usage{}
+	zones := zoneCountsByRisk(in)
+	placed := map[*Service]int{}
+	for _, p := range placements {
+		job, node := p.Service.Job, p.Node
+		need := resources.OfTask(job)
+		if !placement.Allowed(job, node.MachineType.Name, node.Zone, node.Spot) {
+			t.Fatalf("%s may not be on %s", job.ID, node.Name)
 		}
-		if z := zones[p.Service][p.AtRisk]; !z.Allows(j, n.Zone) {
-			t.Fatalf("%s may not be in %s: %v", j.ID, n.Zone, z)
+		if z := zones[p.Service][p.AtRisk]; !z.Allows(job, node.Zone) {
+			t.Fatalf("%s may not be in %s: %v", job.ID, node.Zone, z)
 		}
-		zones[p.Service][p.AtRisk][n.Zone]++
-		used[n] = used[n].Plus(need, 1)
-		if !n.Used.Plus(used[n], 1).Fits(resources.OfMachineType(n.MachineType)) {
-			t.Fatalf("%s is over capacity", n.Name)
+		zones[p.Service][p.AtRisk][node.Zone]++
+		used[node] = used[node].Plus(need, 1)
+		if !node.Used.Plus(used[node], 1).Fits(resources.OfMachineType(node.MachineType)) {
+			t.Fatalf("%s is over capacity", node.Name)
 		}
 		if !p.AtRisk {
-			teams[j.Team] = teams[j.Team].Plus(need, 1)
+			teams[job.Team] = teams[job.Team].Plus(need, 1)
 		}
 		placed[p.Service]++
 	}
 	if u := teams["red"].CPUs; u > 24 {
 		t.Fatalf("red uses %v", u)
 	}
-	for _, s := range plan.Shortfalls {
-		placed[s.Service] += s.Count
-		if s.Cause == "" {
-			t.Fatalf("%s has a shortfall without a cause", s.Service.Job.ID)
-		}
-	}
+	return placed
+}
+
+// zoneCountsByRisk counts the bound replicas of each service by zone: all of them (false), and
+// those that are left once those at risk are terminated (true).
+func zoneCountsByRisk(in *Input) map[*Service]map[bool]placement.ZoneCounts {
+	zones := map[*Service]map[bool]placement.ZoneCounts{}
 	for _, s := range in.Services {
-		if placed[s] != s.Pending+s.AtRiskCount() {
-			t.Fatalf("%s: %d of %d replicas are accounted for", s.Job.ID, placed[s], s.Pending+s.AtRiskCount())
-		}
+		bound := placement.ZoneCounts{}
+		maps.Copy(bound, s.BoundByZone)
+		zones[s] = map[bool]placement.ZoneCounts{false: bound, true: s.boundAfterLoss()}
 	}
+	return zones
 }
 
 // Every plan keeps the protocol's rules and accounts for every replica; it is worth at
--- /dev/null
+++ b/internal/standby/hold_down_test.go
@@ -0,0 +1,30 @@
+package standby
+
+import (
+	"testing"
+	"time"
+
+	"lynxledge/internal/config"
+)
+
+// Each refutation doubles the time for which verdicts on a member are held down, up to the
+// longest, however many there were.
+func TestHoldDownDoublesWithRefutations(t *testing.T) {
+	cfg := &config.Config{}
+	cfg.Params.Workers.HeartbeatInterval = time.Second
+	cfg.Operator.Standby = &config.Standby{HoldDownHeartbeats: 5, HoldDownMaxHeartbeats: 80}
+	s := &Standby{config: cfg, holdDowns: map[string]*holdDown{}}
+	now := time.Unix(1000, 0)
+	for i, want := range []time.Duration{5, 10, 20, 40, 80, 80} {
+		s.refuteVerdict(now, "n1")
+		if h := s.holdDowns["n1"]; h.refutations != i+1 || h.until.Sub(now) != want*time.Second {
+			t.Errorf("refutation %d: held down for %v, %d refutations", i+1, h.until.Sub(now), h.refutations)
+		}
+	}
+	if got := s.holdDownAfter(1000); got != 80*time.Second || s.maxHoldDown() != got {
+		t.Errorf("after 1000 refutations: %v", got)
+	}
+	if h := s.holdDowns["n1"]; !h.active(now) || h.active(h.until) || s.holdDowns["n2"].active(now) {
+		t.Error("held down at the wrong times")
+	}
+}
--- a/internal/zonehealth/phase_tracker_test.go
+++ b/internal/zonehealth/phase_tracker_test.go
@@ -112,7 +112,8 @@
 
 // Whatever the evidence: no zone returns before its hold-down, none goes from healthy to
 // returning, arrays are never admitted where services are not, and all is healthy and
-// forgotten after a long healthy time. A tracker that takes over in the middle goes on from there.
+// forgotten after a long healthy time. A tracker that takes over in the middle continues from
+// there.
 func TestPhasesWithAnyEvidence(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tracker, now := NewPhaseTracker(testPolicy), time.Unix(1000, 0)
