--- a/cmd/lynxledge/loopback_test.go
+++ b/cmd/lynxledge/loopback_test.go
@@ -30,7 +30,7 @@
 	c.kill(lost)
 	t.Logf("lost after %v", c.await("the zone is recorded as lost", func() bool { return c.orderChecker.Phase("a") == "lost" }))
 	status := &zonecontrol.Status{}
-	if err := fetchStatus(ctx, c.processes[1].peerAddress, zonecontrol.StatusPath, status); err != nil || len(status.Zones) == 0 || !status.Recorded {
+	if err := fetchStatus(ctx, c.processes[1].peerAddress, zonecontrol.StatusPath, status); err != nil || len(status.Zones) == 0 || !status.RecordSupported {
 		t.Errorf("status: %+v %v", status, err)
 	}
 	t.Logf("whole elsewhere after %v more", c.await("services are whole elsewhere", func() bool { return c.allReplicasRun("a") }))
--- a/cmd/lynxledge/sim_processes_test.go
+++ b/cmd/lynxledge/sim_processes_test.go
@@ -363,7 +363,7 @@
 		if p.command == nil || fetchStatus(c.ctx, p.peerAddress, standby.StatusPath, status) != nil {
 			return false
 		}
-		for _, o := range status.Others {
+		for _, o := range status.Peers {
 			if o.Level != failuredetector.Alive.String() || o.Connections < 2 {
 				return false
 			}
--- a/internal/conventions/docs_test.go
+++ b/internal/conventions/docs_test.go
@@ -11,8 +11,6 @@
 	"testing"
 )
 
-const moduleRoot = "../.."
-
 // Every package has a package comment, and every exported type, function, method of an
 // exported type, variable and constant a doc comment.
 func TestExportedNamesAreDocumented(t *testing.T) {
--- a/internal/recovery/plan_test.go
+++ b/internal/recovery/plan_test.go
@@ -2,17 +2,17 @@
 
 import (
 	"fmt"
+	"maps"
 	"reflect"
 	"testing"
 
 	"pgregory.net/rapid"
 
+	"lynxledge/internal/config"
 	"lynxledge/internal/placement"
 	_ "lynxledge/internal/rapidseed"
 	"lynxledge/internal/resources"
 	"lynxledge/internal/statecache"
-
-	"lynxledge/internal/config"
 	"lynxledge/wire"
 )
 
@@ -21,7 +21,7 @@
 	{Name: "l", CPUs: 16, MemoryGB: 32},
 }
 
-func genService(t *rapid.T, id int) *Service {
+func generateService(t *rapid.T, id int) *Service {
 	j := &wire.Job{
 		ID: wire.JobID(fmt.Sprintf("req-%06d", id)), Team: rapid.SampledFrom([]wire.TeamName{"red", "blue"}).Draw(t, "team"), Kind: wire.KindService,
 		Priority: wire.Priority(rapid.IntRange(0, 3).Draw(t, "rank")), TaskCount: rapid.IntRange(1, 6).Draw(t, "replicas"),
@@ -36,10 +36,10 @@
 	case 2:
 		j.SingleZone, j.SpreadZones = true, false
 	}
-	s := &Service{Job: j, AtRisk: map[wire.Zone]int{}, Zones: placement.ZoneCounts{}, Since: statecache.Timestamp(id)}
+	s := &Service{Job: j, AtRisk: map[wire.Zone]int{}, BoundByZone: placement.ZoneCounts{}, RunnableSince: statecache.Timestamp(id)}
 	left := j.TaskCount
 	for _, zone := range []wire.Zone{"a", "b", "c"} {
-		if !s.Zones.Allows(j, zone) || j.Zone != "" && j.Zone != zone {
+		if !s.BoundByZone.Allows(j, zone) || j.Zone != "" && j.Zone != zone {
 			continue
 		}
 		n := rapid.IntRange(0, left).Draw(t, "bound")
@@ -47,15 +47,15 @@
 			n = min(n, (j.TaskCount+1)/2)
 		}
 		left -= n
-		if s.Zones[zone] += n; zone == "a" && n > 0 {
+		if s.BoundByZone[zone] += n; zone == "a" && n > 0 {
 			s.AtRisk["a"] = rapid.IntRange(0, n).Draw(t, "atRisk")
 		}
 	}
-	s.Waiting = left
+	s.Pending = left
 	return s
 }
 
-func genInput(t *rapid.T) Input {
+func generateInput(t *rapid.T) Input {
 	in := Input{Usage: resources.Usage{}, TeamQuota: func(name wire.TeamName) config.TeamQuota {
 		if name == "red" {
 			return config.TeamQuota{Name: name, MaxCPUs: 24}
@@ -69,82 +69,95 @@
 		}
 		n.Used = resources.Vector{CPUs: float64(rapid.IntRange(0, 4).Draw(t, "used")), MemoryGB: float64(rapid.IntRange(0, 8).Draw(t, "usedMemory"))}
 		if n.Zone == "a" {
-			in.LastResort = append(in.LastResort, n)
+			in.Fallback = append(in.Fallback, n)
 		} else {
 			in.Nodes = append(in.Nodes, n)
 		}
 	}
 	for i := range rapid.IntRange(0, 16).Draw(t, "services") {
-		in.Services = append(in.Services, genService(t, i))
+		in.Services = append(in.Services, generateService(t, i))
 	}
-	Order(in.Services)
+	SortByRecoveryOrder(in.Services)
 	return in
 }
 
-// verify checks a plan against the protocol's rules, machine by machine.
-func verify(t *rapid.T, in *Input, plan Plan) {
-	used := map[*placement.Node]resources.Vector{}
-	teams := resources.Usage{}
-	zones := map[*Service]map[bool]placement.ZoneCounts{}
-	placed := map[*Service]int{}
+// checkPlan checks a plan against the protocol's rules, machine by machine, and that it accounts
+// for every replica.
+func checkPlan(t *rapid.T, in *Input, plan Plan) {
+	accounted := checkPlacements(t, in, plan.Placements)
+	for _, shortfall := range plan.Shortfalls {
+		accounted[shortfall.Service] += shortfall.Count
+		if shortfall.Cause == "" {
+			t.Fatalf("%s has a shortfall without a cause", shortfall.Service.Job.ID)
+		}
+	}
 	for _, s := range in.Services {
-		bound := placement.ZoneCounts{}
-		for z, n := range s.Zones {
-			bound[z] = n
+		if accounted[s] != s.Pending+s.AtRiskCount() {
+			t.Fatalf("%s: %d of %d replicas are accounted for", s.Job.ID, accounted[s], s.Pending+s.AtRiskCount())
 		}
-		zones[s] = map[bool]placement.ZoneCounts{false: bound, true: s.zonesAfterLoss()}
 	}
-	for _, p := range plan.Placements {
-		j, n := p.Service.Job, p.Node
-		need := resources.OfTask(j)
-		if !placement.Allowed(j, n.MachineType.Name, n.Zone, n.Spot) {
-			t.Fatalf("%s may not be on %s", j.ID, n.Name)
+}
+
+// checkPlacements checks placements against the protocol's rules, machine by machine, and counts
+// them by service.
+func checkPlacements(t *rapid.T, in *Input, placements []Placement) map[*Service]int {
+	used := map[*placement.Node]resources.Vector{}
+	teams := resources.Usage{}
+	zones := zoneCountsByRisk(in)
+	placed := map[*Service]int{}
+	for _, p := range placements {
+		job, node := p.Service.Job, p.Node
+		need := resources.OfTask(job)
+		if !placement.Allowed(job, node.MachineType.Name, node.Zone, node.Spot) {
+			t.Fatalf("%s may not be on %s", job.ID, node.Name)
 		}
-		if z := zones[p.Service][p.AtRisk]; !z.Allows(j, n.Zone) {
-			t.Fatalf("%s may not be in %s: %v", j.ID, n.Zone, z)
+		if z := zones[p.Service][p.AtRisk]; !z.Allows(job, node.Zone) {
+			t.Fatalf("%s may not be in %s: %v", job.ID, node.Zone, z)
 		}
-		zones[p.Service][p.AtRisk][n.Zone]++
-		used[n] = used[n].Plus(need, 1)
-		if !n.Used.Plus(used[n], 1).Fits(resources.OfMachineType(n.MachineType)) {
-			t.Fatalf("%s is overfull", n.Name)
+		zones[p.Service][p.AtRisk][node.Zone]++
+		used[node] = used[node].Plus(need, 1)
+		if !node.Used.Plus(used[node], 1).Fits(resources.OfMachineType(node.MachineType)) {
+			t.Fatalf("%s is over capacity", node.Name)
 		}
 		if !p.AtRisk {
-			teams[j.Team] = teams[j.Team].Plus(need, 1)
+			teams[job.Team] = teams[job.Team].Plus(need, 1)
 		}
 		placed[p.Service]++
 	}
 	if u := teams["red"].CPUs; u > 24 {
 		t.Fatalf("red uses %v", u)
 	}
-	for _, s := range plan.Shortfalls {
-		placed[s.Service] += s.Count
-		if s.Cause == "" {
-			t.Fatalf("%s falls short for no cause", s.Service.Job.ID)
-		}
-	}
+	return placed
+}
+
+// zoneCountsByRisk counts the bound replicas of each service by zone: all of them (false), and
+// those that are left once those at risk are terminated (true).
+func zoneCountsByRisk(in *Input) map[*Service]map[bool]placement.ZoneCounts {
+	zones := map[*Service]map[bool]placement.ZoneCounts{}
 	for _, s := range in.Services {
-		if placed[s] != s.Waiting+s.AtRiskCount() {
-			t.Fatalf("%s: %d of %d replicas are accounted for", s.Job.ID, placed[s], s.Waiting+s.AtRiskCount())
-		}
+		bound := placement.ZoneCounts{}
+		maps.Copy(bound, s.BoundByZone)
+		zones[s] = map[bool]placement.ZoneCounts{false: bound, true: s.boundAfterLoss()}
 	}
+	return zones
 }
 
 // Every plan keeps the protocol's rules and accounts for every replica; it is worth at
-// least what the order alone finds; and the same input gives the same plan.
-func TestPlansKeepTheRules(t *testing.T) {
+// least what first-fit finds; and the same input gives the same plan.
+func TestPlansKeepProtocolRules(t *testing.T) {
 	solved := 0
 	rapid.Check(t, func(t *rapid.T) {
-		in := genInput(t)
+		in := generateInput(t)
 		plan := Compute(in)
-		verify(t, &in, plan)
-		first := newAssigner(&in, nil)
-		first.run()
+		checkPlan(t, &in, plan)
+		firstFit := newBinPacker(&in, nil)
+		firstFit.pack()
 		value := 0.0
 		for _, p := range plan.Placements {
-			value += weight(p.Service.Job)
+			value += priorityWeight(p.Service.Job)
 		}
-		if value < first.value {
-			t.Fatalf("worth %v, the order alone %v", value, first.value)
+		if value < firstFit.value {
+			t.Fatalf("worth %v, first-fit alone %v", value, firstFit.value)
 		}
 		if plan.Solved {
 			solved++
@@ -160,13 +173,13 @@
 
 // A service that may be anywhere leaves the only zone that another allows to it: the
 // order alone would not.
-func TestSolverLeavesTheOnlyZone(t *testing.T) {
+func TestSolverLeavesOnlyAllowedZone(t *testing.T) {
 	node := func(name wire.MachineID, zone wire.Zone) *placement.Node {
 		return &placement.Node{Name: name, MachineType: testTypes[0], Zone: zone, Schedulable: true}
 	}
 	service := func(id wire.JobID, zone wire.Zone) *Service {
 		j := &wire.Job{ID: id, Team: "blue", Kind: wire.KindService, Priority: wire.PriorityProduction, TaskCount: 1, CPUs: 4, MemoryGB: 1, Zone: zone}
-		return &Service{Job: j, Waiting: 1, AtRisk: map[wire.Zone]int{}, Zones: placement.ZoneCounts{}}
+		return &Service{Job: j, Pending: 1, AtRisk: map[wire.Zone]int{}, BoundByZone: placement.ZoneCounts{}}
 	}
 	in := Input{
 		Services:  []*Service{service("req-000001", ""), service("req-000002", "b")},
@@ -186,11 +199,11 @@
 	}
 	for i := range 60 {
 		j := &wire.Job{ID: wire.JobID(fmt.Sprintf("req-%06d", i)), Team: "blue", Kind: wire.KindService, TaskCount: 9, CPUs: 1 + float64(i)/30, MemoryGB: 1, SpreadZones: true}
-		in.Services = append(in.Services, &Service{Job: j, Waiting: 9, AtRisk: map[wire.Zone]int{}, Zones: placement.ZoneCounts{}})
+		in.Services = append(in.Services, &Service{Job: j, Pending: 9, AtRisk: map[wire.Zone]int{}, BoundByZone: placement.ZoneCounts{}})
 	}
-	p := build(&in, newRoom(in.Nodes))
-	if len(p.rows) == 0 || len(p.rows) > maxRows || len(p.columns) > maxColumns {
-		t.Errorf("%d rows, %d columns", len(p.rows), len(p.columns))
+	program := buildProgram(&in, newFreeCapacity(in.Nodes))
+	if len(program.constraints) == 0 || len(program.constraints) > maxConstraints || len(program.variables) > maxVariables {
+		t.Errorf("%d constraints, %d variables", len(program.constraints), len(program.variables))
 	}
 	if plan := Compute(in); len(plan.Placements) == 0 {
 		t.Error("nothing is placed")
@@ -199,15 +212,15 @@
 
 // An admission of a larger share holds all machines of a smaller one; each admits its
 // share, rounded up.
-func TestAdmissionGrows(t *testing.T) {
+func TestAdmissionGrowsWithShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var nodes []*placement.Node
 		for i := range rapid.IntRange(1, 50).Draw(t, "machines") {
 			nodes = append(nodes, &placement.Node{Name: wire.MachineID(fmt.Sprintf("i-%06d", i*7)), Zone: "a", Schedulable: true})
 		}
-		order := orderNumbers("a", nodes)
+		ranks := admissionRanks("a", nodes)
 		count := func(share float64) (n int) {
-			a := Admission{Phase: 3, services: threshold(order, share)}
+			a := Admission{Phase: 3, maxServiceRank: rankThreshold(ranks, share)}
 			for _, node := range nodes {
 				if a.admits(node.Name, true) {
 					n++
@@ -237,7 +250,7 @@
 				ID: wire.JobID(fmt.Sprintf("req-%06d", i)), Team: "blue", Kind: wire.KindService, Priority: wire.PriorityProduction,
 				TaskCount: 4, CPUs: 1 + float64(i%3), MemoryGB: 2, SpreadZones: true,
 			}
-			in.Services = append(in.Services, &Service{Job: j, Waiting: 1, AtRisk: map[wire.Zone]int{"a": 1}, Zones: placement.ZoneCounts{"a": 1, "b": 1, "c": 1}})
+			in.Services = append(in.Services, &Service{Job: j, Pending: 1, AtRisk: map[wire.Zone]int{"a": 1}, BoundByZone: placement.ZoneCounts{"a": 1, "b": 1, "c": 1}})
 		}
 		b.Run(fmt.Sprint(machines), func(b *testing.B) {
 			b.ReportAllocs()
