--- a/cmd/lynxledge/replica_move_test.go
+++ b/cmd/lynxledge/replica_move_test.go
@@ -15,28 +15,28 @@
 func TestReplicaOfSpreadServiceIsMoved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		size := zoneScale(false)
-		size.pool = 1 // a machine of four processors in each zone
-		w := &zoneWorld{world: newWorld(ctx, 1, size, func(p *config.Params) {
+		size := zoneClusterSize(false)
+		size.poolSize = 1 // a machine of four processors in each zone
+		c := &zoneCluster{cluster: newCluster(ctx, 1, size, func(p *config.Params) {
 			p.Teams = []config.TeamQuota{{Name: "red"}}
-			p.Zones = size.zones
+			p.Zones = size.memberZones
 		})}
 		twoCPUs := func(j *wire.Job) { j.CPUs = 2 }
-		w.pass(5 * time.Second)
-		w.cloud.FailZone("a")
-		first := w.service(4, twoCPUs) // fills zones b and c
-		if !w.calmUntil(func() bool { return w.whole(first) }) {
-			t.Fatalf("%d of 4 replicas run", w.rules.RunningTasks(first.ID))
+		c.advance(5 * time.Second)
+		c.cloud.FailZone("a")
+		first := c.submitService(4, twoCPUs) // fills zones b and c
+		if !c.advanceIdleUntil(func() bool { return c.allReplicasRun(first) }) {
+			t.Fatalf("%d of 4 replicas run", c.invariants.RunningTasks(first.ID))
 		}
-		w.cloud.OpenZone("a")
-		second := w.service(2, twoCPUs) // zone a has capacity for two, but may have one of them
-		if !w.calmUntil(func() bool { return w.whole(first) && w.whole(second) }) {
-			t.Errorf("%d of 4 and %d of 2 replicas run", w.rules.RunningTasks(first.ID), w.rules.RunningTasks(second.ID))
+		c.cloud.RestoreZone("a")
+		second := c.submitService(2, twoCPUs) // zone a has capacity for two, but may have one of them
+		if !c.advanceIdleUntil(func() bool { return c.allReplicasRun(first) && c.allReplicasRun(second) }) {
+			t.Errorf("%d of 4 and %d of 2 replicas run", c.invariants.RunningTasks(first.ID), c.invariants.RunningTasks(second.ID))
 		}
-		for _, violation := range w.rules.Violations() {
+		for _, violation := range c.invariants.Violations() {
 			t.Error(violation)
 		}
 		cancel()
-		w.end()
+		c.shutdown()
 	})
 }
--- a/internal/zonecontrol/controller.go
+++ b/internal/zonecontrol/controller.go
@@ -173,13 +173,10 @@
 	c.writeRecord(leadership, transitions)
 }
 
-// maxViewAgeHeartbeats is how old a view may be to lead by it, in heartbeat intervals.
-const maxViewAgeHeartbeats = 2
-
 // confirmLeadership returns the leadership of this process, if it is confirmed. A new leader
 // continues from the record.
 func (c *Controller) confirmLeadership() (election.Leadership, bool) {
-	maxAge := c.config.Params.Workers.Heartbeats(maxViewAgeHeartbeats)
+	maxAge := c.config.Params.Workers.Heartbeats(statecache.MaxViewAgeHeartbeats)
 	leadership, ok := election.ConfirmLeadership(c.view, c.incarnation, c.revision, c.freshAsOf, maxAge)
 	if ok && c.term != leadership.Term() {
 		c.term, c.recordSerial = leadership.Term(), 0
--- a/internal/zonecontrol/controller_test.go
+++ b/internal/zonecontrol/controller_test.go
@@ -51,7 +51,7 @@
 }
 
 func (c *cluster) member(name string, incarnation uint64) *member {
-	conn := &simulation.StoreConn{Store: c.store, Net: c.network, Node: name, Timeout: time.Second}
+	conn := &simulation.StoreConn{Store: c.store, Network: c.network, Member: name, Timeout: time.Second}
 	m := &member{name: name, incarnation: incarnation}
 	m.cache = statecache.Start(c.ctx, conn, statecache.Options{ChunkTasks: 8, WatchHold: time.Second, MaxViewAge: time.Second, Backoff: 100 * time.Millisecond})
 	cfg := c.config
