--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -99,8 +99,8 @@
 	return total
 }
 
-// BenchmarkRound is a scheduling cycle, up to its commit.
-func BenchmarkRound(b *testing.B) {
+// BenchmarkSchedulingCycle is a scheduling cycle, up to its commit.
+func BenchmarkSchedulingCycle(b *testing.B) {
 	for _, machines := range benchFleets {
 		b.Run(fmt.Sprintf("machines=%d", machines), func(b *testing.B) {
 			s := busyScheduler(machines)
