--- a/cmd/lynxledge/run.go
+++ b/cmd/lynxledge/run.go
@@ -25,7 +25,7 @@
 	"lynxledge/internal/config"
 	"lynxledge/internal/connlimit"
 	"lynxledge/internal/election"
-	"lynxledge/internal/ledger"
+	"lynxledge/internal/kvstore"
 	"lynxledge/internal/mesh"
 	"lynxledge/internal/overload"
 	"lynxledge/internal/place"
@@ -33,7 +33,7 @@
 	"lynxledge/internal/rent"
 	"lynxledge/internal/reports"
 	"lynxledge/internal/standby"
-	"lynxledge/internal/state"
+	"lynxledge/internal/statecache"
 	"lynxledge/internal/worker"
 	"lynxledge/internal/zonecontrol"
 )
@@ -45,7 +45,7 @@
 func run(cfg *config.Config) error {
 	logLevel()
 	res := cfg.Params.Resources
-	runtime.GOMAXPROCS(max(1, int(math.Ceil(res.CPU))))
+	runtime.GOMAXPROCS(max(1, int(math.Ceil(res.CPUCores))))
 	debug.SetMemoryLimit(int64(res.MemoryMB * memoryShare * (1 << 20)))
 	debug.SetGCPercent(800)
 
@@ -53,11 +53,11 @@
 		slog.Warn("settings look too small for a controller", "settings", strings.Join(small, " "))
 	}
 
-	users, err := net.Listen("tcp4", cfg.Listen)
+	users, err := net.Listen("tcp4", cfg.ClientListenAddress)
 	if err != nil {
 		return fmt.Errorf("client_listen: %w", err)
 	}
-	peers, err := net.Listen("tcp4", cfg.MeshAddr)
+	peers, err := net.Listen("tcp4", cfg.PeerListenAddress)
 	if err != nil {
 		return fmt.Errorf("mesh_addr: %w", err)
 	}
@@ -77,12 +77,12 @@
 
 // serve puts the controller together and answers until the process is killed.
 func serve(ctx context.Context, cfg *config.Config, users, peers net.Listener) error {
-	p, ops := cfg.Params, cfg.Ops
-	report := config.Secs(p.Workers.ReportS)
+	p, ops := cfg.Params, cfg.Operator
+	report := config.Seconds(p.Workers.HeartbeatInterval)
 	sockets := socketsOf(p.Resources)
 	n := assemble(ctx, cfg, rand.Uint64()>>1, links{
-		state:   state.New(cfg.External.State, p.State.ReadRPS(), p.State.WriteRPS, p.State.TxnOps, report/2),
-		cloud:   cloud.New(cfg.External.Cloud, p.Cloud.RPS, ops.CloudShare, 2*report),
+		state:   kvstore.New(cfg.External.State, p.Store.RequestRateLimit(), p.Store.WriteRate, p.Store.MaxTxnOps, report/2),
+		cloud:   cloud.New(cfg.External.Cloud, p.Cloud.RequestRate, ops.CloudRateShare, 2*report),
 		workers: worker.New(report, sockets.idleCommands, sockets.busyCommands),
 		peers:   new(net.Dialer).DialContext,
 	})
@@ -128,8 +128,8 @@
 // links are a controller's ways to the world.
 type links struct {
 	state interface {
-		ledger.Store
-		election.Leases
+		statecache.Store
+		election.LeaseClient
 	}
 	cloud   rent.Cloud
 	workers interface {
@@ -152,20 +152,20 @@
 // assemble starts a controller's actors. boot tells this process from its
 // earlier ones.
 func assemble(ctx context.Context, cfg *config.Config, boot uint64, to links) node {
-	p, ops := cfg.Params, cfg.Ops
-	report := config.Secs(p.Workers.ReportS)
-	chunk := ledger.ChunkTasks(p.State.ValueKB)
-	cfg.Rates = &config.Rates{}
-	cfg.Load = overload.Start(ctx, report)
-	slog.Info("starting", "member", cfg.Name, "zone", cfg.Zone, "boot", boot)
+	p, ops := cfg.Params, cfg.Operator
+	report := config.Seconds(p.Workers.HeartbeatInterval)
+	chunk := statecache.ChunkTasks(p.Store.MaxValueKB)
+	cfg.StoreRates = &config.StoreRates{}
+	cfg.Overload = overload.Start(ctx, report)
+	slog.Info("starting", "member", cfg.MemberName, "zone", cfg.Zone, "boot", boot)
 
-	led := ledger.Start(ctx, to.state, ledger.Options{
-		ChunkTasks: chunk, Hold: 5 * report, Gap: readPause(cfg, watchShare), Refresh: readPause(cfg, refreshShare),
-		MaxAge: report / 2, Backoff: report / 30, WritePause: config.Secs(1 / p.State.WriteRPS),
-		MaxValue: p.State.ValueBytes(), MaxChunk: int(p.State.ValueKB * 1024), Busy: cfg.Rates.Busy, TooLarge: cfg.Rates.Lower,
-		ManyJobs: manyJobs(p.Resources),
+	led := statecache.Start(ctx, to.state, statecache.Options{
+		ChunkTasks: chunk, WatchHold: 5 * report, MinWatchInterval: readPause(cfg, watchShare), MinRefreshInterval: readPause(cfg, refreshShare),
+		MaxViewAge: report / 2, Backoff: report / 30, WriteInterval: config.Seconds(1 / p.Store.WriteRate),
+		MaxValueBytes: p.Store.ValueSizeLimit(), MaxCompletionChunkBytes: int(p.Store.MaxValueKB * 1024), OnThrottled: cfg.StoreRates.ObserveThrottled, OnSizeRejected: cfg.StoreRates.ObserveLowerSizeLimit,
+		JobCountWarning: manyJobs(p.Resources),
 	})
-	msh := mesh.Start(ctx, cfg, to.peers, led.Fresh)
+	msh := mesh.Start(ctx, cfg, to.peers, led.FreshAsOf)
 	var placer *place.Placer
 	rep := reports.Start(ctx, cfg, boot, led, reports.Links{
 		Elsewhere: msh.Elsewhere, Alone: msh.Alone, Tell: msh.Tell,
@@ -179,8 +179,8 @@
 	msh.OnHeard(renter.Heard)
 	msh.OnObservation(func(n place.Observation) { placer.Observe(n, 0) })
 	elect := election.Start(ctx, to.state, led, election.Options{
-		Name: cfg.Name, Boot: boot, TTL: time.Duration(float64(report) * ops.MemberLease),
-		Teams: teams(p.Teams), MaxOps: p.State.Ops(), Chunk: chunk, Capabilities: capabilities(ops),
+		MemberName: cfg.MemberName, Incarnation: boot, LeaseTTL: time.Duration(float64(report) * ops.MemberLeaseHeartbeats),
+		Teams: teams(p.Teams), MaxTxnOps: p.Store.TxnOpsLimit(), ChunkTasks: chunk, Capabilities: capabilities(ops),
 	})
 	catalog := cloud.NewCatalog(ctx, to.cloud)
 	catalog.Subscribe(front.SetTypes)
@@ -196,7 +196,7 @@
 		zones := zonecontrol.Start(ctx, cfg, boot, led, placer)
 		placer.AskBeforeRounds(recovery.NewAdvisor(cfg))
 		renter.FollowRecovery(recovery.NewRentals(cfg), zones.Refused)
-		rep.Heard(func(machines []string) { zones.Heard(cfg.Name, machines) })
+		rep.Heard(func(machines []string) { zones.Heard(cfg.MemberName, machines) })
 		msh.OnHeardBy(zones.Heard)
 		catalog.Subscribe(zones.SetTypes)
 		n.zones = zones
@@ -207,7 +207,7 @@
 		msh.Watch(n.standby, boot, standby.Heartbeat(cfg))
 		n.actors = append(n.actors, n.standby.Actor)
 	}
-	go catalog.Run(ctx, 12*config.Secs(ops.PassS), report/3)
+	go catalog.Run(ctx, 12*config.Seconds(ops.PlanningInterval), report/3)
 	led.Run()
 	return n
 }
@@ -231,7 +231,7 @@
 	if ops.ZoneRecovery == nil {
 		return nil
 	}
-	return []string{ledger.CapabilityRecovery}
+	return []string{statecache.CapabilityZoneRecovery}
 }
 
 // jobMemoryShare is the part of the memory that jobs which are over may take before
@@ -239,8 +239,8 @@
 const jobMemoryShare = 0.15
 
 // manyJobs is how many jobs that is.
-func manyJobs(r config.Resources) int {
-	return int(r.MemoryMB * (1 << 20) * jobMemoryShare / ledger.EndedJobBytes)
+func manyJobs(r config.ControllerResources) int {
+	return int(r.MemoryMB * (1 << 20) * jobMemoryShare / statecache.FinishedJobBytes)
 }
 
 // Shares of the state service's rate that all controllers together use to
@@ -253,10 +253,10 @@
 // readPause is the least time between two reads of this controller so that all
 // of them keep to a share of the rate.
 func readPause(cfg *config.Config, share float64) time.Duration {
-	return config.Secs(float64(len(cfg.Peers)+1) / (cfg.Params.State.ReadRPS() * share))
+	return config.Seconds(float64(len(cfg.Peers)+1) / (cfg.Params.Store.RequestRateLimit() * share))
 }
 
-func teams(ts []config.Team) []string {
+func teams(ts []config.TeamQuota) []string {
 	var out []string
 	for _, t := range ts {
 		out = append(out, t.Name)
--- a/cmd/lynxledge/sockets.go
+++ b/cmd/lynxledge/sockets.go
@@ -32,9 +32,9 @@
 }
 
 // socketsOf is the budget of a process. Without a limit nothing is bounded.
-func socketsOf(resources config.Resources) socketBudget {
+func socketsOf(resources config.ControllerResources) socketBudget {
 	sockets := socketBudget{inbound: math.MaxInt, idleCommands: math.MaxInt16, busyCommands: math.MaxInt16}
-	if limit := float64(resources.FDLimit); limit > 0 {
+	if limit := float64(resources.FileDescriptorLimit); limit > 0 {
 		sockets.inbound = int(inboundShare * limit)
 		sockets.idleCommands = int(idleCommandShare * limit)
 		sockets.busyCommands = int(busyCommandsShare * limit)
--- a/internal/apiserver/answers.go
+++ b/internal/apiserver/answers.go
@@ -24,7 +24,7 @@
 }
 
 func refuse(w http.ResponseWriter, status int, why string) {
-	answer(w, status, wire.Problem{Error: why})
+	answer(w, status, wire.ErrorResponse{Message: why})
 }
 
 // refuseUntil refuses what can't be taken now, and says after which time to come back.
@@ -41,7 +41,7 @@
 
 // body reads a request's body; false when it was answered already.
 func body(w http.ResponseWriter, r *http.Request) ([]byte, bool) {
-	b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, wire.MaxBody))
+	b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, wire.MaxBodyBytes))
 	if err != nil {
 		refuse(w, http.StatusBadRequest, "body unreadable or over 64 KiB")
 		return nil, false
--- a/internal/apiserver/server.go
+++ b/internal/apiserver/server.go
@@ -15,8 +15,8 @@
 
 	"lynxledge/internal/actor"
 	"lynxledge/internal/config"
-	"lynxledge/internal/ledger"
 	"lynxledge/internal/reports"
+	"lynxledge/internal/statecache"
 	"lynxledge/wire"
 )
 
@@ -40,29 +40,29 @@
 type Server struct {
 	*actor.Actor
 	cfg     *config.Config
-	ledger  *ledger.Ledger
+	ledger  *statecache.Cache
 	reports *reports.Reports
 	peer    Peer
 	pace    *rate.Limiter // of accepted jobs
 	turns   turnList      // of users whose submissions were refused
 	stale   time.Duration // a view older than this is not worth a commit
 
-	view  *ledger.View
+	view  *statecache.View
 	fresh time.Time
 	types []wire.MachineType
 }
 
 // Start runs the actor. peer may be nil.
-func Start(ctx context.Context, cfg *config.Config, l *ledger.Ledger, r *reports.Reports, peer Peer) *Server {
+func Start(ctx context.Context, cfg *config.Config, l *statecache.Cache, r *reports.Reports, peer Peer) *Server {
 	f := &Server{
 		Actor: actor.Start(ctx, "apiserver", 512), cfg: cfg, ledger: l, reports: r, peer: peer,
-		stale: config.Secs(cfg.Params.Workers.ReportS),
+		stale: config.Seconds(cfg.Params.Workers.HeartbeatInterval),
 		pace:  newPace(cfg),
-		view:  ledger.NewView(ledger.ChunkTasks(cfg.Params.State.ValueKB)),
+		view:  statecache.NewView(statecache.ChunkTasks(cfg.Params.Store.MaxValueKB)),
 	}
-	l.Subscribe(func(d ledger.Delta) {
+	l.Subscribe(func(d statecache.Update) {
 		f.Send(func() {
-			f.fresh = d.Fresh
+			f.fresh = d.FreshAsOf
 			for _, c := range d.Changes {
 				f.view.Apply(c)
 			}
@@ -90,7 +90,7 @@
 // lost tells whether this node has had no word of the state service for so long
 // that a call would only hang: the time that a user waits is better spent on
 // another controller.
-func (f *Server) lost() bool { return time.Since(f.ledger.Fresh()) > f.stale }
+func (f *Server) lost() bool { return time.Since(f.ledger.FreshAsOf()) > f.stale }
 
 // barrier waits until the view holds everything committed before the call.
 func (f *Server) barrier(ctx context.Context) error {
@@ -119,7 +119,7 @@
 type look struct {
 	known  bool
 	status wire.JobStatus
-	job    *ledger.Job
+	job    *statecache.Job
 }
 
 func (f *Server) look(id string) (look, bool) {
@@ -132,12 +132,12 @@
 		l := look{known: true, job: j, status: wire.JobStatus{ID: id, State: j.State}}
 		switch j.State {
 		case wire.JobDone:
-			l.status.Done = j.Tasks
+			l.status.CompletedTasks = j.TaskCount
 		case wire.JobCancelled:
 		default:
-			l.status.Done, l.status.Running = f.view.DoneCount(id), len(f.view.Bound[id])
+			l.status.CompletedTasks, l.status.RunningTasks = f.view.CompletedCount(id), len(f.view.Bindings[id])
 			l.status.State = wire.JobQueued
-			if l.status.Running > 0 {
+			if l.status.RunningTasks > 0 {
 				l.status.State = wire.JobRunning
 			}
 		}
@@ -205,16 +205,16 @@
 }
 
 // commit makes a change on behalf of a waiting user.
-func (f *Server) commit(ctx context.Context, c ledger.Commit) (ledger.Outcome, bool) {
+func (f *Server) commit(ctx context.Context, c statecache.Commit) (statecache.Outcome, bool) {
 	ctx, cancel := context.WithTimeout(ctx, 2*tryAgain)
 	defer cancel()
-	ch := make(chan ledger.Outcome, 1)
-	f.ledger.Commit(c, func(out ledger.Outcome) { ch <- out })
+	ch := make(chan statecache.Outcome, 1)
+	f.ledger.Commit(c, func(out statecache.Outcome) { ch <- out })
 	select {
 	case out := <-ch:
 		return out, true
 	case <-ctx.Done():
-		return ledger.Unknown, false
+		return statecache.OutcomeUnknown, false
 	}
 }
 
@@ -247,18 +247,18 @@
 		if f.lost() {
 			break
 		}
-		key := ledger.Key(ledger.KindJob, id)
-		out, ok := f.commit(ctx, ledger.Commit{
-			Guards:   []wire.Guard{{Key: key, Version: l.job.Stamp}},
-			Puts:     []ledger.Put{{Key: key, Rec: l.job.Cancelled(time.Now().UnixMilli())}},
-			Patience: tryAgain,
+		key := statecache.Key(statecache.KindJob, id)
+		out, ok := f.commit(ctx, statecache.Commit{
+			Preconditions: []wire.Precondition{{Key: key, ModRevision: l.job.ModRevision}},
+			Puts:          []statecache.Put{{Key: key, Record: l.job.Cancelled(time.Now().UnixMilli())}},
+			RetryFor:      tryAgain,
 		})
-		if ok && out == ledger.Committed {
+		if ok && out == statecache.Committed {
 			slog.Debug("job cancelled", "job", id)
 			answer(w, http.StatusOK, wire.JobStatus{ID: id, State: wire.JobCancelled})
 			return
 		}
-		if !ok || out != ledger.Conflicted {
+		if !ok || out != statecache.Conflicted {
 			break
 		}
 	}
@@ -280,7 +280,7 @@
 		reply(time.Since(f.fresh).Seconds())
 	})
 	alone := f.peer == nil || f.peer.Elsewhere() == ""
-	lost := age > isolatedLeases*f.cfg.Params.Workers.LeaseS
+	lost := age > isolatedLeases*f.cfg.Params.Workers.LeaseDuration
 	if !ok || math.IsInf(age, 1) || lost || age > f.stale.Seconds() && !alone {
 		refuseForNow(w, "not ready")
 		return
@@ -297,10 +297,10 @@
 	if !ok {
 		return
 	}
-	var rep wire.Report
+	var rep wire.Heartbeat
 	err := wire.Decode(b, &rep)
 	if err == nil {
-		err = rep.Check()
+		err = rep.Validate()
 	}
 	if err != nil {
 		slog.Warn("report refused", "err", err)
@@ -312,7 +312,7 @@
 	case ok && out.Accept:
 		answer(w, http.StatusOK, out.Body)
 	case ok && out.ReportTo != "":
-		answer(w, http.StatusMisdirectedRequest, wire.Redirect{ReportTo: out.ReportTo})
+		answer(w, http.StatusMisdirectedRequest, wire.RedirectResponse{RedirectTo: out.ReportTo})
 	default:
 		refuseForNow(w, "not entitled to answer")
 	}
--- a/internal/apiserver/submit.go
+++ b/internal/apiserver/submit.go
@@ -12,9 +12,9 @@
 
 	"lynxledge/internal/actor"
 	"lynxledge/internal/config"
-	"lynxledge/internal/ledger"
 	"lynxledge/internal/overload"
 	"lynxledge/internal/place"
+	"lynxledge/internal/statecache"
 	"lynxledge/wire"
 )
 
@@ -31,11 +31,11 @@
 
 // acceptRate is this controller's part.
 func acceptRate(cfg *config.Config) rate.Limit {
-	return rate.Limit(cfg.WriteRPS() * acceptShare / float64(len(cfg.Peers)+1))
+	return rate.Limit(cfg.StoreWriteRate() * acceptShare / float64(len(cfg.Peers)+1))
 }
 
 func (f *Server) submit(w http.ResponseWriter, r *http.Request) {
-	if f.cfg.Load.Level() >= overload.Overloaded {
+	if f.cfg.Overload.Level() >= overload.Overloaded {
 		f.refuseSubmission(w, http.StatusServiceUnavailable, "overloaded")
 		return
 	}
@@ -46,7 +46,7 @@
 	ctx, cancel := context.WithTimeout(r.Context(), answerWait)
 	defer cancel()
 	job, perr := wire.ParseJob(b)
-	id, valid := wire.PeekID(b)
+	id, valid := wire.PeekJobID(b)
 	if perr != nil && !valid {
 		refuse(w, http.StatusBadRequest, perr.Error())
 		return
@@ -58,7 +58,7 @@
 	status, why := http.StatusBadRequest, ""
 	if perr != nil {
 		why = perr.Error()
-	} else if status, why = f.judge(job); why == "" && len(job.Awaits) > 0 {
+	} else if status, why = f.judge(job); why == "" && len(job.Dependencies) > 0 {
 		var err error
 		if status, why, err = f.predecessors(ctx, job); err != nil {
 			f.relay(ctx, w, r, b)
@@ -103,7 +103,7 @@
 
 // judge tells why a job can never run, or can't be judged yet.
 func (f *Server) judge(j *wire.Job) (int, string) {
-	team, ok := f.cfg.Params.Team(j.Team)
+	team, ok := f.cfg.Params.TeamQuota(j.Team)
 	if !ok {
 		return http.StatusUnprocessableEntity, "unknown team " + strconv.Quote(j.Team)
 	}
@@ -114,12 +114,12 @@
 	if !Fits(j, types) {
 		return http.StatusUnprocessableEntity, "a task fits no allowed machine type"
 	}
-	if raw, err := json.Marshal(&ledger.Job{Spec: j}); err != nil || len(raw)+jobMargin > f.cfg.Params.State.ValueBytes() {
+	if raw, err := json.Marshal(&statecache.Job{Spec: j}); err != nil || len(raw)+jobMargin > f.cfg.Params.Store.ValueSizeLimit() {
 		return http.StatusUnprocessableEntity, "the description is too long for the state service"
 	}
 	n := 1.0
-	if j.Service() {
-		n = float64(j.Tasks)
+	if j.IsService() {
+		n = float64(j.TaskCount)
 	}
 	if !(place.Usage{}).WithinLimit(team, place.Resources{}.Plus(place.RequestOf(j), n)) {
 		return http.StatusUnprocessableEntity, "needs more than the team's limit"
@@ -131,7 +131,7 @@
 // accepted is final: only if one is not known here the state has to be read, once.
 func (f *Server) predecessors(ctx context.Context, j *wire.Job) (status int, why string, err error) {
 	read := false
-	for _, id := range j.Awaits {
+	for _, id := range j.Dependencies {
 		l, ok := f.look(id)
 		if ok && !l.known && !read {
 			if err := f.barrier(ctx); err != nil {
@@ -147,7 +147,7 @@
 			return http.StatusUnprocessableEntity, "awaits: the job names itself", nil
 		case !l.known:
 			return http.StatusUnprocessableEntity, "awaits: " + id + " was never accepted", nil
-		case l.job.Spec != nil && l.job.Spec.Service():
+		case l.job.Spec != nil && l.job.Spec.IsService():
 			return http.StatusUnprocessableEntity, "awaits: " + id + " is a service, which is never done", nil
 		}
 	}
@@ -175,7 +175,7 @@
 		f.relay(ctx, w, r, body)
 		return
 	}
-	key := ledger.Key(ledger.KindJob, j.ID)
+	key := statecache.Key(statecache.KindJob, j.ID)
 	// A crowd of users must not take all the writes: who comes too early is told
 	// when to come back.
 	f.pace.SetLimit(acceptRate(f.cfg))
@@ -183,27 +183,27 @@
 		f.refuseSubmission(w, http.StatusTooManyRequests, "too many submissions at once")
 		return
 	}
-	out, ok := f.commit(ctx, ledger.Commit{
-		Guards:   []wire.Guard{{Key: key}},
-		Puts:     []ledger.Put{{Key: key, Rec: &ledger.Job{Spec: j, Tasks: j.Tasks, At: time.Now().UnixMilli()}}},
-		Patience: tryAgain,
+	out, ok := f.commit(ctx, statecache.Commit{
+		Preconditions: []wire.Precondition{{Key: key}},
+		Puts:          []statecache.Put{{Key: key, Record: &statecache.Job{Spec: j, TaskCount: j.TaskCount, SubmittedAt: time.Now().UnixMilli()}}},
+		RetryFor:      tryAgain,
 	})
 	switch {
-	case ok && out == ledger.Committed:
+	case ok && out == statecache.Committed:
 		slog.Debug("job accepted",
 			"job", j.ID,
 			"class", j.Class,
 			"team", j.Team,
-			"tasks", j.Tasks,
+			"tasks", j.TaskCount,
 			"image", j.Image,
 			"gb", j.ImageGB,
-			"expect_s", j.EstimateS)
+			"expect_s", j.EstimatedRuntime)
 		status := wire.JobStatus{ID: j.ID, State: wire.JobQueued}
 		if l, ok := f.look(j.ID); ok && l.known { // it may name a job that is cancelled
 			status = l.status
 		}
 		answer(w, http.StatusCreated, status)
-	case ok && out == ledger.Conflicted:
+	case ok && out == statecache.Conflicted:
 		f.known(ctx, w, r, j.ID, body)
 	default:
 		f.relay(ctx, w, r, body)
--- a/internal/cloud/catalog.go
+++ b/internal/cloud/catalog.go
@@ -39,7 +39,7 @@
 	} else {
 		valid := types[:0]
 		for _, t := range types {
-			if t.Name != "" && t.CPUs > 0 && t.MemoryGB >= 0 && t.Price >= 0 && len(t.Zones) > 0 {
+			if t.Name != "" && t.CPUs > 0 && t.MemoryGB >= 0 && t.HourlyPrice >= 0 && len(t.Zones) > 0 {
 				valid = append(valid, t)
 			}
 		}
--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -59,8 +59,8 @@
 	case http.StatusTooManyRequests:
 		return fmt.Errorf("%w: 429", ErrRefused)
 	case http.StatusServiceUnavailable:
-		var p wire.Problem
-		if json.Unmarshal(b, &p) == nil && p.Error == "no capacity" {
+		var p wire.ErrorResponse
+		if json.Unmarshal(b, &p) == nil && p.Message == "no capacity" {
 			return ErrNoCapacity
 		}
 		return fmt.Errorf("%w: 503", ErrRefused)
@@ -73,40 +73,40 @@
 
 // Types reads the machine types and their prices.
 func (c *Client) Types(ctx context.Context) ([]wire.MachineType, error) {
-	var out wire.MachineTypes
+	var out wire.MachineTypeList
 	err := c.call(ctx, http.MethodGet, "/machine_types", nil, &out)
 	return out.Types, err
 }
 
 // Hire rents machines.
-func (c *Client) Hire(ctx context.Context, r wire.HireRequest) ([]string, error) {
-	var out wire.Machines
+func (c *Client) Hire(ctx context.Context, r wire.ProvisionRequest) ([]string, error) {
+	var out wire.MachineNames
 	err := c.call(ctx, http.MethodPost, "/hosts", r, &out)
 	return out.Names, err
 }
 
 // Delete returns machines; once it succeeds, they are gone.
 func (c *Client) Delete(ctx context.Context, names []string) error {
-	return c.call(ctx, http.MethodPost, "/hosts/delete", wire.Machines{Names: names}, nil)
+	return c.call(ctx, http.MethodPost, "/hosts/delete", wire.MachineNames{Names: names}, nil)
 }
 
 // List reads every machine, page by page.
-func (c *Client) List(ctx context.Context) ([]wire.Host, error) {
-	var all []wire.Host
+func (c *Client) List(ctx context.Context) ([]wire.Instance, error) {
+	var all []wire.Instance
 	after := ""
 	for {
-		q := url.Values{"most": {strconv.Itoa(wire.MaxListPage)}}
+		q := url.Values{"most": {strconv.Itoa(wire.MaxInstancesPerPage)}}
 		if after != "" {
 			q.Set("after", after)
 		}
-		var page wire.HostList
+		var page wire.InstanceList
 		if err := c.call(ctx, http.MethodGet, "/hosts?"+q.Encode(), nil, &page); err != nil {
 			return nil, err
 		}
-		all = append(all, page.Hosts...)
-		if !page.More || len(page.Hosts) == 0 {
+		all = append(all, page.Instances...)
+		if !page.More || len(page.Instances) == 0 {
 			return all, nil
 		}
-		after = page.Hosts[len(page.Hosts)-1].ID
+		after = page.Instances[len(page.Instances)-1].ID
 	}
 }
--- a/internal/config/standby.go
+++ b/internal/config/standby.go
@@ -9,16 +9,16 @@
 // Standby is the section of the operators' settings that switches early takeovers on.
 // docs/standby.md describes each field.
 type Standby struct {
-	HeartbeatReports   float64 `json:"heartbeat_reports"`
-	SuspectBeats       float64 `json:"suspect_beats"`
-	FailedBeats        float64 `json:"failed_beats"`
-	HoldDownReports    float64 `json:"hold_down_reports"`
-	HoldDownMaxReports float64 `json:"hold_down_max_reports"`
+	HeartbeatIntervalReports float64 `json:"heartbeat_reports"`
+	SuspectAfterHeartbeats   float64 `json:"suspect_beats"`
+	FailedAfterHeartbeats    float64 `json:"failed_beats"`
+	HoldDownReports          float64 `json:"hold_down_reports"`
+	HoldDownMaxReports       float64 `json:"hold_down_max_reports"`
 }
 
 // DefaultStandby is the section with every field left out.
 func DefaultStandby() Standby {
-	return Standby{HeartbeatReports: 0.2, SuspectBeats: 2, FailedBeats: 2, HoldDownReports: 5, HoldDownMaxReports: 80}
+	return Standby{HeartbeatIntervalReports: 0.2, SuspectAfterHeartbeats: 2, FailedAfterHeartbeats: 2, HoldDownReports: 5, HoldDownMaxReports: 80}
 }
 
 // UnmarshalJSON lays the section's fields over the defaults.
@@ -35,17 +35,17 @@
 	return nil
 }
 
-// TakeoverTime is what a takeover should take at the most.
-const TakeoverTime = 5 * time.Second
+// FailoverTimeTarget is what a takeover should take at the most.
+const FailoverTimeTarget = 5 * time.Second
 
-// Detection is how long it takes to tell that a controller's process has ended.
-func (s *Standby) Detection(w Workers) time.Duration {
-	return Secs((s.FailedBeats + 1) * s.HeartbeatReports * w.ReportS)
+// DetectionTime is how long it takes to tell that a controller's process has ended.
+func (s *Standby) DetectionTime(w WorkerTimings) time.Duration {
+	return Seconds((s.FailedAfterHeartbeats + 1) * s.HeartbeatIntervalReports * w.HeartbeatInterval)
 }
 
 // warning names the setting under which takeovers can't be as fast as they should.
-func (s *Standby) warning(w Workers) string {
-	if s.Detection(w) >= TakeoverTime {
+func (s *Standby) warning(w WorkerTimings) string {
+	if s.DetectionTime(w) >= FailoverTimeTarget {
 		return "standby.heartbeat_reports*failed_beats*params.workers.report_s>5s"
 	}
 	return ""
--- a/internal/config/zonerecovery.go
+++ b/internal/config/zonerecovery.go
@@ -56,11 +56,11 @@
 		p.Steps = DefaultZoneRecovery().Steps
 	}
 	*z = ZoneRecovery(p)
-	return z.check()
+	return z.validate()
 }
 
-// check refuses combinations that the schema cannot express.
-func (z *ZoneRecovery) check() error {
+// validate refuses combinations that the schema cannot express.
+func (z *ZoneRecovery) validate() error {
 	switch {
 	case z.LostShare <= z.DegradedShare:
 		return errors.New("/zone_recovery/lost_share must be above degraded_share")
@@ -79,32 +79,32 @@
 	return nil
 }
 
-// maxWithheldLeases bounds for how long a zone that is well again may be withheld from
+// maxZoneReturnLeases bounds for how long a zone that is well again may be withheld from
 // work, in leases of a worker.
-const maxWithheldLeases = 2
+const maxZoneReturnLeases = 2
 
-// checkAgainst refuses settings that don't fit this deployment: under which a zone that is
+// validateAgainst refuses settings that don't fit this deployment: under which a zone that is
 // well again would be withheld for too long, or machines would be given up too early.
-func (z *ZoneRecovery) checkAgainst(w Workers) error {
-	if Secs(z.EvacuateLeases*w.LeaseS) < Secs(w.LeaseS+w.ReportS) {
+func (z *ZoneRecovery) validateAgainst(w WorkerTimings) error {
+	if Seconds(z.EvacuateLeases*w.LeaseDuration) < Seconds(w.LeaseDuration+w.HeartbeatInterval) {
 		return errors.New("/zone_recovery/evacuate_leases must be a report interval above one lease: replicas could still run")
 	}
-	if most := z.withheld(w); most > Secs(maxWithheldLeases*w.LeaseS) {
+	if most := z.maxReturnTime(w); most > Seconds(maxZoneReturnLeases*w.LeaseDuration) {
 		return fmt.Errorf("/zone_recovery: proof, hold-down and steps withhold a zone for up to %v, over %d leases",
-			most.Round(time.Second), maxWithheldLeases)
+			most.Round(time.Second), maxZoneReturnLeases)
 	}
 	return nil
 }
 
-// withheld is the longest time for which a zone whose machines all report is withheld
+// maxReturnTime is the longest time for which a zone whose machines all report is withheld
 // from batch work.
-func (z *ZoneRecovery) withheld(w Workers) time.Duration {
+func (z *ZoneRecovery) maxReturnTime(w WorkerTimings) time.Duration {
 	steps := time.Duration(len(z.Steps)) * z.StepTime(w)
-	return Secs(z.ProofReports*w.ReportS) + Secs(z.HoldDownMaxLeases*w.LeaseS) + steps
+	return Seconds(z.ProofReports*w.HeartbeatInterval) + Seconds(z.HoldDownMaxLeases*w.LeaseDuration) + steps
 }
 
 // StepTime is how long a step lasts: no step ends before a report interval has passed,
 // since there would be no new evidence.
-func (z *ZoneRecovery) StepTime(w Workers) time.Duration {
-	return max(Secs(z.StepLeases*w.LeaseS), Secs(w.ReportS))
+func (z *ZoneRecovery) StepTime(w WorkerTimings) time.Duration {
+	return max(Seconds(z.StepLeases*w.LeaseDuration), Seconds(w.HeartbeatInterval))
 }
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -12,25 +12,25 @@
 
 	"lynxledge/internal/actor"
 	"lynxledge/internal/config"
-	"lynxledge/internal/ledger"
-	"lynxledge/internal/state"
+	"lynxledge/internal/kvstore"
+	"lynxledge/internal/statecache"
 	"lynxledge/wire"
 )
 
-// Leases is what the election needs of the state service.
-type Leases interface {
-	Grant(ctx context.Context, ttl time.Duration) (uint64, error)
-	Renew(ctx context.Context, lease uint64) error
+// LeaseClient is what the election needs of the state service.
+type LeaseClient interface {
+	GrantLease(ctx context.Context, ttl time.Duration) (uint64, error)
+	RenewLease(ctx context.Context, lease uint64) error
 }
 
 // Options of an election.
 type Options struct {
-	Name   string
-	Boot   uint64 // tells this process from its earlier ones
-	TTL    time.Duration
-	Teams  []string
-	MaxOps int
-	Chunk  int
+	MemberName  string
+	Incarnation uint64 // tells this process from its earlier ones
+	LeaseTTL    time.Duration
+	Teams       []string
+	MaxTxnOps   int
+	ChunkTasks  int
 	// Capabilities are announced in the membership record.
 	Capabilities []string
 }
@@ -38,115 +38,117 @@
 // Election is the actor that owns membership and leadership.
 type Election struct {
 	*actor.Actor
-	ctx    context.Context
-	leases Leases
-	ledger *ledger.Ledger
-	opt    Options
-	view   *ledger.View
-	teams  *teamList
+	ctx         context.Context
+	leaseClient LeaseClient
+	cache       *statecache.Cache
+	options     Options
+	view        *statecache.View
+	teams       *teamList
 
-	lease   uint64
-	renewed time.Time
-	busy    bool // a lease call or a commit is under way
-	asked   bool // an election is about to begin
+	leaseID           uint64
+	lastRenewal       time.Time
+	requestInFlight   bool // a lease call or a commit is under way
+	campaignScheduled bool // an election is about to begin
 
 	resigned bool // this process leaves: it renews and claims nothing any more
 }
 
 // Start runs an election.
-func Start(ctx context.Context, leases Leases, l *ledger.Ledger, opt Options) *Election {
+func Start(ctx context.Context, leases LeaseClient, l *statecache.Cache, opt Options) *Election {
 	e := &Election{
-		Actor: actor.Start(ctx, "election", 256), ctx: ctx, leases: leases, ledger: l,
-		opt: opt, view: ledger.NewRunningView(opt.Chunk), teams: newTeamList(opt.Teams),
+		Actor: actor.Start(ctx, "election", 256), ctx: ctx, leaseClient: leases, cache: l,
+		options: opt, view: statecache.NewUnfinishedView(opt.ChunkTasks), teams: newTeamList(opt.Teams),
 	}
-	l.Subscribe(func(d ledger.Delta) {
+	l.Subscribe(func(d statecache.Update) {
 		e.Send(func() {
 			for _, c := range d.Changes {
 				e.view.Apply(c)
-				if c.Kind == ledger.KindJob {
-					job, _ := c.Rec.(*ledger.Job)
+				if c.Kind == statecache.KindJob {
+					job, _ := c.Record.(*statecache.Job)
 					e.teams.apply(c.Name, job)
 				}
 			}
-			e.step()
+			e.reconcile()
 		})
 	})
-	e.Every(opt.TTL/6, e.tick)
+	e.Every(opt.LeaseTTL/6, e.maintainLease)
 	return e
 }
 
-// tick keeps the lease alive.
-func (e *Election) tick() {
-	if e.busy || e.resigned {
+// maintainLease keeps the lease alive.
+func (e *Election) maintainLease() {
+	if e.requestInFlight || e.resigned {
 		return
 	}
 	switch {
-	case e.lease == 0:
-		e.busy = true
+	case e.leaseID == 0:
+		e.requestInFlight = true
 		go func() {
-			id, err := e.leases.Grant(e.ctx, e.opt.TTL)
+			id, err := e.leaseClient.GrantLease(e.ctx, e.options.LeaseTTL)
 			e.Send(func() {
-				e.busy = false
+				e.requestInFlight = false
 				if err != nil {
 					slog.Debug("no lease", "err", err)
 					return
 				}
-				e.lease, e.renewed = id, time.Now()
-				e.step()
+				e.leaseID, e.lastRenewal = id, time.Now()
+				e.reconcile()
 			})
 		}()
-	case time.Since(e.renewed) > e.opt.TTL/config.RenewalsPerLease:
-		lease, begun := e.lease, time.Now()
-		e.busy = true
+	case time.Since(e.lastRenewal) > e.options.LeaseTTL/config.RenewalsPerLeaseTTL:
+		lease, begun := e.leaseID, time.Now()
+		e.requestInFlight = true
 		go func() {
-			err := e.leases.Renew(e.ctx, lease)
+			err := e.leaseClient.RenewLease(e.ctx, lease)
 			e.Send(func() {
-				e.busy = false
+				e.requestInFlight = false
 				switch {
 				case err == nil:
-					e.renewed = begun
-				case errors.Is(err, state.ErrNotFound):
+					e.lastRenewal = begun
+				case errors.Is(err, kvstore.ErrNotFound):
 					slog.Info("membership lease ended", "lease", lease)
-					e.lease = 0
-					e.tick()
+					e.leaseID = 0
+					e.maintainLease()
 				}
-				e.step()
+				e.reconcile()
 			})
 		}()
 	default:
-		e.step()
+		e.reconcile()
 	}
 }
 
-// Leading tells whether this process leads, as far as a view knows.
-func Leading(v *ledger.View, boot uint64) bool { return v.Leader != nil && v.Leader.Boot == boot }
+// IsLeader tells whether this process leads, as far as a view knows.
+func IsLeader(v *statecache.View, boot uint64) bool {
+	return v.Leader != nil && v.Leader.Incarnation == boot
+}
 
-// step does the next thing that membership, leadership or the teams need.
-func (e *Election) step() {
-	if e.lease == 0 || e.busy || e.resigned || e.view.Term == nil && e.view.Leader != nil {
+// reconcile does the next thing that membership, leadership or the teams need.
+func (e *Election) reconcile() {
+	if e.leaseID == 0 || e.requestInFlight || e.resigned || e.view.Term == nil && e.view.Leader != nil {
 		return
 	}
-	me := e.view.Members[e.opt.Name]
-	if me == nil || me.Boot != e.opt.Boot {
-		e.commit(ledger.Commit{
-			Puts: []ledger.Put{{Key: ledger.Key(ledger.KindMember, e.opt.Name), Rec: ledger.Member{Boot: e.opt.Boot, Capabilities: e.opt.Capabilities}, Lease: e.lease}},
+	me := e.view.Members[e.options.MemberName]
+	if me == nil || me.Incarnation != e.options.Incarnation {
+		e.commit(statecache.Commit{
+			Puts: []statecache.Put{{Key: statecache.Key(statecache.KindMember, e.options.MemberName), Record: statecache.Member{Incarnation: e.options.Incarnation, Capabilities: e.options.Capabilities}, LeaseID: e.leaseID}},
 		}, nil)
 		return
 	}
 	l := e.view.Leader
 	switch {
-	case l == nil && !e.asked:
-		e.asked = true
-		e.After(time.Duration(rand.Int64N(int64(e.opt.TTL/20))), func() {
-			e.asked = false
-			if e.view.Leader == nil && e.lease != 0 && !e.busy {
+	case l == nil && !e.campaignScheduled:
+		e.campaignScheduled = true
+		e.After(time.Duration(rand.Int64N(int64(e.options.LeaseTTL/20))), func() {
+			e.campaignScheduled = false
+			if e.view.Leader == nil && e.leaseID != 0 && !e.requestInFlight {
 				e.campaign()
 			}
 		})
-	case l != nil && l.Member == e.opt.Name && l.Boot != e.opt.Boot:
+	case l != nil && l.Member == e.options.MemberName && l.Incarnation != e.options.Incarnation:
 		// Our own earlier process led; it is gone for certain.
 		e.campaign()
-	case Leading(e.view, e.opt.Boot):
+	case IsLeader(e.view, e.options.Incarnation):
 		e.assignTeams()
 	}
 }
@@ -154,35 +156,35 @@
 func (e *Election) campaign() {
 	var leader, term, next uint64 = 0, 0, 1
 	if e.view.Leader != nil {
-		leader = e.view.Leader.Stamp
+		leader = e.view.Leader.ModRevision
 	}
 	if e.view.Term != nil {
-		term, next = e.view.Term.Stamp, e.view.Term.Term+1
+		term, next = e.view.Term.ModRevision, e.view.Term.Number+1
 	}
-	e.commit(ledger.Commit{
-		Guards: []wire.Guard{{Key: ledger.LeaderKey, Version: leader}, {Key: ledger.TermKey, Version: term}},
-		Puts: []ledger.Put{
-			{Key: ledger.LeaderKey, Rec: ledger.Leader{Member: e.opt.Name, Boot: e.opt.Boot, Term: next}, Lease: e.lease},
-			{Key: ledger.TermKey, Rec: ledger.Term{Term: next}},
+	e.commit(statecache.Commit{
+		Preconditions: []wire.Precondition{{Key: statecache.LeaderKey, ModRevision: leader}, {Key: statecache.TermKey, ModRevision: term}},
+		Puts: []statecache.Put{
+			{Key: statecache.LeaderKey, Record: statecache.Leader{Member: e.options.MemberName, Incarnation: e.options.Incarnation, Term: next}, LeaseID: e.leaseID},
+			{Key: statecache.TermKey, Record: statecache.Term{Number: next}},
 		},
 	}, func() { slog.Info("leading", "term", next) })
 }
 
-func (e *Election) commit(c ledger.Commit, done func()) {
-	e.busy = true
-	e.ledger.Commit(c, func(out ledger.Outcome) {
+func (e *Election) commit(c statecache.Commit, done func()) {
+	e.requestInFlight = true
+	e.cache.Commit(c, func(out statecache.Outcome) {
 		e.Send(func() {
-			e.busy = false
+			e.requestInFlight = false
 			switch out {
-			case ledger.Committed:
+			case statecache.Committed:
 				if done != nil {
 					done()
 				}
-				e.step()
-			case ledger.Refused:
+				e.reconcile()
+			case statecache.Rejected:
 				// Also what an ended lease gets.
-				if time.Since(e.renewed) > e.opt.TTL/2 {
-					e.lease = 0
+				if time.Since(e.lastRenewal) > e.options.LeaseTTL/2 {
+					e.leaseID = 0
 				}
 			}
 		})
@@ -192,18 +194,18 @@
 // assignTeams gives teams without a live controller a new one.
 func (e *Election) assignTeams() {
 	teams := e.teams.list()
-	c := ledger.Commit{Guards: []wire.Guard{{Key: ledger.LeaderKey, Version: e.view.Leader.Stamp}}}
+	c := statecache.Commit{Preconditions: []wire.Precondition{{Key: statecache.LeaderKey, ModRevision: e.view.Leader.ModRevision}}}
 	for team, member := range Assign(teams, e.view.Assignments, e.view.Members, e.view.Leader.Member) {
-		if len(c.Puts) == e.opt.MaxOps {
+		if len(c.Puts) == e.options.MaxTxnOps {
 			break
 		}
 		var stamp uint64
 		if h := e.view.Assignments[team]; h != nil {
-			stamp = h.Stamp
+			stamp = h.ModRevision
 		}
-		key := ledger.Key(ledger.KindAssignment, team)
-		c.Guards = append(c.Guards, wire.Guard{Key: key, Version: stamp})
-		c.Puts = append(c.Puts, ledger.Put{Key: key, Rec: ledger.Assignment{Member: member, Boot: e.view.Members[member].Boot}})
+		key := statecache.Key(statecache.KindAssignment, team)
+		c.Preconditions = append(c.Preconditions, wire.Precondition{Key: key, ModRevision: stamp})
+		c.Puts = append(c.Puts, statecache.Put{Key: key, Record: statecache.Assignment{Member: member, Incarnation: e.view.Members[member].Incarnation}})
 		slog.Info("team handed out", "team", team, "to", member)
 	}
 	if len(c.Puts) > 0 {
@@ -214,13 +216,13 @@
 // Assign names the teams that need another controller. All are handed to one,
 // since a group of machines is best written by one controller alone; it keeps
 // them while it lives. Rather another than the leader, which has work enough.
-func Assign(teams []string, hands map[string]*ledger.Assignment, members map[string]*ledger.Member, leader string) map[string]string {
+func Assign(teams []string, hands map[string]*statecache.Assignment, members map[string]*statecache.Member, leader string) map[string]string {
 	out := map[string]string{}
 	if len(members) == 0 {
 		return out
 	}
-	alive := func(h *ledger.Assignment) bool {
-		return h != nil && members[h.Member] != nil && members[h.Member].Boot == h.Boot
+	alive := func(h *statecache.Assignment) bool {
+		return h != nil && members[h.Member] != nil && members[h.Member].Incarnation == h.Incarnation
 	}
 	held := map[string]int{}
 	for _, t := range teams {
--- a/internal/election/takeover.go
+++ b/internal/election/takeover.go
@@ -3,36 +3,36 @@
 import (
 	"log/slog"
 
-	"lynxledge/internal/ledger"
+	"lynxledge/internal/statecache"
 	"lynxledge/wire"
 )
 
-// Claim runs for the lead although the leader's lease has not ended. That is safe, since
+// ClaimLeadership runs for the lead although the leader's lease has not ended. That is safe, since
 // the claim is guarded on the leader's record as it stands at this version: from its
 // commit on, every write of the old leader is refused, and its launches carry older
 // tokens. A leader that is alive has lost the lead, no more.
-func (e *Election) Claim(version uint64) {
+func (e *Election) ClaimLeadership(version uint64) {
 	e.Post(func() {
-		if e.busy || e.resigned || e.lease == 0 || e.view.Leader == nil || e.view.Leader.Stamp != version {
+		if e.requestInFlight || e.resigned || e.leaseID == 0 || e.view.Leader == nil || e.view.Leader.ModRevision != version {
 			return
 		}
 		e.campaign()
 	})
 }
 
-// Evict ends a member's membership before its lease has ended, if this process leads:
+// EvictMember ends a member's membership before its lease has ended, if this process leads:
 // its teams are handed to others. The member's record is guarded as it was judged. A
 // member that is alive writes its record again, and may be handed teams again.
-func (e *Election) Evict(member string, boot uint64) {
+func (e *Election) EvictMember(member string, boot uint64) {
 	e.Post(func() {
 		m := e.view.Members[member]
-		if e.busy || e.resigned || !Leading(e.view, e.opt.Boot) || m == nil || m.Boot != boot {
+		if e.requestInFlight || e.resigned || !IsLeader(e.view, e.options.Incarnation) || m == nil || m.Incarnation != boot {
 			return
 		}
-		key := ledger.Key(ledger.KindMember, member)
-		e.commit(ledger.Commit{
-			Guards: []wire.Guard{{Key: ledger.LeaderKey, Version: e.view.Leader.Stamp}, {Key: key, Version: m.Stamp}},
-			Delete: []string{key},
+		key := statecache.Key(statecache.KindMember, member)
+		e.commit(statecache.Commit{
+			Preconditions: []wire.Precondition{{Key: statecache.LeaderKey, ModRevision: e.view.Leader.ModRevision}, {Key: key, ModRevision: m.ModRevision}},
+			Deletes:       []string{key},
 		}, func() { slog.Info("member evicted", "member", member, "boot", boot) })
 	})
 }
@@ -42,23 +42,23 @@
 func (e *Election) Resign(done func()) {
 	e.Send(func() {
 		e.resigned = true
-		var c ledger.Commit
+		var c statecache.Commit
 		drop := func(key string, version uint64) {
-			c.Guards = append(c.Guards, wire.Guard{Key: key, Version: version})
-			c.Delete = append(c.Delete, key)
+			c.Preconditions = append(c.Preconditions, wire.Precondition{Key: key, ModRevision: version})
+			c.Deletes = append(c.Deletes, key)
 		}
-		if Leading(e.view, e.opt.Boot) {
-			drop(ledger.LeaderKey, e.view.Leader.Stamp)
+		if IsLeader(e.view, e.options.Incarnation) {
+			drop(statecache.LeaderKey, e.view.Leader.ModRevision)
 		}
-		if me := e.view.Members[e.opt.Name]; me != nil && me.Boot == e.opt.Boot {
-			drop(ledger.Key(ledger.KindMember, e.opt.Name), me.Stamp)
+		if me := e.view.Members[e.options.MemberName]; me != nil && me.Incarnation == e.options.Incarnation {
+			drop(statecache.Key(statecache.KindMember, e.options.MemberName), me.ModRevision)
 		}
-		if len(c.Delete) == 0 {
+		if len(c.Deletes) == 0 {
 			done()
 			return
 		}
-		e.ledger.Commit(c, func(out ledger.Outcome) {
-			slog.Info("resigned", "records", len(c.Delete), "stands", out == ledger.Committed)
+		e.cache.Commit(c, func(out statecache.Outcome) {
+			slog.Info("resigned", "records", len(c.Deletes), "stands", out == statecache.Committed)
 			done()
 		})
 	})
--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -102,7 +102,7 @@
 
 // Start opens the streams. fresh tells from when this node's view is.
 func Start(ctx context.Context, cfg *config.Config, dial Dial, fresh func() time.Time) *Mesh {
-	period := config.Secs(cfg.Params.Workers.ReportS / 3)
+	period := config.Seconds(cfg.Params.Workers.HeartbeatInterval / 3)
 	m := &Mesh{
 		Actor: actor.Start(ctx, "mesh", 128), ctx: ctx, cfg: cfg, period: period, fresh: fresh,
 		peers: map[string]*peer{},
@@ -156,7 +156,7 @@
 }
 
 func (m *Mesh) stamped(b Heartbeat) Heartbeat {
-	b.Member, b.AgeMS, b.Boot = m.cfg.Name, -1, m.boot.Load()
+	b.Member, b.AgeMS, b.Boot = m.cfg.MemberName, -1, m.boot.Load()
 	if f := m.fresh(); !f.IsZero() {
 		b.AgeMS = time.Since(f).Milliseconds()
 	}
@@ -195,7 +195,7 @@
 	ctx, cancel := context.WithCancel(m.ctx)
 	defer cancel()
 	r, w := io.Pipe()
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+p.Addr+"/beats", r)
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+p.Address+"/beats", r)
 	if err != nil {
 		return err
 	}
@@ -280,7 +280,7 @@
 	if f := m.onHeardBy.Load(); f != nil && len(b.Heard) > 0 {
 		(*f)(b.Member, b.Heard)
 	}
-	if f := m.onObservation.Load(); f != nil && b.Note != nil && b.Note.Report != nil && b.Note.Report.Check() == nil {
+	if f := m.onObservation.Load(); f != nil && b.Note != nil && b.Note.Report != nil && b.Note.Report.Validate() == nil {
 		(*f)(*b.Note)
 	}
 }
@@ -323,16 +323,16 @@
 	if p == nil {
 		return 0, nil, errors.New("no controller with state is known")
 	}
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+p.Addr+path, bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+p.Address+path, bytes.NewReader(body))
 	if err != nil {
 		return 0, nil, err
 	}
-	req.Header.Set(apiserver.Forwarded, m.cfg.Name)
+	req.Header.Set(apiserver.Forwarded, m.cfg.MemberName)
 	resp, err := m.client.Do(req)
 	if err != nil {
 		return 0, nil, err
 	}
 	defer resp.Body.Close()
-	b, err := io.ReadAll(io.LimitReader(resp.Body, wire.MaxBody))
+	b, err := io.ReadAll(io.LimitReader(resp.Body, wire.MaxBodyBytes))
 	return resp.StatusCode, b, err
 }
--- a/internal/place/advice.go
+++ b/internal/place/advice.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"lynxledge/internal/config"
-	"lynxledge/internal/ledger"
+	"lynxledge/internal/statecache"
 	"lynxledge/wire"
 )
 
@@ -17,11 +17,11 @@
 
 // Cluster is what an advisor looks at. It belongs to the placer.
 type Cluster struct {
-	View   *ledger.View
-	Active map[string]*ledger.Job
+	View   *statecache.View
+	Active map[string]*statecache.Job
 	Nodes  []*Node
 	Usage  Usage
-	Team   func(name string) config.Team
+	Team   func(name string) config.TeamQuota
 }
 
 // Advice is what a recovery asks of placing. It only narrows or orders the choice: what
@@ -66,7 +66,7 @@
 
 // withPreferred adds the machines that are preferred for a service to a sample.
 func (p *Placer) withPreferred(r *round, list []*Node, j *wire.Job, usable func(*Node) bool) []*Node {
-	if p.advice == nil || !j.Service() {
+	if p.advice == nil || !j.IsService() {
 		return list
 	}
 	known := make(map[*Node]bool, len(list))
@@ -90,10 +90,10 @@
 // before it is for arrays.
 func (p *Placer) zonesInRound(r *round, job string) Zones {
 	zones := ZonesOf(p.view, job)
-	if j := p.active[job]; p.advice == nil || j == nil || !j.Spec.Service() {
+	if j := p.active[job]; p.advice == nil || j == nil || !j.Spec.IsService() {
 		return zones
 	}
-	for n, name := range p.view.Bound[job] {
+	for n, name := range p.view.Bindings[job] {
 		row := p.view.Machines[name]
 		if d := r.drafts[row.Group]; d != nil && !d.binds(name, job, n) {
 			zones[row.Zone]--
@@ -104,14 +104,14 @@
 
 // binds tells whether the group's next record still binds a task to a machine.
 func (d *draft) binds(machine, job string, n int) bool {
-	return slices.ContainsFunc(d.Machines, func(m *ledger.Machine) bool {
-		return m.Name == machine && m.Find(job, n) != nil
+	return slices.ContainsFunc(d.Machines, func(m *statecache.Machine) bool {
+		return m.Name == machine && m.FindBinding(job, n) != nil
 	})
 }
 
 // lastResort are machines for a task that has no room where it should go.
 func (p *Placer) lastResort(r *round, j *wire.Job) []*Node {
-	if p.advice == nil || !j.Service() {
+	if p.advice == nil || !j.IsService() {
 		return nil
 	}
 	var list []*Node
--- a/internal/place/choose.go
+++ b/internal/place/choose.go
@@ -8,15 +8,15 @@
 	"slices"
 	"time"
 
-	"lynxledge/internal/ledger"
+	"lynxledge/internal/statecache"
 	"lynxledge/wire"
 )
 
 // Allowed tells whether a job's tasks may run on a type, in a zone and on a
 // kind of machine at all.
 func Allowed(j *wire.Job, typ, zone string, spot bool) bool {
-	return (len(j.Types) == 0 || slices.Contains(j.Types, typ)) &&
-		(j.Zone == "" || j.Zone == zone) && (j.Spot || !spot)
+	return (len(j.MachineTypes) == 0 || slices.Contains(j.MachineTypes, typ)) &&
+		(j.Zone == "" || j.Zone == zone) && (j.AllowSpot || !spot)
 }
 
 // Task is one task on a node, as far as the choice cares.
@@ -62,9 +62,9 @@
 type Zones map[string]int
 
 // ZonesOf counts a job's bound tasks by zone.
-func ZonesOf(v *ledger.View, job string) Zones {
+func ZonesOf(v *statecache.View, job string) Zones {
 	z := Zones{}
-	for _, m := range v.Bound[job] {
+	for _, m := range v.Bindings[job] {
 		z[v.Machines[m].Zone]++
 	}
 	return z
@@ -72,14 +72,14 @@
 
 // Allows tells whether one more task of the job may be in a zone now.
 func (z Zones) Allows(j *wire.Job, zone string) bool {
-	if j.OneZone {
+	if j.SingleZone {
 		for other, n := range z {
 			if n > 0 && other != zone {
 				return false
 			}
 		}
 	}
-	return !j.Spread || z[zone] < (j.Tasks+1)/2
+	return !j.SpreadZones || z[zone] < (j.TaskCount+1)/2
 }
 
 // maxSample bounds a choice: beyond it a random sample of the machines is
@@ -118,7 +118,7 @@
 // hasRoomFor tells whether one more task of a job fits into what the node has free for it.
 func (n *Node) hasRoomFor(j *wire.Job, need Resources) bool {
 	used := n.Used
-	if !j.Service() && j.Rank < wire.RankHigh {
+	if !j.IsService() && j.Priority < wire.PriorityHigh {
 		used = used.Plus(n.Reserved, 1)
 	}
 	return used.Plus(need, 1).Fits(Capacity(n.Type))
@@ -151,21 +151,21 @@
 func score(j *wire.Job, zones Zones, offers Offers, n *Node, limit Resources) float64 {
 	s := 1 - n.Used.Share(limit)
 	if !n.Image(j.Image) {
-		if j.Rank >= wire.RankHigh {
+		if j.Priority >= wire.PriorityHigh {
 			s += 4
 		} else {
 			s += 0.3
 		}
 	}
-	if j.Spot && !n.Spot {
+	if j.AllowSpot && !n.Spot {
 		s += 2 // keep ordinary machines for those that need them
 	}
-	if !n.Spot && !(j.Spread && j.Tasks > 1) {
+	if !n.Spot && !(j.SpreadZones && j.TaskCount > 1) {
 		// Room in a zone with few types to rent is for those that must go there.
 		s += 6 * (1 - offers[n.Zone])
 	}
-	if j.Spread {
-		s += 8 * float64(zones[n.Zone]) / float64(j.Tasks)
+	if j.SpreadZones {
+		s += 8 * float64(zones[n.Zone]) / float64(j.TaskCount)
 	}
 	if n.NeedsOwnWrite {
 		s += 0.25
--- a/internal/place/estimate.go
+++ b/internal/place/estimate.go
@@ -3,7 +3,7 @@
 import (
 	"math"
 
-	"lynxledge/internal/ledger"
+	"lynxledge/internal/statecache"
 	"lynxledge/wire"
 )
 
@@ -31,18 +31,18 @@
 )
 
 // Learn takes over what a group's new record says of completed tasks.
-func (e *Estimates) Learn(gone []ledger.Departure, jobs map[string]*ledger.Job) {
+func (e *Estimates) Learn(gone []statecache.Termination, jobs map[string]*statecache.Job) {
 	for _, g := range gone {
 		id := g.Job
 		j := jobs[id]
-		if g.Why != wire.WhyDone || g.RanS <= 0 || j == nil || j.Spec == nil || j.Spec.EstimateS <= 0 {
+		if g.Reason != wire.ReasonCompleted || g.Runtime <= 0 || j == nil || j.Spec == nil || j.Spec.EstimatedRuntime <= 0 {
 			continue
 		}
-		off := math.Log(g.RanS / j.Spec.EstimateS)
+		off := math.Log(g.Runtime / j.Spec.EstimatedRuntime)
 		off = math.Max(-math.Log(mostOff), math.Min(math.Log(mostOff), off))
 		e.class[j.Spec.Class] += smoothing * (off - e.class[j.Spec.Class])
 		m := e.job[id]
-		e.job[id] = mean{m.sum + g.RanS, m.n + 1}
+		e.job[id] = mean{m.sum + g.Runtime, m.n + 1}
 	}
 }
 
@@ -54,5 +54,5 @@
 	if m := e.job[j.ID]; m.n >= enoughOf {
 		return m.sum / float64(m.n)
 	}
-	return j.EstimateS * math.Exp(e.class[j.Class])
+	return j.EstimatedRuntime * math.Exp(e.class[j.Class])
 }
--- a/internal/place/guarantees.go
+++ b/internal/place/guarantees.go
@@ -6,7 +6,7 @@
 	"strings"
 
 	"lynxledge/internal/config"
-	"lynxledge/internal/ledger"
+	"lynxledge/internal/statecache"
 	"lynxledge/wire"
 )
 
@@ -25,7 +25,7 @@
 // GuaranteedJobs tells which jobs are within their teams' guarantees: those that fit
 // together with the team's earlier unfinished jobs. What a team runs beyond its
 // guarantee is the rest. It sorts the claims.
-func GuaranteedJobs(claims []Claim, team func(string) config.Team) map[string]bool {
+func GuaranteedJobs(claims []Claim, team func(string) config.TeamQuota) map[string]bool {
 	slices.SortFunc(claims, compareClaims)
 	used := Usage{}
 	guaranteed := map[string]bool{}
@@ -47,7 +47,7 @@
 }
 
 // current is the claims of jobs as they are now.
-func (l *claimList) current(jobs map[string]*ledger.Job, done func(job string) int) []Claim {
+func (l *claimList) current(jobs map[string]*statecache.Job, done func(job string) int) []Claim {
 	if l.outdated {
 		l.claims = l.claims[:0]
 		for _, j := range jobs {
@@ -57,7 +57,7 @@
 	}
 	for i := range l.claims {
 		c := &l.claims[i]
-		c.Left = c.Job.Tasks - done(c.Job.ID)
+		c.Left = c.Job.TaskCount - done(c.Job.ID)
 	}
 	return l.claims
 }
@@ -65,7 +65,7 @@
 // judge brings up to date what a choice of victims looks at.
 func (p *Placer) judge(r *round, nodes []*Node) {
 	if r.guaranteed == nil {
-		r.guaranteed = GuaranteedJobs(p.claims.current(p.active, p.view.DoneCount), p.team)
+		r.guaranteed = GuaranteedJobs(p.claims.current(p.active, p.view.CompletedCount), p.team)
 	}
 	for _, n := range nodes {
 		if r.judged[n] {
@@ -80,7 +80,7 @@
 			j := p.active[t.Job.ID]
 			t.Stops = t.Stops || j == nil
 			t.Guaranteed = r.guaranteed[t.Job.ID]
-			t.Last = j != nil && p.view.Waits(t.Job.ID, j) <= 0
+			t.Last = j != nil && p.view.PendingTasks(t.Job.ID, j) <= 0
 			t.Spent = r.now.Sub(t.Since).Seconds()
 		}
 	}
--- a/internal/place/jobplacing.go
+++ b/internal/place/jobplacing.go
@@ -14,7 +14,7 @@
 	round *round
 	waiting
 	spec  *wire.Job
-	team  config.Team
+	team  config.TeamQuota
 	need  Resources
 	zones Zones // of the job's tasks, those placed here included
 
@@ -38,10 +38,10 @@
 	}
 	j := &jobPlacing{Placer: p, round: r, waiting: w, spec: spec, team: team, need: need, zones: p.zonesInRound(r, w.id)}
 	j.mayDisplace = j.pressing()
-	j.searches = p.rng.Float64() < r.searchShare[spec.Rank]
+	j.searches = p.rng.Float64() < r.searchShare[spec.Priority]
 	j.sample = j.avoidFailed(p.candidates(r, spec))
-	for n := p.low[w.id]; n < w.job.Tasks && r.placed[w.id] < w.most; n++ {
-		if j.failing() && len(p.view.Bound[w.id])+r.placed[w.id] > 0 {
+	for n := p.low[w.id]; n < w.job.TaskCount && r.placed[w.id] < w.most; n++ {
+		if j.failing() && len(p.view.Bindings[w.id])+r.placed[w.id] > 0 {
 			return // one at a time until one succeeds
 		}
 		if j.placedAlready(n) {
@@ -64,9 +64,9 @@
 	if j.job.PriorityInherited {
 		return false
 	}
-	within, _ := j.cfg.StartWithin(j.spec.Class)
+	within, _ := j.cfg.StartObjective(j.spec.Class)
 	age := j.round.now.Sub(time.UnixMilli(j.job.RunnableSince())).Seconds()
-	return j.spec.Rank == wire.RankProd || age >= (within-j.cfg.Params.Workers.ReportS/3)/2
+	return j.spec.Priority == wire.PriorityProduction || age >= (within-j.cfg.Params.Workers.HeartbeatInterval/3)/2
 }
 
 // failing tells whether the job's tasks are tried one at a time.
@@ -90,13 +90,13 @@
 
 // placedAlready tells whether a task is done or bound.
 func (j *jobPlacing) placedAlready(n int) bool {
-	if j.view.IsDone(j.id, n) {
+	if j.view.IsCompleted(j.id, n) {
 		if n == j.low[j.id] {
 			j.low[j.id] = n + 1
 		}
 		return true
 	}
-	_, bound := j.view.Bound[j.id][n]
+	_, bound := j.view.Bindings[j.id][n]
 	return bound
 }
 
@@ -149,8 +149,8 @@
 		return nil
 	}
 	var v *Victims
-	entitled := j.spec.Rank >= wire.RankHigh || j.round.tally.WithinGuarantee(j.team, j.need)
-	if j.mayDisplace && entitled && (node == nil || j.spec.Rank >= wire.RankHigh && j.fetchesTooLong(j.spec, node)) {
+	entitled := j.spec.Priority >= wire.PriorityHigh || j.round.tally.WithinGuarantee(j.team, j.need)
+	if j.mayDisplace && entitled && (node == nil || j.spec.Priority >= wire.PriorityHigh && j.fetchesTooLong(j.spec, node)) {
 		// Where its image is, other work makes room for it.
 		where := j.occupiedNodes()
 		if node != nil {
@@ -158,7 +158,7 @@
 		}
 		v = Preempt(j.spec, j.zones, j.offers, where, j.round.tally, j.Placer.team)
 	}
-	if node == nil && v == nil && j.spec.Spread && j.spec.Service() {
+	if node == nil && v == nil && j.spec.SpreadZones && j.spec.IsService() {
 		v = Move(j.spec, j.zones, j.occupiedNodes())
 	}
 	return v
--- a/internal/place/launch.go
+++ b/internal/place/launch.go
@@ -10,7 +10,7 @@
 
 // LaunchAge is how old the view may be from which a task is launched.
 func LaunchAge(cfg *config.Config) time.Duration {
-	return config.Secs(launchAge * cfg.Params.Workers.ReportS)
+	return config.Seconds(launchAge * cfg.Params.Workers.HeartbeatInterval)
 }
 
 // launchAge, in report intervals, is what a ledger that has state keeps its view
@@ -27,10 +27,10 @@
 		return
 	}
 	for m, rec := range r.rows {
-		cmd := wire.Commands{Token: rec.Token, Session: rec.Session, Orders: append(r.stops[m], r.starts[m]...)}
-		slog.Debug("placing", "machine", m, "starts", len(r.starts[m]), "stops", len(r.stops[m]), "first", cmd.Orders[len(r.stops[m])].Task)
+		cmd := wire.CommandBatch{FencingToken: rec.FencingToken, Incarnation: rec.Incarnation, Commands: append(r.stops[m], r.starts[m]...)}
+		slog.Debug("placing", "machine", m, "starts", len(r.starts[m]), "stops", len(r.stops[m]), "first", cmd.Commands[len(r.stops[m])].Task)
 		go func() {
-			rep, err := p.worker.Do(p.ctx, rec.Addr, cmd)
+			rep, err := p.worker.Do(p.ctx, rec.Address, cmd)
 			if err != nil {
 				slog.Debug("commands unanswered", "machine", m, "err", err)
 				p.Send(func() { p.unreliable[m] = time.Now().Add(p.reportS(1)) })
--- a/internal/place/nodes.go
+++ b/internal/place/nodes.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"lynxledge/internal/ledger"
+	"lynxledge/internal/statecache"
 )
 
 type pool struct {
@@ -25,7 +25,7 @@
 
 // bindChanged takes a machine's new row over: what is bound since when, and
 // which images are there.
-func (p *Placer) bindChanged(c ledger.MachineChange, now time.Time) {
+func (p *Placer) bindChanged(c statecache.MachineChange, now time.Time) {
 	p.renew(c.Machine, c.New)
 	if c.New == nil {
 		delete(p.images, c.Machine)
@@ -38,13 +38,13 @@
 			p.file(c.New.Group, c.Machine, n)
 		}
 	}
-	for i := range c.New.Tasks {
-		t := &c.New.Tasks[i]
-		if c.Old != nil && c.Old.Find(t.Job, t.N) != nil {
+	for i := range c.New.Bindings {
+		t := &c.New.Bindings[i]
+		if c.Old != nil && c.Old.FindBinding(t.Job, t.TaskIndex) != nil {
 			continue
 		}
 		if j := p.view.Jobs[t.Job]; j != nil && j.Spec != nil {
-			p.fetched(c.Machine, c.New.Type, j.Spec.Image, j.Spec.ImageGB)
+			p.fetched(c.Machine, c.New.MachineType, j.Spec.Image, j.Spec.ImageGB)
 		}
 	}
 }
@@ -76,12 +76,12 @@
 
 // renew makes a machine's node anew from its row, and keeps the sums and the
 // indexes over the nodes; without a row the node goes.
-func (p *Placer) renew(machine string, b *ledger.Machine) {
+func (p *Placer) renew(machine string, b *statecache.Machine) {
 	n := p.nodes[machine]
 	if n != nil {
 		p.index(n, -1)
 	}
-	if b == nil || p.types[b.Type] == nil {
+	if b == nil || p.types[b.MachineType] == nil {
 		if n != nil {
 			p.all = unlist(p.all, n, func(n *Node) *int { return &n.all })
 		}
@@ -138,7 +138,7 @@
 		s := p.pools[*n.pool]
 		s.open += int(sign)
 		for _, j := range n.held {
-			if j.Service() {
+			if j.IsService() {
 				s.kept = s.kept.Plus(RequestOf(j), sign)
 			}
 		}
@@ -153,29 +153,29 @@
 	if n.HasRoom() {
 		p.roomy = enlist(p.roomy, n, byRoom)
 	}
-	if b := p.view.Machines[n.Name]; b.Session == 0 && b.Drain == "" {
+	if b := p.view.Machines[n.Name]; b.Incarnation == 0 && b.DrainReason == "" {
 		p.starts[n.Name] = n
 	}
 }
 
 // fill makes a node say what a row does.
-func (p *Placer) fill(n *Node, b *ledger.Machine) {
+func (p *Placer) fill(n *Node, b *statecache.Machine) {
 	old := n.Tasks
-	n.Group, n.Type, n.Zone, n.Spot, n.Open = b.Group, p.types[b.Type], b.Zone, b.Spot, b.Open()
-	n.Used, n.Tasks = Resources{}, make([]Task, 0, len(b.Tasks))
-	for i := range b.Tasks {
-		t := &b.Tasks[i]
-		task := Task{N: t.N, Stops: t.Stop > 0, Since: time.Now()}
+	n.Group, n.Type, n.Zone, n.Spot, n.Open = b.Group, p.types[b.MachineType], b.Zone, b.Spot, b.Schedulable()
+	n.Used, n.Tasks = Resources{}, make([]Task, 0, len(b.Bindings))
+	for i := range b.Bindings {
+		t := &b.Bindings[i]
+		task := Task{N: t.TaskIndex, Stops: t.StopToken > 0, Since: time.Now()}
 		if j := p.view.Jobs[t.Job]; j != nil && j.Spec != nil {
 			task.Job = j.Spec
 			// What is ordered to stop without saving is gone before a launch in
 			// the same commands is carried out.
-			if t.Stop == 0 || t.Grace > 0 {
+			if t.StopToken == 0 || t.GraceSeconds > 0 {
 				n.Used = n.Used.Plus(RequestOf(j.Spec), 1)
 			}
 		}
 		for _, o := range old {
-			if o.N == t.N && o.Job != nil && o.Job.ID == t.Job {
+			if o.N == t.TaskIndex && o.Job != nil && o.Job.ID == t.Job {
 				task.Since = o.Since
 			}
 		}
--- a/internal/place/observations.go
+++ b/internal/place/observations.go
@@ -4,14 +4,14 @@
 	"maps"
 	"time"
 
-	"lynxledge/internal/ledger"
+	"lynxledge/internal/statecache"
 	"lynxledge/wire"
 )
 
 // Observation is a report that proves something of its machine's record, and how long
 // the tasks ran that it calls ended, as far as its hearer knows.
 type Observation struct {
-	Report *wire.Report       `json:"report"`
+	Report *wire.Heartbeat    `json:"report"`
 	RanS   map[string]float64 `json:"ranS,omitempty"`
 }
 
@@ -35,7 +35,7 @@
 			old = nil // it was written: what is new waits its own time
 		}
 		if old != nil {
-			if old.Report.Session > n.Report.Session || old.Report.Session == n.Report.Session && old.Report.Seq >= n.Report.Seq {
+			if old.Report.Incarnation > n.Report.Incarnation || old.Report.Incarnation == n.Report.Incarnation && old.Report.Sequence >= n.Report.Sequence {
 				return
 			}
 			if old.due.Before(due) {
@@ -63,7 +63,7 @@
 }
 
 // ended counts the tasks that a report shows ended.
-func ended(rep *wire.Report) int {
+func ended(rep *wire.Heartbeat) int {
 	n := 0
 	for i := range rep.Tasks {
 		if rep.Tasks[i].State == wire.TaskExited {
@@ -74,7 +74,7 @@
 }
 
 // proves tells whether a note still has anything to write.
-func (p *Placer) proves(rec *ledger.Machine, n *pendingObservation) bool {
+func (p *Placer) proves(rec *statecache.Machine, n *pendingObservation) bool {
 	proof := Reconcile(rec, n.Report, p.view.Active)
 	return proof.Changes()
 }
--- a/internal/place/order.go
+++ b/internal/place/order.go
@@ -81,8 +81,8 @@
 			}
 			return 1
 		}
-		if a.job.Spec.Rank != b.job.Spec.Rank {
-			return int(b.job.Spec.Rank - a.job.Spec.Rank)
+		if a.job.Spec.Priority != b.job.Spec.Priority {
+			return int(b.job.Spec.Priority - a.job.Spec.Priority)
 		}
 		if a.late != b.late {
 			return a.late - b.late
--- a/internal/place/placer.go
+++ b/internal/place/placer.go
@@ -11,13 +11,13 @@
 
 	"lynxledge/internal/actor"
 	"lynxledge/internal/config"
-	"lynxledge/internal/ledger"
+	"lynxledge/internal/statecache"
 	"lynxledge/wire"
 )
 
 // Commander sends commands straight to a worker.
 type Commander interface {
-	Do(ctx context.Context, addr string, cmd wire.Commands) (*wire.Report, error)
+	Do(ctx context.Context, addr string, cmd wire.CommandBatch) (*wire.Heartbeat, error)
 }
 
 // Placer is the actor that writes what is bound to machines: it places the
@@ -29,21 +29,21 @@
 	ctx    context.Context
 	cfg    *config.Config
 	boot   uint64
-	ledger *ledger.Ledger
+	ledger *statecache.Cache
 	worker Commander
-	report func(*wire.Report) // takes what workers answer to commands
+	report func(*wire.Heartbeat) // takes what workers answer to commands
 	rng    *rand.Rand
 	pace   *rate.Limiter // of writes
 
 	othersWrites writeMeter
 	ownWrites    int // writes committed here that the ledger has not told of yet
 
-	view       *ledger.View
+	view       *statecache.View
 	epoch      uint64
 	fresh      time.Time
 	types      map[string]*wire.MachineType
 	offers     Offers
-	active     map[string]*ledger.Job
+	active     map[string]*statecache.Job
 	claims     claimList // of the active jobs
 	runs       *Estimates
 	low        map[string]int       // lowest task of a job that may not be done
@@ -68,36 +68,36 @@
 	completeSince       map[string]time.Time                      // complete jobs that are not called done yet, since
 	largeRecords        map[string]bool                           // groups whose records can hardly be written, or not at all
 	fullRecords         map[string]bool                           // groups whose records are full before their machines are
-	cancelledDependents map[string]*ledger.Job                    // cancelled with a predecessor, which their own records don't say yet
+	cancelledDependents map[string]*statecache.Job                // cancelled with a predecessor, which their own records don't say yet
 
 	busy      bool
 	scheduled bool
 }
 
 // Start runs a placer. report must not wait for the placer.
-func Start(ctx context.Context, cfg *config.Config, boot uint64, l *ledger.Ledger, w Commander, report func(*wire.Report)) *Placer {
+func Start(ctx context.Context, cfg *config.Config, boot uint64, l *statecache.Cache, w Commander, report func(*wire.Heartbeat)) *Placer {
 	p := newPlacer(cfg, boot)
 	p.Actor = actor.Start(ctx, "placer", 512)
 	p.ctx = ctx
 	p.ledger = l
 	p.worker = w
 	p.report = report
-	l.Subscribe(func(d ledger.Delta) { p.Send(func() { p.apply(d) }) })
+	l.Subscribe(func(d statecache.Update) { p.Send(func() { p.apply(d) }) })
 	p.Every(p.reportS(1.0/6), p.schedule)
 	return p
 }
 
 // newPlacer makes a placer that knows nothing yet and does not run.
 func newPlacer(cfg *config.Config, boot uint64) *Placer {
-	s := cfg.Params.State
+	s := cfg.Params.Store
 	p := &Placer{
 		cfg:                 cfg,
 		boot:                boot,
 		rng:                 rand.New(rand.NewPCG(boot, 1)),
-		pace:                rate.NewLimiter(rate.Limit(s.WriteRPS*cfg.Ops.StateShare), s.Ops()),
-		view:                ledger.NewRunningView(ledger.ChunkTasks(s.ValueKB)),
+		pace:                rate.NewLimiter(rate.Limit(s.WriteRate*cfg.Operator.SchedulerWriteShare), s.TxnOpsLimit()),
+		view:                statecache.NewUnfinishedView(statecache.ChunkTasks(s.MaxValueKB)),
 		types:               map[string]*wire.MachineType{},
-		active:              map[string]*ledger.Job{},
+		active:              map[string]*statecache.Job{},
 		runs:                NewEstimates(),
 		low:                 map[string]int{},
 		images:              map[string][]image{},
@@ -112,7 +112,7 @@
 		completeSince:       map[string]time.Time{},
 		largeRecords:        map[string]bool{},
 		fullRecords:         map[string]bool{},
-		cancelledDependents: map[string]*ledger.Job{},
+		cancelledDependents: map[string]*statecache.Job{},
 	}
 	p.othersWrites.window = p.reportS(meterReports)
 	return p
@@ -123,7 +123,7 @@
 
 // reportS is a multiple of the workers' report interval.
 func (p *Placer) reportS(times float64) time.Duration {
-	return config.Secs(p.cfg.Params.Workers.ReportS * times)
+	return config.Seconds(p.cfg.Params.Workers.HeartbeatInterval * times)
 }
 
 // SetTypes tells the placer of the machine types.
@@ -148,26 +148,26 @@
 	})
 }
 
-func (p *Placer) apply(d ledger.Delta) {
+func (p *Placer) apply(d statecache.Update) {
 	now := time.Now()
-	p.epoch, p.fresh = d.Epoch, d.Fresh
+	p.epoch, p.fresh = d.Revision, d.FreshAsOf
 	p.countOthers(len(d.Changes), now)
 	for _, c := range d.Changes {
 		machines := p.view.Apply(c)
 		switch c.Kind {
-		case ledger.KindBind:
+		case statecache.KindMachineGroup:
 			for _, m := range machines {
 				p.bindChanged(m, now)
 			}
-			if g, _ := c.Rec.(*ledger.Group); g != nil {
+			if g, _ := c.Record.(*statecache.MachineGroup); g != nil {
 				p.left(g, now)
-				if delete(p.largeRecords, c.Name); g.Kept() > p.valueBytes(splitFrom) {
+				if delete(p.largeRecords, c.Name); g.RetainedSize() > p.valueBytes(splitFrom) {
 					p.largeRecords[c.Name] = true
 				}
-				if len(g.Departures) > 0 {
+				if len(g.Terminations) > 0 {
 					p.proved = now
 				}
-				for job := range g.Marks {
+				for job := range g.Completions {
 					p.noteIfComplete(job, now)
 				}
 			} else {
@@ -175,12 +175,12 @@
 				delete(p.largeRecords, c.Name)
 				delete(p.fullRecords, c.Name)
 			}
-		case ledger.KindDone:
+		case statecache.KindCompletionChunk:
 			job, _, _ := strings.Cut(c.Name, "/")
 			p.noteIfComplete(job, now)
-		case ledger.KindJob:
-			j, _ := c.Rec.(*ledger.Job)
-			if j != nil && j.Derived {
+		case statecache.KindJob:
+			j, _ := c.Record.(*statecache.Job)
+			if j != nil && j.CancelledByDependency {
 				p.cancelledDependents[c.Name] = j
 			} else {
 				delete(p.cancelledDependents, c.Name)
@@ -207,7 +207,7 @@
 }
 
 func (p *Placer) noteIfComplete(job string, now time.Time) {
-	if _, ok := p.completeSince[job]; !ok && p.view.Complete(job) {
+	if _, ok := p.completeSince[job]; !ok && p.view.AllTasksCompleted(job) {
 		p.completeSince[job] = now
 	}
 }
@@ -233,8 +233,8 @@
 	return slices.DeleteFunc(slices.Clone(nodes), func(n *Node) bool { return !n.Image(image) })
 }
 
-func (p *Placer) team(name string) config.Team {
-	t, _ := p.cfg.Params.Team(name)
+func (p *Placer) team(name string) config.TeamQuota {
+	t, _ := p.cfg.Params.TeamQuota(name)
 	t.Name = name
 	return t
 }
