--- a/cmd/lynxledge/run.go
+++ b/cmd/lynxledge/run.go
@@ -21,32 +21,32 @@
 
 	"lynxledge/internal/actor"
 	"lynxledge/internal/apiserver"
+	"lynxledge/internal/autoscaler"
 	"lynxledge/internal/cloud"
 	"lynxledge/internal/config"
 	"lynxledge/internal/connlimit"
 	"lynxledge/internal/election"
+	"lynxledge/internal/heartbeat"
 	"lynxledge/internal/kvstore"
-	"lynxledge/internal/mesh"
 	"lynxledge/internal/overload"
-	"lynxledge/internal/place"
+	"lynxledge/internal/peer"
 	"lynxledge/internal/recovery"
-	"lynxledge/internal/rent"
-	"lynxledge/internal/reports"
+	"lynxledge/internal/scheduler"
 	"lynxledge/internal/standby"
 	"lynxledge/internal/statecache"
 	"lynxledge/internal/worker"
 	"lynxledge/internal/zonecontrol"
 )
 
-// memoryShare is the part of the memory limit at which Go collects harder;
+// goMemoryLimitShare is the part of the memory limit at which Go collects harder;
 // the rest is for what its heap doesn't count.
-const memoryShare = 0.6
+const goMemoryLimitShare = 0.6
 
 func run(cfg *config.Config) error {
 	logLevel()
 	res := cfg.Params.Resources
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(res.CPUCores))))
-	debug.SetMemoryLimit(int64(res.MemoryMB * memoryShare * (1 << 20)))
+	debug.SetMemoryLimit(int64(res.MemoryMB * goMemoryLimitShare * (1 << 20)))
 	debug.SetGCPercent(800)
 
 	if small := cfg.Warnings(); len(small) > 0 {
@@ -79,8 +79,8 @@
 func serve(ctx context.Context, cfg *config.Config, users, peers net.Listener) error {
 	p, ops := cfg.Params, cfg.Operator
 	report := config.Seconds(p.Workers.HeartbeatInterval)
-	sockets := socketsOf(p.Resources)
-	n := assemble(ctx, cfg, rand.Uint64()>>1, links{
+	sockets := newSocketBudget(p.Resources)
+	n := assemble(ctx, cfg, rand.Uint64()>>1, connections{
 		state:   kvstore.New(cfg.External.State, p.Store.RequestRateLimit(), p.Store.WriteRate, p.Store.MaxTxnOps, report/2),
 		cloud:   cloud.New(cfg.External.Cloud, p.Cloud.RequestRate, ops.CloudRateShare, 2*report),
 		workers: worker.New(report, sockets.idleCommands, sockets.busyCommands),
@@ -125,24 +125,24 @@
 	srv.Close()
 }
 
-// links are a controller's ways to the world.
-type links struct {
+// connections are a controller's ways to the world.
+type connections struct {
 	state interface {
 		statecache.Store
 		election.LeaseClient
 	}
-	cloud   rent.Cloud
+	cloud   autoscaler.Cloud
 	workers interface {
-		place.Commander
-		rent.Prober
+		scheduler.CommandSender
+		autoscaler.Prober
 	}
-	peers mesh.Dial
+	peers peer.Dial
 }
 
 // node is a controller's actors that take requests.
 type node struct {
 	server   *apiserver.Server
-	mesh     *mesh.Mesh
+	mesh     *peer.Transport
 	zones    *zonecontrol.Controller // nil: zone recovery is off
 	standby  *standby.Standby        // nil: early takeovers are off
 	election *election.Election
@@ -151,7 +151,7 @@
 
 // assemble starts a controller's actors. boot tells this process from its
 // earlier ones.
-func assemble(ctx context.Context, cfg *config.Config, boot uint64, to links) node {
+func assemble(ctx context.Context, cfg *config.Config, boot uint64, to connections) node {
 	p, ops := cfg.Params, cfg.Operator
 	report := config.Seconds(p.Workers.HeartbeatInterval)
 	chunk := statecache.ChunkTasks(p.Store.MaxValueKB)
@@ -163,29 +163,29 @@
 		ChunkTasks: chunk, WatchHold: 5 * report, MinWatchInterval: readPause(cfg, watchShare), MinRefreshInterval: readPause(cfg, refreshShare),
 		MaxViewAge: report / 2, Backoff: report / 30, WriteInterval: config.Seconds(1 / p.Store.WriteRate),
 		MaxValueBytes: p.Store.ValueSizeLimit(), MaxCompletionChunkBytes: int(p.Store.MaxValueKB * 1024), OnThrottled: cfg.StoreRates.ObserveThrottled, OnSizeRejected: cfg.StoreRates.ObserveLowerSizeLimit,
-		JobCountWarning: manyJobs(p.Resources),
+		JobCountWarning: jobCountWarning(p.Resources),
 	})
-	msh := mesh.Start(ctx, cfg, to.peers, led.FreshAsOf)
-	var placer *place.Placer
-	rep := reports.Start(ctx, cfg, boot, led, reports.Links{
-		Elsewhere: msh.Elsewhere, Alone: msh.Alone, Tell: msh.Tell,
-		Note: func(n place.Observation, wait time.Duration) { placer.Observe(n, wait) },
+	msh := peer.Start(ctx, cfg, to.peers, led.FreshAsOf)
+	var placer *scheduler.Scheduler
+	rep := heartbeat.Start(ctx, cfg, boot, led, heartbeat.Routes{
+		FreshPeer: msh.FreshPeer, Isolated: msh.Isolated, SendEvidence: msh.SendEvidence,
+		ApplyEvidence: func(n scheduler.Evidence, wait time.Duration) { placer.HandleEvidence(n, wait) },
 	})
-	placer = place.Start(ctx, cfg, boot, led, to.workers, rep.Handle)
+	placer = scheduler.Start(ctx, cfg, boot, led, to.workers, rep.HandleCommandResponse)
 	front := apiserver.Start(ctx, cfg, led, rep, msh)
-	renter := rent.Start(ctx, cfg, boot, led, to.cloud, to.workers, rep.Handle)
-	rep.Heard(msh.Heard)
-	rep.Heard(renter.Heard)
-	msh.OnHeard(renter.Heard)
-	msh.OnObservation(func(n place.Observation) { placer.Observe(n, 0) })
+	renter := autoscaler.Start(ctx, cfg, boot, led, to.cloud, to.workers, rep.HandleCommandResponse)
+	rep.OnReachable(msh.AnnounceReachable)
+	rep.OnReachable(renter.MachinesReachable)
+	msh.OnReachable(renter.MachinesReachable)
+	msh.OnEvidence(func(n scheduler.Evidence) { placer.HandleEvidence(n, 0) })
 	elect := election.Start(ctx, to.state, led, election.Options{
 		MemberName: cfg.MemberName, Incarnation: boot, LeaseTTL: time.Duration(float64(report) * ops.MemberLeaseHeartbeats),
 		Teams: teams(p.Teams), MaxTxnOps: p.Store.TxnOpsLimit(), ChunkTasks: chunk, Capabilities: capabilities(ops),
 	})
 	catalog := cloud.NewCatalog(ctx, to.cloud)
-	catalog.Subscribe(front.SetTypes)
-	catalog.Subscribe(placer.SetTypes)
-	catalog.Subscribe(renter.SetTypes)
+	catalog.Subscribe(front.SetMachineTypes)
+	catalog.Subscribe(placer.SetMachineTypes)
+	catalog.Subscribe(renter.SetMachineTypes)
 	n := node{
 		server:   front,
 		mesh:     msh,
@@ -194,17 +194,17 @@
 	}
 	if ops.ZoneRecovery != nil {
 		zones := zonecontrol.Start(ctx, cfg, boot, led, placer)
-		placer.AskBeforeRounds(recovery.NewAdvisor(cfg))
-		renter.FollowRecovery(recovery.NewRentals(cfg), zones.Refused)
-		rep.Heard(func(machines []string) { zones.Heard(cfg.MemberName, machines) })
-		msh.OnHeardBy(zones.Heard)
-		catalog.Subscribe(zones.SetTypes)
+		placer.SetAdvisor(recovery.NewAdvisor(cfg))
+		renter.SetZoneRecovery(recovery.NewScalingPolicy(cfg), zones.PoolExhausted)
+		rep.OnReachable(func(machines []string) { zones.MachinesReachable(cfg.MemberName, machines) })
+		msh.OnReachableBy(zones.MachinesReachable)
+		catalog.Subscribe(zones.SetMachineTypes)
 		n.zones = zones
 		n.actors = append(n.actors, zones.Actor)
 	}
 	if ops.Standby != nil {
 		n.standby = standby.Start(ctx, cfg, boot, led, elect)
-		msh.Watch(n.standby, boot, standby.Heartbeat(cfg))
+		msh.Watch(n.standby, boot, standby.HeartbeatInterval(cfg))
 		n.actors = append(n.actors, n.standby.Actor)
 	}
 	go catalog.Run(ctx, 12*config.Seconds(ops.PlanningInterval), report/3)
@@ -238,8 +238,8 @@
 // operators are warned.
 const jobMemoryShare = 0.15
 
-// manyJobs is how many jobs that is.
-func manyJobs(r config.ControllerResources) int {
+// jobCountWarning is how many jobs that is.
+func jobCountWarning(r config.ControllerResources) int {
 	return int(r.MemoryMB * (1 << 20) * jobMemoryShare / statecache.FinishedJobBytes)
 }
 
--- a/cmd/lynxledge/sockets.go
+++ b/cmd/lynxledge/sockets.go
@@ -31,8 +31,8 @@
 	busyCommands int
 }
 
-// socketsOf is the budget of a process. Without a limit nothing is bounded.
-func socketsOf(resources config.ControllerResources) socketBudget {
+// newSocketBudget is the budget of a process. Without a limit nothing is bounded.
+func newSocketBudget(resources config.ControllerResources) socketBudget {
 	sockets := socketBudget{inbound: math.MaxInt, idleCommands: math.MaxInt16, busyCommands: math.MaxInt16}
 	if limit := float64(resources.FileDescriptorLimit); limit > 0 {
 		sockets.inbound = int(inboundShare * limit)
--- a/internal/actor/actor.go
+++ b/internal/actor/actor.go
@@ -11,14 +11,14 @@
 
 // Actor is one mailbox with one owner.
 type Actor struct {
-	name string
-	box  chan func()
-	done <-chan struct{}
+	name    string
+	mailbox chan func()
+	done    <-chan struct{}
 }
 
 // Start runs an actor with a mailbox of the given size until ctx ends.
 func Start(ctx context.Context, name string, size int) *Actor {
-	a := &Actor{name: name, box: make(chan func(), size), done: ctx.Done()}
+	a := &Actor{name: name, mailbox: make(chan func(), size), done: ctx.Done()}
 	go a.loop()
 	return a
 }
@@ -28,7 +28,7 @@
 		select {
 		case <-a.done:
 			return
-		case f := <-a.box:
+		case f := <-a.mailbox:
 			a.handle(f)
 		}
 	}
@@ -47,7 +47,7 @@
 // Post leaves a message if the mailbox has room.
 func (a *Actor) Post(f func()) bool {
 	select {
-	case a.box <- f:
+	case a.mailbox <- f:
 		return true
 	default:
 		return false
@@ -57,7 +57,7 @@
 // Send leaves a message, waiting for room.
 func (a *Actor) Send(f func()) {
 	select {
-	case a.box <- f:
+	case a.mailbox <- f:
 	case <-a.done:
 	}
 }
--- a/internal/apiserver/answers.go
+++ b/internal/apiserver/answers.go
@@ -11,7 +11,7 @@
 	"lynxledge/wire"
 )
 
-func answer(w http.ResponseWriter, status int, v any) {
+func writeJSON(w http.ResponseWriter, status int, v any) {
 	b, err := json.Marshal(v)
 	if err != nil {
 		status, b = http.StatusInternalServerError, nil
@@ -23,27 +23,27 @@
 	_, _ = w.Write(b)
 }
 
-func refuse(w http.ResponseWriter, status int, why string) {
-	answer(w, status, wire.ErrorResponse{Message: why})
+func writeError(w http.ResponseWriter, status int, why string) {
+	writeJSON(w, status, wire.ErrorResponse{Message: why})
 }
 
-// refuseUntil refuses what can't be taken now, and says after which time to come back.
-func refuseUntil(w http.ResponseWriter, status int, wait time.Duration, why string) {
+// writeRetryAfter refuses what can't be taken now, and says after which time to come back.
+func writeRetryAfter(w http.ResponseWriter, status int, wait time.Duration, why string) {
 	seconds := int(math.Ceil(wait.Seconds()))
 	w.Header().Set("Retry-After", strconv.Itoa(seconds))
-	refuse(w, status, why)
+	writeError(w, status, why)
 }
 
-// refuseForNow refuses what can't be taken now, but may be the next moment.
-func refuseForNow(w http.ResponseWriter, why string) {
-	refuseUntil(w, http.StatusServiceUnavailable, minRetryAfter, why)
+// writeUnavailable refuses what can't be taken now, but may be the next moment.
+func writeUnavailable(w http.ResponseWriter, why string) {
+	writeRetryAfter(w, http.StatusServiceUnavailable, minRetryAfter, why)
 }
 
-// body reads a request's body; false when it was answered already.
-func body(w http.ResponseWriter, r *http.Request) ([]byte, bool) {
+// readBody reads a request's body; false when it was answered already.
+func readBody(w http.ResponseWriter, r *http.Request) ([]byte, bool) {
 	b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, wire.MaxBodyBytes))
 	if err != nil {
-		refuse(w, http.StatusBadRequest, "body unreadable or over 64 KiB")
+		writeError(w, http.StatusBadRequest, "body unreadable or over 64 KiB")
 		return nil, false
 	}
 	return b, true
--- a/internal/apiserver/server.go
+++ b/internal/apiserver/server.go
@@ -15,54 +15,54 @@
 
 	"lynxledge/internal/actor"
 	"lynxledge/internal/config"
-	"lynxledge/internal/reports"
+	"lynxledge/internal/heartbeat"
 	"lynxledge/internal/statecache"
 	"lynxledge/wire"
 )
 
 // Times that bound an answer. The protocol gives submissions 5 s and polls 2.
 const (
-	answerWait = 1500 * time.Millisecond
-	tryAgain   = 400 * time.Millisecond // for refusals of the state service
+	responseTimeout = 1500 * time.Millisecond
+	retryAfter      = 400 * time.Millisecond // for refusals of the state service
 )
 
 // Peer passes a request on to another controller that has state.
 type Peer interface {
 	Forward(ctx context.Context, method, path string, body []byte) (status int, answer []byte, err error)
-	Elsewhere() string // the name of such a controller, or ""
+	FreshPeer() string // the name of such a controller, or ""
 }
 
-// Forwarded marks requests that another controller passed on; they are not
+// ForwardedHeader marks requests that another controller passed on; they are not
 // passed on again.
-const Forwarded = "Lynxledge-Forwarded"
+const ForwardedHeader = "Lynxledge-Forwarded"
 
 // Server is the actor that knows the jobs as users see them.
 type Server struct {
 	*actor.Actor
-	cfg     *config.Config
-	ledger  *statecache.Cache
-	reports *reports.Reports
-	peer    Peer
-	pace    *rate.Limiter // of accepted jobs
-	turns   turnList      // of users whose submissions were refused
-	stale   time.Duration // a view older than this is not worth a commit
+	config     *config.Config
+	cache      *statecache.Cache
+	heartbeats *heartbeat.Receiver
+	peer       Peer
+	admission  *rate.Limiter  // of accepted jobs
+	queue      admissionQueue // of users whose submissions were refused
+	maxViewAge time.Duration  // a view older than this is not worth a commit
 
-	view  *statecache.View
-	fresh time.Time
-	types []wire.MachineType
+	view         *statecache.View
+	freshAsOf    time.Time
+	machineTypes []wire.MachineType
 }
 
 // Start runs the actor. peer may be nil.
-func Start(ctx context.Context, cfg *config.Config, l *statecache.Cache, r *reports.Reports, peer Peer) *Server {
+func Start(ctx context.Context, cfg *config.Config, l *statecache.Cache, r *heartbeat.Receiver, peer Peer) *Server {
 	f := &Server{
-		Actor: actor.Start(ctx, "apiserver", 512), cfg: cfg, ledger: l, reports: r, peer: peer,
-		stale: config.Seconds(cfg.Params.Workers.HeartbeatInterval),
-		pace:  newPace(cfg),
-		view:  statecache.NewView(statecache.ChunkTasks(cfg.Params.Store.MaxValueKB)),
+		Actor: actor.Start(ctx, "apiserver", 512), config: cfg, cache: l, heartbeats: r, peer: peer,
+		maxViewAge: config.Seconds(cfg.Params.Workers.HeartbeatInterval),
+		admission:  newAdmissionLimiter(cfg),
+		view:       statecache.NewView(statecache.ChunkTasks(cfg.Params.Store.MaxValueKB)),
 	}
 	l.Subscribe(func(d statecache.Update) {
 		f.Send(func() {
-			f.fresh = d.FreshAsOf
+			f.freshAsOf = d.FreshAsOf
 			for _, c := range d.Changes {
 				f.view.Apply(c)
 			}
@@ -71,65 +71,65 @@
 	return f
 }
 
-// SetTypes tells the front of the machine types.
-func (f *Server) SetTypes(types []wire.MachineType) { f.Send(func() { f.types = types }) }
+// SetMachineTypes tells the front of the machine types.
+func (f *Server) SetMachineTypes(types []wire.MachineType) { f.Send(func() { f.machineTypes = types }) }
 
 // Handler routes requests.
 func (f *Server) Handler() http.Handler {
 	r := chi.NewRouter()
 	r.Post("/work", f.submit)
 	r.Get("/work/{id}", f.poll)
-	r.Post("/work/{id}/abort", f.abort)
+	r.Post("/work/{id}/abort", f.cancel)
 	r.Get("/ready", f.ready)
-	r.Post("/hello", f.hello)
+	r.Post("/hello", f.handleHeartbeat)
 	return r
 }
 
-var errNoState = errors.New("state service not reachable")
+var errStoreUnreachable = errors.New("state service not reachable")
 
-// lost tells whether this node has had no word of the state service for so long
+// storeUnreachable tells whether this node has had no word of the state service for so long
 // that a call would only hang: the time that a user waits is better spent on
 // another controller.
-func (f *Server) lost() bool { return time.Since(f.ledger.FreshAsOf()) > f.stale }
+func (f *Server) storeUnreachable() bool { return time.Since(f.cache.FreshAsOf()) > f.maxViewAge }
 
-// barrier waits until the view holds everything committed before the call.
-func (f *Server) barrier(ctx context.Context) error {
-	if f.lost() {
-		return errNoState
+// linearizableRead waits until the view holds everything committed before the call.
+func (f *Server) linearizableRead(ctx context.Context) error {
+	if f.storeUnreachable() {
+		return errStoreUnreachable
 	}
 	ch := make(chan error, 1)
-	f.ledger.Refresh(func(err error) {
+	f.cache.Refresh(func(err error) {
 		if err != nil {
 			ch <- err
 			return
 		}
 		if !f.Post(func() { ch <- nil }) { // behind the delta in our mailbox
-			ch <- errNoState
+			ch <- errStoreUnreachable
 		}
 	})
 	select {
 	case err := <-ch:
 		return err
 	case <-ctx.Done():
-		return errNoState
+		return errStoreUnreachable
 	}
 }
 
-// look is what the view says of a job.
-type look struct {
+// jobSnapshot is what the view says of a job.
+type jobSnapshot struct {
 	known  bool
 	status wire.JobStatus
 	job    *statecache.Job
 }
 
-func (f *Server) look(id string) (look, bool) {
-	return actor.Ask(f.Actor, func(reply func(look)) {
+func (f *Server) snapshot(id string) (jobSnapshot, bool) {
+	return actor.Ask(f.Actor, func(reply func(jobSnapshot)) {
 		j := f.view.Jobs[id]
 		if j == nil {
-			reply(look{})
+			reply(jobSnapshot{})
 			return
 		}
-		l := look{known: true, job: j, status: wire.JobStatus{ID: id, State: j.State}}
+		l := jobSnapshot{known: true, job: j, status: wire.JobStatus{ID: id, State: j.State}}
 		switch j.State {
 		case wire.JobDone:
 			l.status.CompletedTasks = j.TaskCount
@@ -145,71 +145,71 @@
 	})
 }
 
-// current is a job's state no older than the call: a final one from memory,
+// currentSnapshot is a job's state no older than the call: a final one from memory,
 // any other after a read of the state service.
-func (f *Server) current(ctx context.Context, id string) (look, error) {
-	l, ok := f.look(id)
+func (f *Server) currentSnapshot(ctx context.Context, id string) (jobSnapshot, error) {
+	l, ok := f.snapshot(id)
 	if ok && l.known && !l.job.Active() {
 		return l, nil
 	}
-	if err := f.barrier(ctx); err != nil {
-		return look{}, err
+	if err := f.linearizableRead(ctx); err != nil {
+		return jobSnapshot{}, err
 	}
-	if l, ok = f.look(id); !ok {
-		return look{}, errNoState
+	if l, ok = f.snapshot(id); !ok {
+		return jobSnapshot{}, errStoreUnreachable
 	}
 	return l, nil
 }
 
-// relay passes a request on when this node can't answer for want of state;
+// forwardToPeer passes a request on when this node can't answer for want of state;
 // without a controller that can, the user is told at once to come back.
-func (f *Server) relay(ctx context.Context, w http.ResponseWriter, r *http.Request, body []byte) {
-	if f.peer != nil && r.Header.Get(Forwarded) == "" {
+func (f *Server) forwardToPeer(ctx context.Context, w http.ResponseWriter, r *http.Request, body []byte) {
+	if f.peer != nil && r.Header.Get(ForwardedHeader) == "" {
 		if status, b, err := f.peer.Forward(ctx, r.Method, r.URL.Path, body); err == nil && status < http.StatusInternalServerError {
-			answer(w, status, json.RawMessage(b))
+			writeJSON(w, status, json.RawMessage(b))
 			return
 		}
 	}
-	refuseForNow(w, errNoState.Error())
+	writeUnavailable(w, errStoreUnreachable.Error())
 }
 
-// noSuchJob refuses questions about jobs that were never accepted.
-const noSuchJob = "no such job"
+// errorNoSuchJob refuses questions about jobs that were never accepted.
+const errorNoSuchJob = "no such job"
 
-// jobIn is the id of the job that a request names; false if it was answered already.
-func jobIn(w http.ResponseWriter, r *http.Request) (id string, ok bool) {
+// jobIDFrom is the id of the job that a request names; false if it was answered already.
+func jobIDFrom(w http.ResponseWriter, r *http.Request) (id string, ok bool) {
 	id = chi.URLParam(r, "id")
 	if !wire.ValidJobID(id) {
-		refuse(w, http.StatusNotFound, noSuchJob)
+		writeError(w, http.StatusNotFound, errorNoSuchJob)
 		return "", false
 	}
 	return id, true
 }
 
 func (f *Server) poll(w http.ResponseWriter, r *http.Request) {
-	id, ok := jobIn(w, r)
+	id, ok := jobIDFrom(w, r)
 	if !ok {
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), answerWait)
+	ctx, cancel := context.WithTimeout(r.Context(), responseTimeout)
 	defer cancel()
-	l, err := f.current(ctx, id)
+	l, err := f.currentSnapshot(ctx, id)
 	switch {
 	case err != nil:
-		f.relay(ctx, w, r, nil)
+		f.forwardToPeer(ctx, w, r, nil)
 	case !l.known:
-		refuse(w, http.StatusNotFound, noSuchJob)
+		writeError(w, http.StatusNotFound, errorNoSuchJob)
 	default:
-		answer(w, http.StatusOK, l.status)
+		writeJSON(w, http.StatusOK, l.status)
 	}
 }
 
 // commit makes a change on behalf of a waiting user.
 func (f *Server) commit(ctx context.Context, c statecache.Commit) (statecache.Outcome, bool) {
-	ctx, cancel := context.WithTimeout(ctx, 2*tryAgain)
+	ctx, cancel := context.WithTimeout(ctx, 2*retryAfter)
 	defer cancel()
 	ch := make(chan statecache.Outcome, 1)
-	f.ledger.Commit(c, func(out statecache.Outcome) { ch <- out })
+	f.cache.Commit(c, func(out statecache.Outcome) { ch <- out })
 	select {
 	case out := <-ch:
 		return out, true
@@ -218,51 +218,51 @@
 	}
 }
 
-func (f *Server) abort(w http.ResponseWriter, r *http.Request) {
-	id, ok := jobIn(w, r)
+func (f *Server) cancel(w http.ResponseWriter, r *http.Request) {
+	id, ok := jobIDFrom(w, r)
 	if !ok {
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), answerWait)
+	ctx, cancel := context.WithTimeout(r.Context(), responseTimeout)
 	defer cancel()
 	for range 4 { // a job's record changes only when it ends
-		l, ok := f.look(id)
+		l, ok := f.snapshot(id)
 		if !ok {
 			break
 		}
 		if !l.known {
 			var err error
-			if l, err = f.current(ctx, id); err != nil {
+			if l, err = f.currentSnapshot(ctx, id); err != nil {
 				break
 			}
 			if !l.known {
-				refuse(w, http.StatusNotFound, noSuchJob)
+				writeError(w, http.StatusNotFound, errorNoSuchJob)
 				return
 			}
 		}
 		if !l.job.Active() {
-			answer(w, http.StatusOK, l.status)
+			writeJSON(w, http.StatusOK, l.status)
 			return
 		}
-		if f.lost() {
+		if f.storeUnreachable() {
 			break
 		}
 		key := statecache.Key(statecache.KindJob, id)
 		out, ok := f.commit(ctx, statecache.Commit{
 			Preconditions: []wire.Precondition{{Key: key, ModRevision: l.job.ModRevision}},
 			Puts:          []statecache.Put{{Key: key, Record: l.job.Cancelled(time.Now().UnixMilli())}},
-			RetryFor:      tryAgain,
+			RetryFor:      retryAfter,
 		})
 		if ok && out == statecache.Committed {
 			slog.Debug("job cancelled", "job", id)
-			answer(w, http.StatusOK, wire.JobStatus{ID: id, State: wire.JobCancelled})
+			writeJSON(w, http.StatusOK, wire.JobStatus{ID: id, State: wire.JobCancelled})
 			return
 		}
 		if !ok || out != statecache.Conflicted {
 			break
 		}
 	}
-	f.relay(ctx, w, r, nil)
+	f.forwardToPeer(ctx, w, r, nil)
 }
 
 // ready answers 200 while the view is fresh enough to serve users. In an
@@ -273,27 +273,27 @@
 // find another.
 func (f *Server) ready(w http.ResponseWriter, _ *http.Request) {
 	age, ok := actor.Ask(f.Actor, func(reply func(float64)) {
-		if len(f.types) == 0 || f.fresh.IsZero() {
+		if len(f.machineTypes) == 0 || f.freshAsOf.IsZero() {
 			reply(math.Inf(1))
 			return
 		}
-		reply(time.Since(f.fresh).Seconds())
+		reply(time.Since(f.freshAsOf).Seconds())
 	})
-	alone := f.peer == nil || f.peer.Elsewhere() == ""
-	lost := age > isolatedLeases*f.cfg.Params.Workers.LeaseDuration
-	if !ok || math.IsInf(age, 1) || lost || age > f.stale.Seconds() && !alone {
-		refuseForNow(w, "not ready")
+	alone := f.peer == nil || f.peer.FreshPeer() == ""
+	lost := age > isolationTimeoutLeases*f.config.Params.Workers.LeaseDuration
+	if !ok || math.IsInf(age, 1) || lost || age > f.maxViewAge.Seconds() && !alone {
+		writeUnavailable(w, "not ready")
 		return
 	}
-	answer(w, http.StatusOK, struct{}{})
+	writeJSON(w, http.StatusOK, struct{}{})
 }
 
-// isolatedLeases is for how long, in workers' leases, a node without state
+// isolationTimeoutLeases is for how long, in workers' leases, a node without state
 // stays ready when no other is known to be better off.
-const isolatedLeases = 0.75
+const isolationTimeoutLeases = 0.75
 
-func (f *Server) hello(w http.ResponseWriter, r *http.Request) {
-	b, ok := body(w, r)
+func (f *Server) handleHeartbeat(w http.ResponseWriter, r *http.Request) {
+	b, ok := readBody(w, r)
 	if !ok {
 		return
 	}
@@ -304,16 +304,16 @@
 	}
 	if err != nil {
 		slog.Warn("report refused", "err", err)
-		refuse(w, http.StatusBadRequest, err.Error())
+		writeError(w, http.StatusBadRequest, err.Error())
 		return
 	}
-	out, ok := actor.Ask(f.reports.Actor, func(reply func(reports.Reply)) { f.reports.Report(&rep, reply) })
+	out, ok := actor.Ask(f.heartbeats.Actor, func(reply func(heartbeat.Response)) { f.heartbeats.HandleHeartbeat(&rep, reply) })
 	switch {
-	case ok && out.Accept:
-		answer(w, http.StatusOK, out.Body)
-	case ok && out.ReportTo != "":
-		answer(w, http.StatusMisdirectedRequest, wire.RedirectResponse{RedirectTo: out.ReportTo})
+	case ok && out.Accepted:
+		writeJSON(w, http.StatusOK, out.Body)
+	case ok && out.RedirectTo != "":
+		writeJSON(w, http.StatusMisdirectedRequest, wire.RedirectResponse{RedirectTo: out.RedirectTo})
 	default:
-		refuseForNow(w, "not entitled to answer")
+		writeUnavailable(w, "not entitled to answer")
 	}
 }
--- a/internal/apiserver/submit.go
+++ b/internal/apiserver/submit.go
@@ -13,73 +13,73 @@
 	"lynxledge/internal/actor"
 	"lynxledge/internal/config"
 	"lynxledge/internal/overload"
-	"lynxledge/internal/place"
+	"lynxledge/internal/scheduler"
 	"lynxledge/internal/statecache"
 	"lynxledge/wire"
 )
 
-// acceptShare is what all controllers together may use for new jobs, as a
+// admissionRateFactor is what all controllers together may use for new jobs, as a
 // multiple of the state service's rate of writes. Jobs come seldom but for the
 // first seconds; to know all the work early is then worth more than to rent for
 // a part of it some seconds sooner. More than the rate would only be refused.
-const acceptShare = 1.2
+const admissionRateFactor = 1.2
 
-func newPace(cfg *config.Config) *rate.Limiter {
-	each := acceptRate(cfg)
+func newAdmissionLimiter(cfg *config.Config) *rate.Limiter {
+	each := admissionRate(cfg)
 	return rate.NewLimiter(each, 1+int(2*each))
 }
 
-// acceptRate is this controller's part.
-func acceptRate(cfg *config.Config) rate.Limit {
-	return rate.Limit(cfg.StoreWriteRate() * acceptShare / float64(len(cfg.Peers)+1))
+// admissionRate is this controller's part.
+func admissionRate(cfg *config.Config) rate.Limit {
+	return rate.Limit(cfg.StoreWriteRate() * admissionRateFactor / float64(len(cfg.Peers)+1))
 }
 
 func (f *Server) submit(w http.ResponseWriter, r *http.Request) {
-	if f.cfg.Overload.Level() >= overload.Overloaded {
+	if f.config.Overload.Level() >= overload.Overloaded {
 		f.refuseSubmission(w, http.StatusServiceUnavailable, "overloaded")
 		return
 	}
-	b, ok := body(w, r)
+	b, ok := readBody(w, r)
 	if !ok {
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), answerWait)
+	ctx, cancel := context.WithTimeout(r.Context(), responseTimeout)
 	defer cancel()
 	job, perr := wire.ParseJob(b)
 	id, valid := wire.PeekJobID(b)
 	if perr != nil && !valid {
-		refuse(w, http.StatusBadRequest, perr.Error())
+		writeError(w, http.StatusBadRequest, perr.Error())
 		return
 	}
-	if l, ok := f.look(id); ok && l.known {
-		f.known(ctx, w, r, id, b)
+	if l, ok := f.snapshot(id); ok && l.known {
+		f.respondToRepeat(ctx, w, r, id, b)
 		return
 	}
 	status, why := http.StatusBadRequest, ""
 	if perr != nil {
 		why = perr.Error()
-	} else if status, why = f.judge(job); why == "" && len(job.Dependencies) > 0 {
+	} else if status, why = f.admissionError(job); why == "" && len(job.Dependencies) > 0 {
 		var err error
-		if status, why, err = f.predecessors(ctx, job); err != nil {
-			f.relay(ctx, w, r, b)
+		if status, why, err = f.checkDependencies(ctx, job); err != nil {
+			f.forwardToPeer(ctx, w, r, b)
 			return
 		}
 	}
 	switch {
 	case status == http.StatusServiceUnavailable:
-		refuseForNow(w, why)
+		writeUnavailable(w, why)
 		return
 	case why != "":
 		// A job that was accepted is never refused later, whatever its repeat
 		// says: only a read of the state can tell.
-		l, err := f.current(ctx, id)
+		l, err := f.currentSnapshot(ctx, id)
 		switch {
 		case err != nil:
-			f.relay(ctx, w, r, b)
+			f.forwardToPeer(ctx, w, r, b)
 		case l.known:
-			answer(w, http.StatusOK, l.status)
+			writeJSON(w, http.StatusOK, l.status)
 		default:
-			refuse(w, status, why)
+			writeError(w, status, why)
 		}
 		return
 	}
@@ -88,61 +88,61 @@
 
 // refuseSubmission tells a user at once to come back, and when there will be a turn.
 func (f *Server) refuseSubmission(w http.ResponseWriter, status int, why string) {
-	wait := f.turns.next(time.Now(), float64(acceptRate(f.cfg)))
-	refuseUntil(w, status, wait, why)
+	wait := f.queue.next(time.Now(), float64(admissionRate(f.config)))
+	writeRetryAfter(w, status, wait, why)
 }
 
-func (f *Server) known(ctx context.Context, w http.ResponseWriter, r *http.Request, id string, body []byte) {
-	l, err := f.current(ctx, id)
+func (f *Server) respondToRepeat(ctx context.Context, w http.ResponseWriter, r *http.Request, id string, body []byte) {
+	l, err := f.currentSnapshot(ctx, id)
 	if err != nil || !l.known {
-		f.relay(ctx, w, r, body)
+		f.forwardToPeer(ctx, w, r, body)
 		return
 	}
-	answer(w, http.StatusOK, l.status)
+	writeJSON(w, http.StatusOK, l.status)
 }
 
-// judge tells why a job can never run, or can't be judged yet.
-func (f *Server) judge(j *wire.Job) (int, string) {
-	team, ok := f.cfg.Params.TeamQuota(j.Team)
+// admissionError tells why a job can never run, or can't be judged yet.
+func (f *Server) admissionError(j *wire.Job) (int, string) {
+	team, ok := f.config.Params.TeamQuota(j.Team)
 	if !ok {
 		return http.StatusUnprocessableEntity, "unknown team " + strconv.Quote(j.Team)
 	}
-	types, ok := actor.Ask(f.Actor, func(reply func([]wire.MachineType)) { reply(f.types) })
+	types, ok := actor.Ask(f.Actor, func(reply func([]wire.MachineType)) { reply(f.machineTypes) })
 	if !ok || len(types) == 0 {
 		return http.StatusServiceUnavailable, "machine types not known yet"
 	}
-	if !Fits(j, types) {
+	if !FitsAnyMachineType(j, types) {
 		return http.StatusUnprocessableEntity, "a task fits no allowed machine type"
 	}
-	if raw, err := json.Marshal(&statecache.Job{Spec: j}); err != nil || len(raw)+jobMargin > f.cfg.Params.Store.ValueSizeLimit() {
+	if raw, err := json.Marshal(&statecache.Job{Spec: j}); err != nil || len(raw)+jobRecordMarginBytes > f.config.Params.Store.ValueSizeLimit() {
 		return http.StatusUnprocessableEntity, "the description is too long for the state service"
 	}
 	n := 1.0
 	if j.IsService() {
 		n = float64(j.TaskCount)
 	}
-	if !(place.Usage{}).WithinLimit(team, place.Resources{}.Plus(place.RequestOf(j), n)) {
+	if !(scheduler.Usage{}).WithinLimit(team, scheduler.Resources{}.Plus(scheduler.RequestOf(j), n)) {
 		return http.StatusUnprocessableEntity, "needs more than the team's limit"
 	}
 	return 0, ""
 }
 
-// predecessors tells why a job can't wait for what it names. That a job was
+// checkDependencies tells why a job can't wait for what it names. That a job was
 // accepted is final: only if one is not known here the state has to be read, once.
-func (f *Server) predecessors(ctx context.Context, j *wire.Job) (status int, why string, err error) {
+func (f *Server) checkDependencies(ctx context.Context, j *wire.Job) (status int, why string, err error) {
 	read := false
 	for _, id := range j.Dependencies {
-		l, ok := f.look(id)
+		l, ok := f.snapshot(id)
 		if ok && !l.known && !read {
-			if err := f.barrier(ctx); err != nil {
+			if err := f.linearizableRead(ctx); err != nil {
 				return 0, "", err
 			}
 			read = true
-			l, ok = f.look(id)
+			l, ok = f.snapshot(id)
 		}
 		switch {
 		case !ok:
-			return 0, "", errNoState
+			return 0, "", errStoreUnreachable
 		case id == j.ID:
 			return http.StatusUnprocessableEntity, "awaits: the job names itself", nil
 		case !l.known:
@@ -154,15 +154,15 @@
 	return 0, "", nil
 }
 
-// jobMargin is what a job's record may grow by, in bytes, when it ends.
-const jobMargin = 128
+// jobRecordMarginBytes is what a job's record may grow by, in bytes, when it ends.
+const jobRecordMarginBytes = 128
 
-// Fits tells whether a task of the job fits a type it may use.
-func Fits(j *wire.Job, types []wire.MachineType) bool {
+// FitsAnyMachineType tells whether a task of the job fits a type it may use.
+func FitsAnyMachineType(j *wire.Job, types []wire.MachineType) bool {
 	for i := range types {
 		t := &types[i]
 		for _, z := range t.Zones {
-			if place.Allowed(j, t.Name, z, false) && place.RequestOf(j).Fits(place.Capacity(t)) {
+			if scheduler.Allowed(j, t.Name, z, false) && scheduler.RequestOf(j).Fits(scheduler.Capacity(t)) {
 				return true
 			}
 		}
@@ -171,22 +171,22 @@
 }
 
 func (f *Server) accept(ctx context.Context, w http.ResponseWriter, r *http.Request, j *wire.Job, body []byte) {
-	if f.lost() {
-		f.relay(ctx, w, r, body)
+	if f.storeUnreachable() {
+		f.forwardToPeer(ctx, w, r, body)
 		return
 	}
 	key := statecache.Key(statecache.KindJob, j.ID)
 	// A crowd of users must not take all the writes: who comes too early is told
 	// when to come back.
-	f.pace.SetLimit(acceptRate(f.cfg))
-	if !f.pace.Allow() {
+	f.admission.SetLimit(admissionRate(f.config))
+	if !f.admission.Allow() {
 		f.refuseSubmission(w, http.StatusTooManyRequests, "too many submissions at once")
 		return
 	}
 	out, ok := f.commit(ctx, statecache.Commit{
 		Preconditions: []wire.Precondition{{Key: key}},
 		Puts:          []statecache.Put{{Key: key, Record: &statecache.Job{Spec: j, TaskCount: j.TaskCount, SubmittedAt: time.Now().UnixMilli()}}},
-		RetryFor:      tryAgain,
+		RetryFor:      retryAfter,
 	})
 	switch {
 	case ok && out == statecache.Committed:
@@ -199,13 +199,13 @@
 			"gb", j.ImageGB,
 			"expect_s", j.EstimatedRuntime)
 		status := wire.JobStatus{ID: j.ID, State: wire.JobQueued}
-		if l, ok := f.look(j.ID); ok && l.known { // it may name a job that is cancelled
+		if l, ok := f.snapshot(j.ID); ok && l.known { // it may name a job that is cancelled
 			status = l.status
 		}
-		answer(w, http.StatusCreated, status)
+		writeJSON(w, http.StatusCreated, status)
 	case ok && out == statecache.Conflicted:
-		f.known(ctx, w, r, j.ID, body)
+		f.respondToRepeat(ctx, w, r, j.ID, body)
 	default:
-		f.relay(ctx, w, r, body)
+		f.forwardToPeer(ctx, w, r, body)
 	}
 }
--- a/internal/apiserver/turns.go
+++ b/internal/apiserver/turns.go
@@ -13,29 +13,29 @@
 	maxRetryAfter = 4 * time.Second
 )
 
-// eagerness is how many users are told to come back for each that can be served then. Some
+// retryRateFactor is how many users are told to come back for each that can be served then. Some
 // come later than they were told or go to another controller, and a turn that nobody takes
 // makes all others wait longer.
-const eagerness = 3
+const retryRateFactor = 3
 
-// turnList spreads users who were refused over the time that it takes to serve them.
+// admissionQueue spreads users who were refused over the time that it takes to serve them.
 // Told to come back in a second, all of them would do so again and again, and each
 // refusal takes processor time that serving them needs.
-type turnList struct {
-	mu   sync.Mutex
-	last time.Time // turn that was given last
+type admissionQueue struct {
+	mu       sync.Mutex
+	lastTurn time.Time // turn that was given last
 }
 
 // next is the time until the turn of one more user, where so many are served a second.
-func (t *turnList) next(now time.Time, perSecond float64) time.Duration {
+func (t *admissionQueue) next(now time.Time, perSecond float64) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.last.Before(now) {
-		t.last = now
+	if t.lastTurn.Before(now) {
+		t.lastTurn = now
 	}
-	t.last = t.last.Add(time.Duration(float64(time.Second) / (perSecond * eagerness)))
-	if latest := now.Add(maxRetryAfter); t.last.After(latest) {
-		t.last = latest
+	t.lastTurn = t.lastTurn.Add(time.Duration(float64(time.Second) / (perSecond * retryRateFactor)))
+	if latest := now.Add(maxRetryAfter); t.lastTurn.After(latest) {
+		t.lastTurn = latest
 	}
-	return max(minRetryAfter, t.last.Sub(now))
+	return max(minRetryAfter, t.lastTurn.Sub(now))
 }
--- a/internal/rent/hire.go
+++ b/internal/autoscaler/hire.go
@@ -1,4 +1,4 @@
-package rent
+package autoscaler
 
 import (
 	"cmp"
@@ -11,108 +11,108 @@
 
 	"lynxledge/internal/cloud"
 	"lynxledge/internal/config"
-	"lynxledge/internal/place"
-	"lynxledge/internal/plan"
+	"lynxledge/internal/planner"
+	"lynxledge/internal/scheduler"
 	"lynxledge/internal/statecache"
 	"lynxledge/wire"
 )
 
-// rentAll rents what the plan wants, the pool with the largest need first. A
+// scaleOutAll rents what the plan wants, the pool with the largest need first. A
 // pool has one rental under way, whose batches follow each other: one that runs
 // short costs one call, not one for every batch.
-func (r *Renter) rentAll(rents []plan.Rent) {
-	busy := map[plan.Pool]bool{}
-	for _, pool := range r.hiring {
+func (r *Autoscaler) scaleOutAll(rents []planner.ScaleOutRequest) {
+	busy := map[planner.Pool]bool{}
+	for _, pool := range r.provisioning {
 		busy[pool] = true
 	}
 	for _, i := range r.view.ProvisioningIntents {
 		busy[poolOf(i)] = true
 	}
-	slices.SortStableFunc(rents, func(a, b plan.Rent) int { return cmp.Compare(b.Load, a.Load) })
+	slices.SortStableFunc(rents, func(a, b planner.ScaleOutRequest) int { return cmp.Compare(b.Load, a.Load) })
 	for _, want := range rents {
 		switch {
-		case time.Now().Before(r.refused[want.Pool]):
+		case time.Now().Before(r.exhaustedPools[want.Pool]):
 		case busy[want.Pool]:
-			r.missed = true
+			r.replanAfterProvisioning = true
 		default:
-			r.intend(want)
+			r.recordIntent(want)
 		}
 	}
 }
 
-func poolOf(i *statecache.ProvisioningIntent) plan.Pool {
-	return plan.Pool{Type: i.MachineType, Zone: i.Zone, Spot: i.Spot}
+func poolOf(i *statecache.ProvisioningIntent) planner.Pool {
+	return planner.Pool{MachineType: i.MachineType, Zone: i.Zone, Spot: i.Spot}
 }
 
-// intend stores what is to be rented, then rents it.
-func (r *Renter) intend(want plan.Rent) {
-	lead, ok := r.lead()
+// recordIntent stores what is to be rented, then rents it.
+func (r *Autoscaler) recordIntent(want planner.ScaleOutRequest) {
+	lead, ok := r.leadership()
 	if !ok {
 		return
 	}
-	r.hires++
-	name := fmt.Sprintf("r-%d-%d", r.term, r.hires)
+	r.provisionCount++
+	name := fmt.Sprintf("r-%d-%d", r.term, r.provisionCount)
 	intent := &statecache.ProvisioningIntent{
-		MachineType: want.Type, Zone: want.Zone, Spot: want.Spot,
+		MachineType: want.MachineType, Zone: want.Zone, Spot: want.Spot,
 		Count: want.Count, TasksPerMachine: want.Tasks, RequestedAt: time.Now().UnixMilli(),
 	}
 	key := statecache.Key(statecache.KindProvisioningIntent, name)
-	r.hiring[name] = want.Pool
+	r.provisioning[name] = want.Pool
 	r.commit(statecache.Commit{
 		Preconditions: []wire.Precondition{lead.Precondition(), {Key: key}},
 		Puts:          []statecache.Put{{Key: key, Record: intent}},
 	}, func(out statecache.Outcome) {
-		delete(r.hiring, name)
+		delete(r.provisioning, name)
 		if out == statecache.Committed {
 			slog.Info("renting",
 				"hire", name,
-				"type", want.Type,
+				"type", want.MachineType,
 				"zone", want.Zone,
 				"spot", want.Spot,
 				"count", want.Count,
 				"load", math.Round(want.Load*100)/100)
-			r.hire(name, intent)
+			r.provision(name, intent)
 		}
 	})
 }
 
-// hire makes the next call of a stored intent. Each batch has a name of its
+// provision makes the next call of a stored intent. Each batch has a name of its
 // own; the same name gets the same answer.
-func (r *Renter) hire(name string, intent *statecache.ProvisioningIntent) {
-	if _, busy := r.hiring[name]; busy {
+func (r *Autoscaler) provision(name string, intent *statecache.ProvisioningIntent) {
+	if _, busy := r.provisioning[name]; busy {
 		return
 	}
-	r.hiring[name] = poolOf(intent)
+	r.provisioning[name] = poolOf(intent)
 	go func() {
-		machines, err := r.cloud.Hire(r.ctx, wire.ProvisionRequest{
+		machines, err := r.cloud.Provision(r.ctx, wire.ProvisionRequest{
 			RequestID: fmt.Sprintf("%s-%d", name, intent.Batch), MachineType: intent.MachineType, Zone: intent.Zone, Spot: intent.Spot,
 			Count: min(intent.Count, wire.MaxMachinesPerProvision),
 		})
-		r.Send(func() { r.hired(name, intent, machines, err) })
+		r.Send(func() { r.handleProvisioned(name, intent, machines, err) })
 	}()
 }
 
-func (r *Renter) hired(name string, intent *statecache.ProvisioningIntent, machines []string, err error) {
+func (r *Autoscaler) handleProvisioned(name string, intent *statecache.ProvisioningIntent, machines []string, err error) {
 	pool := poolOf(intent)
-	none := errors.Is(err, cloud.ErrNoCapacity) || errors.Is(err, cloud.ErrMalformed)
+	none := errors.Is(err, cloud.ErrNoCapacity) || errors.Is(err, cloud.ErrInvalidRequest)
 	if err != nil && !none {
 		slog.Info("rental unanswered", "hire", name, "err", err)
-		delete(r.hiring, name) // the next pass repeats it
+		delete(r.provisioning, name) // the next pass repeats it
 		return
 	}
-	if !r.leads() {
-		delete(r.hiring, name)
+	if !r.isLeader() {
+		delete(r.provisioning, name)
 		return
 	}
 	slices.Sort(machines)
 	asked := min(intent.Count, wire.MaxMachinesPerProvision)
 	left, short := intent.Count-asked, none || len(machines) < asked
 	if short {
-		r.refused[pool] = time.Now().Add(config.Seconds(r.cfg.Operator.PlanningInterval * refusalPasses))
-		if r.onRefused != nil {
-			r.onRefused(pool, r.refused[pool])
+		r.exhaustedPools[pool] = time.Now().Add(config.Seconds(r.config.Operator.PlanningInterval * exhaustionCycles))
+		if r.onPoolExhausted != nil {
+			r.onPoolExhausted(pool, r.exhaustedPools[pool])
 		}
-		r.giveUpBoots(pool)
+		r.abandonSlowBoots(pool)
 		slog.Info("cloud gave less",
 			"hire", name,
 			"batch", intent.Batch,
@@ -123,48 +123,48 @@
 			"got", len(machines))
 		left = 0
 	}
-	r.record(name, intent, left, machines, short)
+	r.recordMachines(name, intent, left, machines, short)
 }
 
-// giveUpBoots returns the machines of a pool whose boots drag on: while they
+// abandonSlowBoots returns the machines of a pool whose boots drag on: while they
 // are held, the cloud may have no other to give in their place.
-func (r *Renter) giveUpBoots(pool plan.Pool) {
+func (r *Autoscaler) abandonSlowBoots(pool planner.Pool) {
 	for m, b := range r.view.Machines {
-		if b.MachineType == pool.Type && b.Zone == pool.Zone && b.Spot == pool.Spot && r.bootOverdue(b, time.Now()) {
-			r.close(m, "boot drags on and no other is to be had")
+		if b.MachineType == pool.MachineType && b.Zone == pool.Zone && b.Spot == pool.Spot && r.isBootOverdue(b, time.Now()) {
+			r.scaleIn(m, "boot drags on and no other is to be had")
 		}
 	}
 }
 
-// bootOverdue tells whether a machine has been starting for longer than is usual.
-func (r *Renter) bootOverdue(b *statecache.Machine, now time.Time) bool {
-	return b.Incarnation == 0 && now.Sub(time.UnixMilli(b.ProvisionedAt)) > config.Seconds(place.BootUsual*r.bootS(b.MachineType))
+// isBootOverdue tells whether a machine has been starting for longer than is usual.
+func (r *Autoscaler) isBootOverdue(b *statecache.Machine, now time.Time) bool {
+	return b.Incarnation == 0 && now.Sub(time.UnixMilli(b.ProvisionedAt)) > config.Seconds(scheduler.UsualBootFactor*r.bootTime(b.MachineType))
 }
 
-// refusalPasses is for how many passes a pool that ran short is left alone.
-const refusalPasses = 4
+// exhaustionCycles is for how many passes a pool that ran short is left alone.
+const exhaustionCycles = 4
 
-// record writes the machines of a batch, in as many groups as their records
+// recordMachines writes the machines of a batch, in as many groups as their records
 // need. With the last, the intent goes on to the next batch, or goes. Every such
 // commit is guarded on the intent and rewrites it: a group may have been merged
 // into another since, and a late copy of the commit that made it would bring its
 // machines back with nothing bound to them. short tells that the cloud had fewer
 // than were asked for.
-func (r *Renter) record(name string, intent *statecache.ProvisioningIntent, left int, machines []string, short bool) {
+func (r *Autoscaler) recordMachines(name string, intent *statecache.ProvisioningIntent, left int, machines []string, short bool) {
 	rest := slices.DeleteFunc(machines, func(m string) bool {
-		_, returned := r.deleted[m]
+		_, returned := r.terminatedAt[m]
 		return returned || !wire.ValidMachineName(m) || r.view.Machines[m] != nil
 	})
 	stored := r.view.ProvisioningIntents[name]
-	lead, leads := r.lead()
+	lead, leads := r.leadership()
 	if stored == nil || !leads {
-		delete(r.hiring, name) // who leads then repeats the call
+		delete(r.provisioning, name) // who leads then repeats the call
 		return
 	}
-	s := r.cfg.Params.Store
-	per := statecache.MachinesPerGroup(int(float64(s.ValueSizeLimit())*groupFill), intent.TasksPerMachine)
+	s := r.config.Params.Store
+	per := statecache.MachinesPerGroup(int(float64(s.ValueSizeLimit())*groupFillShare), intent.TasksPerMachine)
 	key := statecache.Key(statecache.KindProvisioningIntent, name)
-	c := statecache.Commit{Preconditions: []wire.Precondition{lead.Precondition(), {Key: key, ModRevision: stored.ModRevision}}, RetryFor: config.Seconds(r.cfg.Operator.PlanningInterval)}
+	c := statecache.Commit{Preconditions: []wire.Precondition{lead.Precondition(), {Key: key, ModRevision: stored.ModRevision}}, RetryFor: config.Seconds(r.config.Operator.PlanningInterval)}
 	for len(rest) > 0 && len(c.Puts) < s.TxnOpsLimit()-1 {
 		n := min(per, len(rest))
 		group := fmt.Sprintf("%s.%s", name, rest[0])
@@ -184,34 +184,34 @@
 	}
 	r.commit(c, func(out statecache.Outcome) {
 		if out == statecache.Committed && len(rest) > 0 {
-			r.record(name, intent, left, rest, short)
+			r.recordMachines(name, intent, left, rest, short)
 			return
 		}
-		delete(r.hiring, name)
+		delete(r.provisioning, name)
 		if out == statecache.Committed && left > 0 {
-			r.hire(name, &next)
+			r.provision(name, &next)
 		}
 		// A pool that ran short is planned without at once: waiting for the next
 		// pass at every refusal would leave work without a machine for as many
 		// passes as there are pools. Not before its intent is gone, though: until
 		// then its machines count as rented. So it is with what was wanted of a
 		// pool while this rental was under way.
-		if short || r.missed {
-			r.missed = false
-			r.decide()
+		if short || r.replanAfterProvisioning {
+			r.replanAfterProvisioning = false
+			r.planAndApply()
 		}
 	})
 }
 
-// groupFill is the part of the value limit that a group's record is planned to
+// groupFillShare is the part of the value limit that a group's record is planned to
 // fill when its machines are in use.
-const groupFill = 0.8
+const groupFillShare = 0.8
 
-func (r *Renter) bootS(typ string) float64 {
-	for i := range r.types {
-		if r.types[i].Name == typ {
-			return r.types[i].BootTime
+func (r *Autoscaler) bootTime(typ string) float64 {
+	for i := range r.machineTypes {
+		if r.machineTypes[i].Name == typ {
+			return r.machineTypes[i].BootTime
 		}
 	}
-	return r.cfg.Operator.BootLag
+	return r.config.Operator.BootLag
 }
--- a/internal/rent/survey.go
+++ b/internal/autoscaler/survey.go
@@ -1,4 +1,4 @@
-package rent
+package autoscaler
 
 import (
 	"log/slog"
@@ -6,52 +6,52 @@
 
 	"lynxledge/internal/config"
 	"lynxledge/internal/election"
-	"lynxledge/internal/plan"
+	"lynxledge/internal/planner"
 	"lynxledge/internal/statecache"
 	"lynxledge/wire"
 )
 
-// listShare is the part of the leader's calls to the cloud that reading its list may
+// listRateShare is the part of the leader's calls to the cloud that reading its list may
 // take: a fleet's list has many pages, and rentals wait behind them.
-const listShare = 0.25
+const listRateShare = 0.25
 
-// listPause is the least time between two readings of a list of so many machines.
-func (r *Renter) listPause(machines int) time.Duration {
+// listInterval is the least time between two readings of a list of so many machines.
+func (r *Autoscaler) listInterval(machines int) time.Duration {
 	pages := machines/wire.MaxInstancesPerPage + 1
-	return config.Seconds(float64(pages) / (r.cfg.Params.Cloud.RequestRate * r.cfg.Operator.CloudRateShare * listShare))
+	return config.Seconds(float64(pages) / (r.config.Params.Cloud.RequestRate * r.config.Operator.CloudRateShare * listRateShare))
 }
 
-// list reads the cloud's machines and deals with what is unexpected.
-func (r *Renter) list() {
-	if r.listing || time.Since(r.listed) < r.listPause(len(r.view.Machines)) {
+// listInstances reads the cloud's machines and deals with what is unexpected.
+func (r *Autoscaler) listInstances() {
+	if r.listInFlight || time.Since(r.lastListed) < r.listInterval(len(r.view.Machines)) {
 		return
 	}
-	r.listing, r.listed = true, time.Now()
+	r.listInFlight, r.lastListed = true, time.Now()
 	go func() {
 		hosts, err := r.cloud.List(r.ctx)
 		r.Send(func() {
-			r.listing = false
+			r.listInFlight = false
 			if err != nil {
 				slog.Info("machine list not read", "err", err)
 				return
 			}
-			if lead, ok := r.lead(); ok {
-				r.survey(lead, hosts)
+			if lead, ok := r.leadership(); ok {
+				r.reconcileInstances(lead, hosts)
 			}
 		})
 	}()
 }
 
-// survey adopts unexpected machines and closes failed ones.
-func (r *Renter) survey(lead election.Leadership, hosts []wire.Instance) {
+// reconcileInstances adopts unexpected machines and closes failed ones.
+func (r *Autoscaler) reconcileInstances(lead election.Leadership, hosts []wire.Instance) {
 	now := time.Now()
-	lag := config.Seconds(r.cfg.Params.Cloud.ListLag)
-	for m, t := range r.deleted {
+	lag := config.Seconds(r.config.Params.Cloud.ListLag)
+	for m, t := range r.terminatedAt {
 		if now.Sub(t) > 6*lag {
-			delete(r.deleted, m)
+			delete(r.terminatedAt, m)
 		}
 	}
-	renting := map[plan.Pool]bool{}
+	renting := map[planner.Pool]bool{}
 	for _, i := range r.view.ProvisioningIntents {
 		renting[poolOf(i)] = true
 	}
@@ -61,15 +61,15 @@
 		b := r.view.Machines[id]
 		if b != nil {
 			if h.State == wire.InstanceFailed {
-				r.close(id, statecache.DrainFailed)
+				r.scaleIn(id, statecache.DrainFailed)
 			}
 			continue
 		}
 		// A machine that was returned is listed for a while. What this process
 		// saw returned it remembers; for the rest it waits until no list shows it.
-		_, late := r.deleted[id]
-		if late || now.Sub(r.begun) < 3*lag || !wire.ValidMachineName(id) || renting[plan.Pool{Type: h.MachineType, Zone: h.Zone, Spot: h.Spot}] ||
-			len(c.Puts) >= r.cfg.Params.Store.TxnOpsLimit() {
+		_, late := r.terminatedAt[id]
+		if late || now.Sub(r.startedAt) < 3*lag || !wire.ValidMachineName(id) || renting[planner.Pool{MachineType: h.MachineType, Zone: h.Zone, Spot: h.Spot}] ||
+			len(c.Puts) >= r.config.Params.Store.TxnOpsLimit() {
 			continue
 		}
 		slog.Info("unexpected machine adopted", "machine", id, "type", h.MachineType, "zone", h.Zone, "spot", h.Spot)
--- a/internal/cloud/catalog.go
+++ b/internal/cloud/catalog.go
@@ -9,29 +9,29 @@
 	"lynxledge/wire"
 )
 
-// Lister reads the machine types.
-type Lister interface {
-	Types(ctx context.Context) ([]wire.MachineType, error)
+// MachineTypeLister reads the machine types.
+type MachineTypeLister interface {
+	MachineTypes(ctx context.Context) ([]wire.MachineType, error)
 }
 
 // Catalog is the actor that keeps the machine types and their prices.
 type Catalog struct {
 	*actor.Actor
-	client Lister
-	subs   []func([]wire.MachineType)
+	client      MachineTypeLister
+	subscribers []func([]wire.MachineType)
 }
 
 // NewCatalog makes a catalog; Subscribe before Run.
-func NewCatalog(ctx context.Context, c Lister) *Catalog {
+func NewCatalog(ctx context.Context, c MachineTypeLister) *Catalog {
 	return &Catalog{Actor: actor.Start(ctx, "catalog", 16), client: c}
 }
 
 // Subscribe registers a receiver of the types.
-func (c *Catalog) Subscribe(f func([]wire.MachineType)) { c.subs = append(c.subs, f) }
+func (c *Catalog) Subscribe(f func([]wire.MachineType)) { c.subscribers = append(c.subscribers, f) }
 
 // Run reads the types every period, and oftener until it has them.
 func (c *Catalog) Run(ctx context.Context, period, retry time.Duration) {
-	types, err := c.client.Types(ctx)
+	types, err := c.client.MachineTypes(ctx)
 	next := period
 	if err != nil || len(types) == 0 {
 		slog.Info("machine types not read", "err", err, "types", len(types))
@@ -43,7 +43,7 @@
 				valid = append(valid, t)
 			}
 		}
-		for _, f := range c.subs {
+		for _, f := range c.subscribers {
 			f(valid)
 		}
 	}
--- a/internal/detector/detector.go
+++ b/internal/failuredetector/detector.go
@@ -2,7 +2,7 @@
 // or failed. It is pure; package standby feeds it and acts on its verdicts. A verdict is
 // a reason to act early, never a proof: what follows from it is decided by the guards of
 // the state service.
-package detector
+package failuredetector
 
 import (
 	"fmt"
@@ -44,41 +44,41 @@
 
 // Verdict says that a process has failed.
 type Verdict struct {
-	Member string
-	Boot   uint64 // of the process
-	Reason string
+	Member      string
+	Incarnation uint64 // of the process
+	Reason      string
 }
 
-// Grade is what is known of a controller.
-type Grade struct {
+// MemberStatus is what is known of a controller.
+type MemberStatus struct {
 	Member      string
 	Level       Level
-	Boot        uint64 // 0: none of its processes was heard
+	Incarnation uint64 // 0: none of its processes was heard
 	SilentFor   time.Duration
 	Connections int
 }
 
 type peer struct {
-	boot     uint64
-	heard    time.Time // its last heartbeat, or from when on silence counts
-	open     int       // connections from it and to it
-	closed   time.Time // since when none is open
-	replaced uint64    // the process before, which has certainly ended
+	incarnation   uint64
+	lastHeartbeat time.Time // its last heartbeat, or from when on silence counts
+	open          int       // connections from it and to it
+	closed        time.Time // since when none is open
+	replaced      uint64    // the process before, which has certainly ended
 }
 
 // Detector knows the other controllers of a deployment.
 type Detector struct {
-	policy Policy
-	names  []string // sorted
-	peers  map[string]*peer
-	looked time.Time
+	policy    Policy
+	names     []string // sorted
+	peers     map[string]*peer
+	lastCheck time.Time
 }
 
 // New begins with every controller alive.
 func New(now time.Time, policy Policy, members []string) *Detector {
-	d := &Detector{policy: policy, names: slices.Sorted(slices.Values(members)), peers: map[string]*peer{}, looked: now}
+	d := &Detector{policy: policy, names: slices.Sorted(slices.Values(members)), peers: map[string]*peer{}, lastCheck: now}
 	for _, m := range members {
-		d.peers[m] = &peer{heard: now, closed: now}
+		d.peers[m] = &peer{lastHeartbeat: now, closed: now}
 	}
 	return d
 }
@@ -90,10 +90,10 @@
 	if p == nil || boot == 0 || boot == p.replaced {
 		return false
 	}
-	if p.boot != boot {
-		p.replaced, p.boot = p.boot, boot
+	if p.incarnation != boot {
+		p.replaced, p.incarnation = p.incarnation, boot
 	}
-	p.heard = now
+	p.lastHeartbeat = now
 	return true
 }
 
@@ -115,12 +115,12 @@
 	}
 }
 
-// Look returns the verdicts that stand. It is to be called more than once a heartbeat.
-func (d *Detector) Look(now time.Time) []Verdict {
-	gap := now.Sub(d.looked)
-	d.looked = now
+// Check returns the verdicts that stand. It is to be called more than once a heartbeat.
+func (d *Detector) Check(now time.Time) []Verdict {
+	gap := now.Sub(d.lastCheck)
+	d.lastCheck = now
 	if gap > maxGaps*d.policy.Heartbeat {
-		d.forgive(now)
+		d.creditBlindTime(now)
 	}
 	var verdicts []Verdict
 	for _, name := range d.names {
@@ -136,16 +136,16 @@
 		if d.level(now, p) != Failed {
 			continue
 		}
-		reason := fmt.Sprintf("silent for %v, all connections closed for %v", now.Sub(p.heard).Round(time.Millisecond), now.Sub(p.closed).Round(time.Millisecond))
-		verdicts = append(verdicts, Verdict{name, p.boot, reason})
+		reason := fmt.Sprintf("silent for %v, all connections closed for %v", now.Sub(p.lastHeartbeat).Round(time.Millisecond), now.Sub(p.closed).Round(time.Millisecond))
+		verdicts = append(verdicts, Verdict{name, p.incarnation, reason})
 	}
 	return verdicts
 }
 
-// forgive has silence count from now on.
-func (d *Detector) forgive(now time.Time) {
+// creditBlindTime has silence count from now on.
+func (d *Detector) creditBlindTime(now time.Time) {
 	for _, p := range d.peers {
-		p.heard = now
+		p.lastHeartbeat = now
 		if p.open == 0 {
 			p.closed = now
 		}
@@ -162,11 +162,11 @@
 }
 
 func (d *Detector) level(now time.Time, p *peer) Level {
-	silent := now.Sub(p.heard)
+	silent := now.Sub(p.lastHeartbeat)
 	switch {
-	case p.boot != 0 && p.open == 0 && silent >= d.policy.FailedAfter && now.Sub(p.closed) >= d.policy.FailedAfter:
+	case p.incarnation != 0 && p.open == 0 && silent >= d.policy.FailedAfter && now.Sub(p.closed) >= d.policy.FailedAfter:
 		return Failed
-	case silent >= d.policy.SuspectAfter || p.open == 0 && p.boot != 0:
+	case silent >= d.policy.SuspectAfter || p.open == 0 && p.incarnation != 0:
 		return Suspect
 	}
 	return Alive
@@ -180,19 +180,19 @@
 	return Suspect
 }
 
-// Grades is what is known of all controllers.
-func (d *Detector) Grades(now time.Time) []Grade {
-	var grades []Grade
+// Statuses is what is known of all controllers.
+func (d *Detector) Statuses(now time.Time) []MemberStatus {
+	var grades []MemberStatus
 	for _, name := range d.names {
 		p := d.peers[name]
-		grades = append(grades, Grade{name, d.level(now, p), p.boot, now.Sub(p.heard), p.open})
+		grades = append(grades, MemberStatus{name, d.level(now, p), p.incarnation, now.Sub(p.lastHeartbeat), p.open})
 	}
 	return grades
 }
 
-// Order sorts the controllers that may take a role over: those in other zones than the
+// SuccessorOrder sorts the controllers that may take a role over: those in other zones than the
 // dead one first, and among these those that do not hold the other role.
-func Order(members []string, zoneOf func(string) string, deadZone, busy string) []string {
+func SuccessorOrder(members []string, zoneOf func(string) string, deadZone, busy string) []string {
 	order := slices.Clone(members)
 	worse := func(m string) int {
 		n := 0
--- a/internal/overload/overload.go
+++ b/internal/overload/overload.go
@@ -26,20 +26,20 @@
 // Parts of the workers' report interval by which timers fire late, and which share of
 // it passes between two looks.
 const (
-	behindShare     = 1.0 / 20
-	overloadedShare = 1.0 / 8
-	lookShare       = 1.0 / 20
+	behindLatenessShare     = 1.0 / 20
+	overloadedLatenessShare = 1.0 / 8
+	checkIntervalShare      = 1.0 / 20
 )
 
-// calmLooks is for how many looks in a row timers have to fire in time before a level
+// calmChecksToRecover is for how many looks in a row timers have to fire in time before a level
 // is left: load comes in waves.
-const calmLooks = 10
+const calmChecksToRecover = 10
 
 // Gauge watches how late timers fire. The nil Gauge is always at Normal.
 type Gauge struct {
-	report time.Duration
-	level  atomic.Int32
-	calm   int // looks since the level was reached last
+	report     time.Duration
+	level      atomic.Int32
+	calmChecks int // looks since the level was reached last
 }
 
 // Start watches until ctx ends. report is the workers' report interval.
@@ -50,7 +50,7 @@
 }
 
 func (g *Gauge) watch(ctx context.Context) {
-	pause := time.Duration(lookShare * float64(g.report))
+	pause := time.Duration(checkIntervalShare * float64(g.report))
 	for ctx.Err() == nil {
 		due := time.Now().Add(pause)
 		time.Sleep(pause)
@@ -62,15 +62,15 @@
 func (g *Gauge) observe(late time.Duration) {
 	level := Normal
 	switch share := float64(late) / float64(g.report); {
-	case share > overloadedShare:
+	case share > overloadedLatenessShare:
 		level = Overloaded
-	case share > behindShare:
+	case share > behindLatenessShare:
 		level = Behind
 	}
-	g.calm++
-	if level >= g.Level() || g.calm > calmLooks {
+	g.calmChecks++
+	if level >= g.Level() || g.calmChecks > calmChecksToRecover {
 		g.level.Store(int32(level))
-		g.calm = 0
+		g.calmChecks = 0
 	}
 }
 
--- a/internal/plan/cover.go
+++ b/internal/planner/cover.go
@@ -1,24 +1,24 @@
-package plan
+package planner
 
 import (
 	"math"
 	"slices"
 
-	"lynxledge/internal/place"
+	"lynxledge/internal/scheduler"
 	"lynxledge/wire"
 )
 
 // cover finds room for a demand: on the machines there are, then on the
 // cheapest pool that can be had. It returns the tasks left without.
-func (p *pass) cover(d Demand) int {
-	need := place.RequestOf(d.Job)
-	zones := place.Zones{}
+func (p *planning) cover(d Demand) int {
+	need := scheduler.RequestOf(d.Job)
+	zones := scheduler.ZoneCounts{}
 	for z, n := range d.Zones {
 		zones[z] = n
 	}
-	window := d.DeadlineS - p.LagS
-	whole := d.Job.IsService() || math.IsInf(d.DeadlineS, 1)
-	run := d.RunS
+	window := d.Deadline - p.BootLag
+	whole := d.Job.IsService() || math.IsInf(d.Deadline, 1)
+	run := d.Runtime
 	if whole {
 		run = math.Inf(1)
 	}
@@ -34,7 +34,7 @@
 		if !ok {
 			return left - n
 		}
-		p.load[pool] += Load(share, d.RunS, window, whole)
+		p.load[pool] += Load(share, d.Runtime, window, whole)
 		p.tasks[pool]++
 		p.share[pool] += share
 		zones[pool.Zone]++
@@ -45,22 +45,24 @@
 // Bounds of the tasks of one job that a pass puts on the machines there are. Beyond them
 // the machines count as full.
 const (
-	minTried        = 1000
-	triedPerMachine = 4
+	minTasksConsidered        = 1000
+	tasksConsideredPerMachine = 4
 )
 
 // maxTried bounds the work of a pass on one job.
-func (p *pass) maxTried() int { return max(minTried, triedPerMachine*len(p.room)) }
+func (p *planning) maxTried() int {
+	return max(minTasksConsidered, tasksConsideredPerMachine*len(p.room))
+}
 
 // allows tells whether one more task of a demand may be rented a machine of a pool.
-func (p *pass) allows(d Demand, pool Pool, zones place.Zones) bool {
+func (p *planning) allows(d Demand, pool Pool, zones scheduler.ZoneCounts) bool {
 	return p.allowsPool(d, pool) && zones.Allows(d.Job, pool.Zone)
 }
 
 // allowsPool tells the same, wherever the job's other tasks are.
-func (p *pass) allowsPool(d Demand, pool Pool) bool {
-	return place.Allowed(d.Job, pool.Type, pool.Zone, pool.Spot) &&
-		(!d.Roomy || p.offer[pool.Zone] == p.most)
+func (p *planning) allowsPool(d Demand, pool Pool) bool {
+	return scheduler.Allowed(d.Job, pool.MachineType, pool.Zone, pool.Spot) &&
+		(!d.NeedsOwnMachine || p.offer[pool.Zone] == p.most)
 }
 
 // nearlyEqual is how much more a larger machine may cost per task of a
@@ -72,7 +74,7 @@
 // cheap pools are used up, work that is not overdue waits for their machines
 // rather than pay a premium: the load says how many machines would be enough,
 // not what one may cost.
-func (p *pass) cheapest(d Demand, need place.Resources, zones place.Zones) (Pool, float64, bool) {
+func (p *planning) cheapest(d Demand, need scheduler.Resources, zones scheduler.ZoneCounts) (Pool, float64, bool) {
 	j := d.Job
 	type offer struct {
 		pool        Pool
@@ -81,11 +83,11 @@
 	var offers []offer
 	least, floor := math.Inf(1), math.Inf(1)
 	for _, pool := range p.order {
-		t := p.types[pool.Type]
+		t := p.machineTypes[pool.MachineType]
 		if !p.allows(d, pool, zones) {
 			continue
 		}
-		share := need.Share(place.Capacity(t))
+		share := need.Share(scheduler.Capacity(t))
 		if share > 1+1e-9 {
 			continue
 		}
@@ -100,7 +102,7 @@
 		least = math.Min(least, price*share)
 		offers = append(offers, offer{pool, share, price * share})
 	}
-	if len(offers) == 0 || least > floor*p.Premium && p.Premium > 0 && !d.Overdue {
+	if len(offers) == 0 || least > floor*p.MaxPriceMultiple && p.MaxPriceMultiple > 0 && !d.Overdue {
 		return Pool{}, 0, false
 	}
 	limit := least
@@ -109,7 +111,7 @@
 	}
 	var best offer
 	for _, o := range offers {
-		if o.cost <= limit && (best.pool.Type == "" || o.share < best.share) {
+		if o.cost <= limit && (best.pool.MachineType == "" || o.share < best.share) {
 			best = o
 		}
 	}
@@ -118,11 +120,11 @@
 
 // avoided tells whether a job should be rented no machine in a zone: it has another zone
 // that isn't avoided.
-func (p *pass) avoided(j *wire.Job, zone string) bool {
+func (p *planning) avoided(j *wire.Job, zone string) bool {
 	if p.Avoided == nil || !p.Avoided(zone) {
 		return false
 	}
 	return slices.ContainsFunc(p.order, func(other Pool) bool {
-		return !p.Avoided(other.Zone) && place.Allowed(j, other.Type, other.Zone, other.Spot)
+		return !p.Avoided(other.Zone) && scheduler.Allowed(j, other.MachineType, other.Zone, other.Spot)
 	})
 }
--- a/internal/plan/existing.go
+++ b/internal/planner/existing.go
@@ -1,30 +1,30 @@
-package plan
+package planner
 
 import (
 	"container/heap"
 	"math"
 	"strings"
 
-	"lynxledge/internal/place"
+	"lynxledge/internal/scheduler"
 )
 
 // demandShape is all of a demand that decides when a slot could take one of its tasks.
 // Jobs of one class mostly have the same.
 type demandShape struct {
-	need  place.Resources
+	need  scheduler.Resources
 	types string
 	zone  string
 	spot  bool
 	roomy bool
 }
 
-func shapeOf(d Demand, need place.Resources) demandShape {
+func shapeOf(d Demand, need scheduler.Resources) demandShape {
 	return demandShape{
 		need:  need,
 		types: strings.Join(d.Job.MachineTypes, " "),
 		zone:  d.Job.Zone,
 		spot:  d.Job.AllowSpot,
-		roomy: d.Roomy,
+		roomy: d.NeedsOwnMachine,
 	}
 }
 
@@ -39,8 +39,8 @@
 }
 
 // latest is until when a task must be able to start on a slot.
-func (c *poolChoice) latest(s *slot) float64 {
-	if s.ready > 0 {
+func (c *poolChoice) latest(s *capacitySlot) float64 {
+	if s.readyAt > 0 {
 		return c.starting
 	}
 	return c.limit
@@ -104,19 +104,19 @@
 	used int // the number of the demand that used it last
 }
 
-// maxQueues is for how many shapes queues are kept at a time.
-const maxQueues = 16
+// maxSlotQueues is for how many shapes queues are kept at a time.
+const maxSlotQueues = 16
 
 // queue finds the slots for a shape. They are looked through once for each shape, not for
 // each demand: machines and jobs together may be many.
-func (p *pass) queue(shape demandShape, choices []poolChoice) *slotQueue {
+func (p *planning) queue(shape demandShape, choices []poolChoice) *slotQueue {
 	p.demands++
 	if q := p.queues[shape]; q != nil {
 		q.used = p.demands
 		return q
 	}
 	q := &slotQueue{used: p.demands}
-	if len(p.queues) == maxQueues {
+	if len(p.queues) == maxSlotQueues {
 		q.candidates = p.dropOldestQueue()
 	}
 	p.queues[shape] = q
@@ -135,7 +135,7 @@
 
 // dropOldestQueue forgets the queue that was not used for the longest time, and returns
 // its memory.
-func (p *pass) dropOldestQueue() candidates {
+func (p *planning) dropOldestQueue() candidates {
 	var oldest demandShape
 	least := math.MaxInt
 	for shape, q := range p.queues {
@@ -154,7 +154,7 @@
 // boots for longer than the lag covers load from its rental on: another one
 // would not be up sooner, and every pass would rent it again. It returns how
 // many found room.
-func (p *pass) onExisting(d Demand, count int, need place.Resources, zones place.Zones, run float64) int {
+func (p *planning) onExisting(d Demand, count int, need scheduler.Resources, zones scheduler.ZoneCounts, run float64) int {
 	choices, latest := p.poolChoices(d, need, run)
 	queue := p.queue(shapeOf(d, need), choices)
 	passedOver := p.passedOver[:0] // that later demands may take
@@ -170,14 +170,14 @@
 		if top.at > latest {
 			break
 		}
-		if top.at > choice.latest(s) || !zones.Allows(d.Job, s.m.Pool.Zone) {
+		if top.at > choice.latest(s) || !zones.Allows(d.Job, s.machine.Pool.Zone) {
 			passedOver = append(passedOver, *top)
 			queue.drop()
 			continue
 		}
 		s.add(top.at+run, choice.share)
 		s.taken = true
-		zones[s.m.Pool.Zone]++
+		zones[s.machine.Pool.Zone]++
 		found++
 		p.postpone(queue, s.free(choice.share))
 	}
@@ -189,7 +189,7 @@
 }
 
 // postpone notes from when the top of a queue is free.
-func (p *pass) postpone(queue *slotQueue, at float64) {
+func (p *planning) postpone(queue *slotQueue, at float64) {
 	if math.IsInf(at, 1) {
 		queue.drop()
 		return
@@ -200,21 +200,21 @@
 
 // poolChoices tells of each pool that there are machines of what they mean to the job,
 // and the latest start on any of them.
-func (p *pass) poolChoices(d Demand, need place.Resources, run float64) (choices []poolChoice, latest float64) {
+func (p *planning) poolChoices(d Demand, need scheduler.Resources, run float64) (choices []poolChoice, latest float64) {
 	choices = make([]poolChoice, len(p.held))
-	limit := p.LagS
-	if !d.Job.IsService() && !math.IsInf(d.DeadlineS, 1) {
-		limit = max(limit, d.DeadlineS-run)
+	limit := p.BootLag
+	if !d.Job.IsService() && !math.IsInf(d.Deadline, 1) {
+		limit = max(limit, d.Deadline-run)
 	}
 	latest = limit
 	for i, pool := range p.held {
 		if !p.allowsPool(d, pool) {
 			continue
 		}
-		machineType := p.types[pool.Type]
+		machineType := p.machineTypes[pool.MachineType]
 		choices[i] = poolChoice{
 			allowed:  true,
-			share:    need.Share(place.Capacity(machineType)),
+			share:    need.Share(scheduler.Capacity(machineType)),
 			limit:    limit,
 			starting: max(limit, machineType.BootTime),
 			kind:     pool.Spot == d.Job.AllowSpot,
--- a/internal/plan/plan.go
+++ b/internal/planner/plan.go
@@ -1,49 +1,49 @@
 // Package plan is the SCS loop of the design: it turns the work that waits and
 // the machines there are into rentals and returns. It is pure.
-package plan
+package planner
 
 import (
 	"math"
 	"slices"
 	"strings"
 
-	"lynxledge/internal/place"
+	"lynxledge/internal/scheduler"
 	"lynxledge/wire"
 )
 
 // Pool is a type in a zone, spot or ordinary: what one rental names.
 type Pool struct {
-	Type, Zone string
-	Spot       bool
+	MachineType, Zone string
+	Spot              bool
 }
 
 // Demand is a job's tasks that wait for a machine.
 type Demand struct {
-	Job       *wire.Job
-	Count     int
-	DeadlineS float64 // from now; may be past
-	RunS      float64 // expected running time of a task
-	Late      bool    // no deadline can be kept any more: it comes after the others of its priority
-	Overdue   bool    // any machine will do, whatever it costs
-	Roomy     bool    // only in the zones that offer the most types
-	Zones     place.Zones
+	Job             *wire.Job
+	Count           int
+	Deadline        float64 // from now; may be past
+	Runtime         float64 // expected running time of a task
+	Late            bool    // no deadline can be kept any more: it comes after the others of its priority
+	Overdue         bool    // any machine will do, whatever it costs
+	NeedsOwnMachine bool    // only in the zones that offer the most types
+	Zones           scheduler.ZoneCounts
 }
 
-// Held is a task on a machine.
-type Held struct {
-	Job   *wire.Job
-	LeftS float64 // expected time until it ends; +Inf for services
+// RunningTask is a task on a machine.
+type RunningTask struct {
+	Job       *wire.Job
+	Remaining float64 // expected time until it ends; +Inf for services
 }
 
 // Machine is one rented machine, up or not.
 type Machine struct {
 	Name string
 	Pool Pool
-	AgeS float64
+	Age  float64
 	// ReadyS is the expected time until it takes tasks; 0 once it is up.
-	ReadyS float64
-	Tasks  []Held
-	Open   bool // may take tasks, now or once it is up
+	ReadyIn     float64
+	Tasks       []RunningTask
+	Schedulable bool // may take tasks, now or once it is up
 }
 
 // Input is what a pass looks at.
@@ -54,16 +54,16 @@
 	Refused  func(Pool) bool // the cloud had no such machine lately
 	// Avoided tells which zones nothing is rented in for work that may go elsewhere; nil:
 	// none.
-	Avoided  func(zone string) bool
-	LagS     float64
-	PassS    float64
-	BillingS float64
-	Headroom float64 // share of urgent work's room to keep free
-	Premium  float64 // how many times the cheapest pool's cost is too much
+	Avoided          func(zone string) bool
+	BootLag          float64
+	PlanningInterval float64
+	BillingPeriod    float64
+	HeadroomShare    float64 // share of urgent work's room to keep free
+	MaxPriceMultiple float64 // how many times the cheapest pool's cost is too much
 }
 
-// Rent is a number of machines to rent.
-type Rent struct {
+// ScaleOutRequest is a number of machines to rent.
+type ScaleOutRequest struct {
 	Pool
 	Count int
 	Load  float64
@@ -72,9 +72,9 @@
 
 // Plan is what a pass decides.
 type Plan struct {
-	Rent   []Rent
-	Return []string
-	Unmet  int // tasks for which no pool is to be had
+	ScaleOut []ScaleOutRequest
+	ScaleIn  []string
+	Unmet    int // tasks for which no pool is to be had
 }
 
 // Load is a task's load on a machine type: running time over window, times
@@ -87,20 +87,20 @@
 	return share * runS / windowS
 }
 
-// Make runs one pass.
-func Make(in Input) Plan {
-	p := &pass{
-		Input:     in,
-		types:     map[string]*wire.MachineType{},
-		offer:     map[string]int{},
-		load:      map[Pool]float64{},
-		tasks:     map[Pool]int{},
-		share:     map[Pool]float64{},
-		heldIndex: map[Pool]int{},
-		queues:    map[demandShape]*slotQueue{},
+// Compute runs one pass.
+func Compute(in Input) Plan {
+	p := &planning{
+		Input:        in,
+		machineTypes: map[string]*wire.MachineType{},
+		offer:        map[string]int{},
+		load:         map[Pool]float64{},
+		tasks:        map[Pool]int{},
+		share:        map[Pool]float64{},
+		heldIndex:    map[Pool]int{},
+		queues:       map[demandShape]*slotQueue{},
 	}
 	for i := range in.Types {
-		p.types[in.Types[i].Name] = &in.Types[i]
+		p.machineTypes[in.Types[i].Name] = &in.Types[i]
 	}
 	p.slots()
 	p.pools()
@@ -114,9 +114,9 @@
 				return -1
 			}
 			return 1
-		case a.DeadlineS < b.DeadlineS:
+		case a.Deadline < b.Deadline:
 			return -1
-		case a.DeadlineS > b.DeadlineS:
+		case a.Deadline > b.Deadline:
 			return 1
 		}
 		return strings.Compare(a.Job.ID, b.Job.ID)
@@ -127,13 +127,13 @@
 	}
 	for pool, l := range p.load {
 		if n := int(math.Ceil(l - 1e-6)); n > 0 {
-			out.Rent = append(out.Rent, Rent{pool, n, l, float64(p.tasks[pool]) / p.share[pool]})
+			out.ScaleOut = append(out.ScaleOut, ScaleOutRequest{pool, n, l, float64(p.tasks[pool]) / p.share[pool]})
 		}
 	}
-	slices.SortFunc(out.Rent, func(a, b Rent) int {
-		return strings.Compare(a.Zone+a.Type+kind(a.Spot), b.Zone+b.Type+kind(b.Spot))
+	slices.SortFunc(out.ScaleOut, func(a, b ScaleOutRequest) int {
+		return strings.Compare(a.Zone+a.MachineType+kind(a.Spot), b.Zone+b.MachineType+kind(b.Spot))
 	})
-	out.Return = p.returns()
+	out.ScaleIn = p.returns()
 	return out
 }
 
@@ -144,16 +144,16 @@
 	return "/ordinary"
 }
 
-type pass struct {
+type planning struct {
 	Input
-	types map[string]*wire.MachineType
-	offer map[string]int // types to rent in a zone
-	most  int
-	room  []*slot
-	order []Pool // every pool
-	load  map[Pool]float64
-	tasks map[Pool]int     // that put load on it
-	share map[Pool]float64 // sum of their shares
+	machineTypes map[string]*wire.MachineType
+	offer        map[string]int // types to rent in a zone
+	most         int
+	room         []*capacitySlot
+	order        []Pool // every pool
+	load         map[Pool]float64
+	tasks        map[Pool]int     // that put load on it
+	share        map[Pool]float64 // sum of their shares
 
 	held      []Pool // pools that there are machines of
 	heldIndex map[Pool]int
@@ -163,7 +163,7 @@
 	passedOver []candidate // memory that is used again
 }
 
-func (p *pass) pools() {
+func (p *planning) pools() {
 	for i := range p.Types {
 		for _, z := range p.Types[i].Zones {
 			p.offer[z]++
@@ -175,8 +175,8 @@
 
 // headroom asks for room that urgent arrivals find free: a share of what work
 // of priority high and prod holds and waits for, in zones that are not scarce.
-func (p *pass) headroom() []Demand {
-	if p.Headroom <= 0 {
+func (p *planning) headroom() []Demand {
+	if p.HeadroomShare <= 0 {
 		return nil
 	}
 	type key struct {
@@ -207,22 +207,22 @@
 	for k, cpus := range sum {
 		j := *sample[k]
 		j.Zone, j.SingleZone, j.SpreadZones = "", false, false
-		n := int(math.Ceil(cpus * p.Headroom / j.CPUs))
-		out = append(out, Demand{Job: &j, Count: n, DeadlineS: math.Inf(1), RunS: 1, Roomy: true})
+		n := int(math.Ceil(cpus * p.HeadroomShare / j.CPUs))
+		out = append(out, Demand{Job: &j, Count: n, Deadline: math.Inf(1), Runtime: 1, NeedsOwnMachine: true})
 	}
 	return out
 }
 
 // returns names idle machines that no load was put on and that are near a
 // multiple of the billing period.
-func (p *pass) returns() []string {
+func (p *planning) returns() []string {
 	var out []string
 	for _, s := range p.room {
-		if s.taken || len(s.m.Tasks) > 0 {
+		if s.taken || len(s.machine.Tasks) > 0 {
 			continue
 		}
-		if rest := p.BillingS - math.Mod(s.m.AgeS, p.BillingS); rest <= 2*p.PassS {
-			out = append(out, s.m.Name)
+		if rest := p.BillingPeriod - math.Mod(s.machine.Age, p.BillingPeriod); rest <= 2*p.PlanningInterval {
+			out = append(out, s.machine.Name)
 		}
 	}
 	return out
--- a/internal/recovery/admission.go
+++ b/internal/recovery/admission.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"lynxledge/internal/place"
+	"lynxledge/internal/scheduler"
 	"lynxledge/internal/statecache"
 	"lynxledge/internal/zonehealth"
 )
@@ -42,7 +42,7 @@
 }
 
 // admissions works out the admission of every zone that is recovering.
-func admissions(now time.Time, record *statecache.ZoneRecoveries, policy *zonehealth.Policy, nodes []*place.Node) map[string]*Admission {
+func admissions(now time.Time, record *statecache.ZoneRecoveries, policy *zonehealth.Policy, nodes []*scheduler.Node) map[string]*Admission {
 	out := map[string]*Admission{}
 	for i := range record.Zones {
 		z := &record.Zones[i]
@@ -63,10 +63,10 @@
 }
 
 // orderNumbers are those of a zone's machines that take tasks, sorted.
-func orderNumbers(zone string, nodes []*place.Node) []uint64 {
+func orderNumbers(zone string, nodes []*scheduler.Node) []uint64 {
 	var order []uint64
 	for _, n := range nodes {
-		if n.Zone == zone && n.Open {
+		if n.Zone == zone && n.Schedulable {
 			order = append(order, orderNumber(n.Name))
 		}
 	}
--- a/internal/recovery/advisor.go
+++ b/internal/recovery/advisor.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"lynxledge/internal/config"
-	"lynxledge/internal/place"
+	"lynxledge/internal/scheduler"
 	"lynxledge/internal/statecache"
 	"lynxledge/internal/zonehealth"
 	"lynxledge/wire"
@@ -32,7 +32,7 @@
 }
 
 // Advise tells how to place while zones recover; nil when none does.
-func (a *Advisor) Advise(now time.Time, cluster place.Cluster) place.Advice {
+func (a *Advisor) Advise(now time.Time, cluster scheduler.ClusterState) scheduler.Advice {
 	record := cluster.View.ZoneRecoveries
 	if !Recovering(record) {
 		a.last = nil
@@ -58,37 +58,37 @@
 	return false
 }
 
-func (a *Advisor) advise(now time.Time, cluster place.Cluster) *advice {
+func (a *Advisor) advise(now time.Time, cluster scheduler.ClusterState) *advice {
 	out := &advice{
 		zones:     admissions(now, cluster.View.ZoneRecoveries, &a.policy, cluster.Nodes),
-		preferred: map[string][]*place.Node{},
-		reserved:  map[*place.Node]place.Resources{},
+		preferred: map[string][]*scheduler.Node{},
+		reserved:  map[*scheduler.Node]scheduler.Resources{},
 		positions: map[string]int{},
 	}
-	services := Services(cluster.View, cluster.Active)
+	services := Services(cluster.View, cluster.ActiveJobs)
 	for i, s := range services {
 		out.positions[s.Job.ID] = i
 	}
 	in := Input{
-		Services: services,
-		Usage:    cluster.Usage,
-		Team:     cluster.Team,
+		Services:  services,
+		Usage:     cluster.Usage,
+		TeamQuota: cluster.TeamQuota,
 	}
 	if len(services) == 0 {
 		return out
 	}
 	for _, n := range cluster.Nodes {
 		switch {
-		case !n.Open:
+		case !n.Schedulable:
 		case out.admits(n, true):
 			in.Nodes = append(in.Nodes, n)
 		default:
 			in.LastResort = append(in.LastResort, n)
 		}
 	}
-	plan := Make(in)
+	plan := Compute(in)
 	for _, p := range plan.Placements {
-		need := place.RequestOf(p.Service.Job)
+		need := scheduler.RequestOf(p.Service.Job)
 		if p.AtRisk {
 			out.reserved[p.Node] = out.reserved[p.Node].Plus(need, 1)
 			continue
@@ -102,35 +102,35 @@
 // advice is what an Advisor tells; it stays as it is.
 type advice struct {
 	zones     map[string]*Admission
-	preferred map[string][]*place.Node
-	reserved  map[*place.Node]place.Resources
+	preferred map[string][]*scheduler.Node
+	reserved  map[*scheduler.Node]scheduler.Resources
 	positions map[string]int
 }
 
 // Admits tells whether a machine may take a task of a job.
-func (a *advice) Admits(n *place.Node, j *wire.Job) bool { return a.admits(n, j.IsService()) }
+func (a *advice) Admits(n *scheduler.Node, j *wire.Job) bool { return a.admits(n, j.IsService()) }
 
-func (a *advice) admits(n *place.Node, service bool) bool {
+func (a *advice) admits(n *scheduler.Node, service bool) bool {
 	zone := a.zones[n.Zone]
 	return zone == nil || zone.admits(n.Name, service)
 }
 
-// LastResort tells whether a machine may take a replica that has no room elsewhere: any
+// IsFallback tells whether a machine may take a replica that has no room elsewhere: any
 // machine that is heard, or the steps of a return would leave a service short.
-func (a *advice) LastResort(n *place.Node, j *wire.Job) bool {
+func (a *advice) IsFallback(n *scheduler.Node, j *wire.Job) bool {
 	return j.IsService() && !a.admits(n, true)
 }
 
-// Preferred are machines with room for the waiting replicas of a service.
-func (a *advice) Preferred(service string) []*place.Node { return a.preferred[service] }
+// PreferredNodes are machines with room for the waiting replicas of a service.
+func (a *advice) PreferredNodes(service string) []*scheduler.Node { return a.preferred[service] }
 
-// Position is a service's place in the order; one that was not known yet comes last.
-func (a *advice) Position(service string) int {
+// RecoveryOrder is a service's place in the order; one that was not known yet comes last.
+func (a *advice) RecoveryOrder(service string) int {
 	if i, known := a.positions[service]; known {
 		return i
 	}
 	return len(a.positions)
 }
 
-// Reserved is the room kept for replicas that are about to be placed anew.
-func (a *advice) Reserved() map[*place.Node]place.Resources { return a.reserved }
+// ReservedCapacity is the room kept for replicas that are about to be placed anew.
+func (a *advice) ReservedCapacity() map[*scheduler.Node]scheduler.Resources { return a.reserved }
--- a/internal/recovery/assign.go
+++ b/internal/recovery/assign.go
@@ -3,7 +3,7 @@
 import (
 	"math"
 
-	"lynxledge/internal/place"
+	"lynxledge/internal/scheduler"
 	"lynxledge/wire"
 )
 
@@ -24,7 +24,7 @@
 	in       *Input
 	room     *room
 	resort   *room
-	usage    place.Usage
+	usage    scheduler.Usage
 	shares   *shares // of the solver; nil: none
 	replicas int
 
@@ -36,7 +36,7 @@
 }
 
 func newAssigner(in *Input, s *shares) *assigner {
-	a := &assigner{in: in, room: newRoom(in.Nodes), resort: newRoom(in.LastResort), usage: place.Usage{}, shares: s}
+	a := &assigner{in: in, room: newRoom(in.Nodes), resort: newRoom(in.LastResort), usage: scheduler.Usage{}, shares: s}
 	for team, used := range in.Usage {
 		a.usage[team] = used
 	}
@@ -45,9 +45,9 @@
 
 // run places the replicas that are certainly down, then those that may be.
 func (a *assigner) run() {
-	zonesOf := make([]place.Zones, len(a.in.Services))
+	zonesOf := make([]scheduler.ZoneCounts, len(a.in.Services))
 	for i, s := range a.in.Services {
-		zonesOf[i] = place.Zones{}
+		zonesOf[i] = scheduler.ZoneCounts{}
 		for zone, n := range s.Zones {
 			zonesOf[i][zone] = n
 		}
@@ -59,9 +59,9 @@
 }
 
 // placeAll places so many replicas of a service, given the zones of its others.
-func (a *assigner) placeAll(s *Service, count int, zones place.Zones, atRisk bool) {
-	team := a.in.Team(s.Job.Team)
-	need := place.RequestOf(s.Job)
+func (a *assigner) placeAll(s *Service, count int, zones scheduler.ZoneCounts, atRisk bool) {
+	team := a.in.TeamQuota(s.Job.Team)
+	need := scheduler.RequestOf(s.Job)
 	for n := range count {
 		if a.replicas == maxReplicas {
 			a.fall(s, count-n, CauseLaterRound)
@@ -98,7 +98,7 @@
 
 // find takes the best bucket with room: one that the solver's shares name, if there
 // are any, else any other, and a machine of a lost zone last.
-func (a *assigner) find(s *Service, need place.Resources, zones place.Zones, atRisk bool) *slot {
+func (a *assigner) find(s *Service, need scheduler.Resources, zones scheduler.ZoneCounts, atRisk bool) *slot {
 	if a.shares != nil {
 		key := keyOf(s, atRisk)
 		named := func(bucket int) bool { return a.shares.has(key, bucket) }
@@ -117,7 +117,7 @@
 // best finds a machine in the best bucket that may be used: for work that may run on
 // spot machines one of those, for a service that spreads the zone with the fewest of its
 // replicas, else the bucket whose machine is filled the most.
-func best(r *room, j *wire.Job, need place.Resources, zones place.Zones, use func(bucket int) bool) (found *slot, bucket int) {
+func best(r *room, j *wire.Job, need scheduler.Resources, zones scheduler.ZoneCounts, use func(bucket int) bool) (found *slot, bucket int) {
 	least := math.Inf(1)
 	for i, b := range r.buckets {
 		if !b.allows(j) || !zones.Allows(j, b.zone) || use != nil && !use(i) {
@@ -127,7 +127,7 @@
 		if s == nil {
 			continue
 		}
-		score := 1 - s.used.Share(place.Capacity(b.machineType))
+		score := 1 - s.used.Share(scheduler.Capacity(b.machineType))
 		if j.AllowSpot && !b.spot {
 			score += spotPreference
 		}
@@ -148,7 +148,7 @@
 )
 
 // cause tells why a replica finds no room.
-func (a *assigner) cause(j *wire.Job, zones place.Zones) Cause {
+func (a *assigner) cause(j *wire.Job, zones scheduler.ZoneCounts) Cause {
 	cause := CauseNoMachine
 	for _, r := range []*room{a.room, a.resort} {
 		for _, b := range r.buckets {
@@ -167,12 +167,12 @@
 }
 
 // hadRoom tells whether the replica would have had room if it had come first.
-func (a *assigner) hadRoom(j *wire.Job, need place.Resources, zones place.Zones) bool {
+func (a *assigner) hadRoom(j *wire.Job, need scheduler.Resources, zones scheduler.ZoneCounts) bool {
 	for _, b := range a.room.buckets {
 		if !b.allows(j) || !zones.Allows(j, b.zone) {
 			continue
 		}
-		limit := place.Capacity(b.machineType)
+		limit := scheduler.Capacity(b.machineType)
 		for _, s := range b.slots {
 			if s.node.Used.Plus(need, 1).Fits(limit) {
 				return true
--- a/internal/recovery/plan.go
+++ b/internal/recovery/plan.go
@@ -2,25 +2,25 @@
 
 import (
 	"lynxledge/internal/config"
-	"lynxledge/internal/place"
+	"lynxledge/internal/scheduler"
 )
 
 // Input is what a plan looks at.
 type Input struct {
 	Services []*Service // in order
 	// Nodes are the machines that may take replicas.
-	Nodes []*place.Node
+	Nodes []*scheduler.Node
 	// LastResort are machines of lost zones that are still heard. They take only what
 	// has no room on Nodes.
-	LastResort []*place.Node
-	Usage      place.Usage
-	Team       func(name string) config.TeamQuota
+	LastResort []*scheduler.Node
+	Usage      scheduler.Usage
+	TeamQuota  func(name string) config.TeamQuota
 }
 
 // Placement is one replica and a machine with room for it.
 type Placement struct {
 	Service *Service
-	Node    *place.Node
+	Node    *scheduler.Node
 	// AtRisk: the replica is bound to a machine that nobody hears; the room is for the
 	// time at which it is proved gone.
 	AtRisk bool
@@ -45,10 +45,10 @@
 // maxReplicas bounds the replicas of one plan. Those beyond follow in the next.
 const maxReplicas = 2048
 
-// Make finds room for the replicas of services. It takes them in their order, each
+// Compute finds room for the replicas of services. It takes them in their order, each
 // where it fits first; only if that leaves some without room does the solver look for
 // a better distribution.
-func Make(in Input) Plan {
+func Compute(in Input) Plan {
 	first := newAssigner(&in, nil)
 	first.run()
 	if first.blocked == 0 {
--- a/internal/recovery/rentals.go
+++ b/internal/recovery/rentals.go
@@ -9,33 +9,33 @@
 	"lynxledge/internal/zonehealth"
 )
 
-// Rentals tells the planner what recovering zones mean for renting: nothing is rented in
+// ScalingPolicy tells the planner what recovering zones mean for renting: nothing is rented in
 // a lost zone, and machines that are not admitted yet count from when they will be. The
 // demand itself goes through the planner's load vectors like any other.
-type Rentals struct {
+type ScalingPolicy struct {
 	policy   zonehealth.Policy
 	evacuate time.Duration
 }
 
-// NewRentals makes it; the settings' ZoneRecovery section is set.
-func NewRentals(cfg *config.Config) *Rentals {
-	return &Rentals{
+// NewScalingPolicy makes it; the settings' ZoneRecovery section is set.
+func NewScalingPolicy(cfg *config.Config) *ScalingPolicy {
+	return &ScalingPolicy{
 		policy:   zonehealth.PolicyOf(cfg),
 		evacuate: config.Seconds(cfg.Operator.ZoneRecovery.EvacuateLeases * cfg.Params.Workers.LeaseDuration),
 	}
 }
 
-// Recovers tells whether a zone is lost or returning.
-func (r *Rentals) Recovers(record *statecache.ZoneRecoveries, zone string) bool {
+// IsRecovering tells whether a zone is lost or returning.
+func (r *ScalingPolicy) IsRecovering(record *statecache.ZoneRecoveries, zone string) bool {
 	return r != nil && phaseOf(record, zone).Recovering()
 }
 
-// Evacuates tells whether a machine of a lost zone should be returned, so that its
+// ShouldEvacuate tells whether a machine of a lost zone should be returned, so that its
 // replicas are proved gone and can be placed elsewhere. Its lease must have ended for
 // certain: until then they may run, and after that nothing on it does. A machine that
 // holds arrays alone is left: its zone may be back, and then it has its images still.
-func (r *Rentals) Evacuates(view *statecache.View, m *statecache.Machine, silentFor time.Duration) bool {
-	if !r.Lost(view.ZoneRecoveries, m.Zone) || silentFor < r.evacuate {
+func (r *ScalingPolicy) ShouldEvacuate(view *statecache.View, m *statecache.Machine, silentFor time.Duration) bool {
+	if !r.IsLost(view.ZoneRecoveries, m.Zone) || silentFor < r.evacuate {
 		return false
 	}
 	return slices.ContainsFunc(m.Bindings, func(t statecache.TaskBinding) bool {
@@ -44,15 +44,15 @@
 	})
 }
 
-// Lost tells whether nothing should be rented in a zone. The nil Rentals knows of no
+// IsLost tells whether nothing should be rented in a zone. The nil Rentals knows of no
 // zone that is.
-func (r *Rentals) Lost(record *statecache.ZoneRecoveries, zone string) bool {
+func (r *ScalingPolicy) IsLost(record *statecache.ZoneRecoveries, zone string) bool {
 	return r != nil && phaseOf(record, zone) == zonehealth.Lost
 }
 
-// WithheldS tells in how many seconds machines that are up will take tasks, for those
+// WithheldFor tells in how many seconds machines that are up will take tasks, for those
 // that don't yet.
-func (r *Rentals) WithheldS(now time.Time, view *statecache.View) map[string]float64 {
+func (r *ScalingPolicy) WithheldFor(now time.Time, view *statecache.View) map[string]float64 {
 	if r == nil || !Recovering(view.ZoneRecoveries) {
 		return nil
 	}
@@ -71,16 +71,16 @@
 		if z == nil || !m.Schedulable() {
 			continue
 		}
-		if s := r.withheldS(now, z, order[m.Zone], orderNumber(name)); s > 0 {
+		if s := r.withheldFor(now, z, order[m.Zone], orderNumber(name)); s > 0 {
 			withheld[name] = s
 		}
 	}
 	return withheld
 }
 
-// withheldS is when services are admitted to a machine: for those of a lost zone, when
+// withheldFor is when services are admitted to a machine: for those of a lost zone, when
 // its machines that are heard are used in any case.
-func (r *Rentals) withheldS(now time.Time, z *statecache.ZoneRecovery, order []uint64, number uint64) float64 {
+func (r *ScalingPolicy) withheldFor(now time.Time, z *statecache.ZoneRecovery, order []uint64, number uint64) float64 {
 	phase, err := zonehealth.ParsePhase(z.Phase)
 	if err != nil {
 		return 0
--- a/internal/recovery/room.go
+++ b/internal/recovery/room.go
@@ -6,7 +6,7 @@
 	"slices"
 	"strings"
 
-	"lynxledge/internal/place"
+	"lynxledge/internal/scheduler"
 	"lynxledge/wire"
 )
 
@@ -25,15 +25,15 @@
 	slots       []*slot
 	// first is, for a request, the first slot that may still have room for it. A plan
 	// only fills slots, so one without room never gets it back.
-	first map[place.Resources]int
+	first map[scheduler.Resources]int
 }
 
 type slot struct {
-	node *place.Node
-	used place.Resources
+	node *scheduler.Node
+	used scheduler.Resources
 }
 
-func newRoom(nodes []*place.Node) *room {
+func newRoom(nodes []*scheduler.Node) *room {
 	type kind struct {
 		name, zone string
 		spot       bool
@@ -41,19 +41,19 @@
 	byKind := map[kind]*bucket{}
 	r := &room{}
 	for _, n := range nodes {
-		k := kind{n.Type.Name, n.Zone, n.Spot}
+		k := kind{n.MachineType.Name, n.Zone, n.Spot}
 		b := byKind[k]
 		if b == nil {
-			b = &bucket{machineType: n.Type, zone: n.Zone, spot: n.Spot, first: map[place.Resources]int{}}
+			b = &bucket{machineType: n.MachineType, zone: n.Zone, spot: n.Spot, first: map[scheduler.Resources]int{}}
 			byKind[k] = b
 			r.buckets = append(r.buckets, b)
 		}
-		if n.HasRoom() { // a full machine still says that there are machines of its kind
+		if n.HasCapacity() { // a full machine still says that there are machines of its kind
 			b.slots = append(b.slots, &slot{n, n.Used})
 		}
 	}
 	for _, b := range r.buckets {
-		limit := place.Capacity(b.machineType)
+		limit := scheduler.Capacity(b.machineType)
 		slices.SortFunc(b.slots, func(x, y *slot) int {
 			return cmp.Or(cmp.Compare(y.used.Share(limit), x.used.Share(limit)), strings.Compare(x.node.Name, y.node.Name))
 		})
@@ -76,12 +76,12 @@
 
 // allows tells whether the bucket's machines are ones that a job may use at all.
 func (b *bucket) allows(j *wire.Job) bool {
-	return place.Allowed(j, b.machineType.Name, b.zone, b.spot)
+	return scheduler.Allowed(j, b.machineType.Name, b.zone, b.spot)
 }
 
 // fit finds a machine with room for a request, or nil.
-func (b *bucket) fit(need place.Resources) *slot {
-	limit := place.Capacity(b.machineType)
+func (b *bucket) fit(need scheduler.Resources) *slot {
+	limit := scheduler.Capacity(b.machineType)
 	i := b.first[need]
 	for i < len(b.slots) && !b.slots[i].used.Plus(need, 1).Fits(limit) {
 		i++
@@ -94,9 +94,9 @@
 }
 
 // free is the sum of what is free on machines that have room for a request at all.
-func (b *bucket) free(need place.Resources) place.Resources {
-	limit := place.Capacity(b.machineType)
-	var sum place.Resources
+func (b *bucket) free(need scheduler.Resources) scheduler.Resources {
+	limit := scheduler.Capacity(b.machineType)
+	var sum scheduler.Resources
 	for _, s := range b.slots {
 		if s.used.Plus(need, 1).Fits(limit) {
 			sum = sum.Plus(limit, 1).Plus(s.used, -1)
@@ -106,8 +106,8 @@
 }
 
 // whole is how many replicas with a request the bucket has room for.
-func (b *bucket) whole(need place.Resources) int {
-	limit := place.Capacity(b.machineType)
+func (b *bucket) whole(need scheduler.Resources) int {
+	limit := scheduler.Capacity(b.machineType)
 	n := 0
 	for _, s := range b.slots {
 		left := limit.Plus(s.used, -1)
--- a/internal/recovery/solver.go
+++ b/internal/recovery/solver.go
@@ -8,7 +8,7 @@
 	"gonum.org/v1/gonum/mat"
 	"gonum.org/v1/gonum/optimize/convex/lp"
 
-	"lynxledge/internal/place"
+	"lynxledge/internal/scheduler"
 	"lynxledge/wire"
 )
 
@@ -30,7 +30,7 @@
 // group of the program.
 type groupKey struct {
 	team, types, zone string
-	need              place.Resources
+	need              scheduler.Resources
 	rank              wire.Priority
 	spot, spread      bool
 	pinned            string // the zone that its other replicas leave it
@@ -41,7 +41,7 @@
 	j := s.Job
 	key := groupKey{
 		team: j.Team, types: strings.Join(j.MachineTypes, " "), zone: j.Zone,
-		need: place.RequestOf(j), rank: j.Priority, spot: j.AllowSpot, spread: j.SpreadZones, atRisk: atRisk,
+		need: scheduler.RequestOf(j), rank: j.Priority, spot: j.AllowSpot, spread: j.SpreadZones, atRisk: atRisk,
 	}
 	if j.SingleZone {
 		for zone, n := range s.Zones {
@@ -252,13 +252,13 @@
 // limitBuckets bounds what is put into each bucket by what is free there.
 func (p *program) limitBuckets(room *room) {
 	for i, b := range room.buckets {
-		amounts := [...]func(place.Resources) float64{
-			func(r place.Resources) float64 { return r.CPUs },
-			func(r place.Resources) float64 { return r.Mem },
-			func(r place.Resources) float64 { return r.GPUs },
+		amounts := [...]func(scheduler.Resources) float64{
+			func(r scheduler.Resources) float64 { return r.CPUs },
+			func(r scheduler.Resources) float64 { return r.MemoryGB },
+			func(r scheduler.Resources) float64 { return r.GPUs },
 		}
 		for _, amount := range amounts {
-			if amount(place.Capacity(b.machineType)) == 0 {
+			if amount(scheduler.Capacity(b.machineType)) == 0 {
 				continue
 			}
 			r := row{coefficients: map[int]float64{}}
@@ -281,7 +281,7 @@
 	done := map[string]bool{}
 	for _, column := range p.columns {
 		name := column.group.key.team
-		team := in.Team(name)
+		team := in.TeamQuota(name)
 		if done[name] || team.MaxCPUs == 0 {
 			continue
 		}
