--- a/internal/apiserver/submit.go
+++ b/internal/apiserver/submit.go
@@ -198,7 +198,7 @@
 			"tasks", j.TaskCount,
 			"image", j.Image,
 			"gb", j.ImageGB,
-			"expect_s", j.EstimatedRuntime)
+			"expect_s", float64(j.EstimatedRuntime))
 		status := wire.JobStatus{ID: j.ID, State: wire.JobQueued}
 		if l, ok := f.snapshot(j.ID); ok && l.known { // it may name a job that is cancelled
 			status = l.status
--- a/internal/autoscaler/instances.go
+++ b/internal/autoscaler/instances.go
@@ -76,7 +76,7 @@
 		group := statecache.AdoptedGroupName(id)
 		key := statecache.Key(statecache.KindMachineGroup, group)
 		c.Preconditions = append(c.Preconditions, wire.Precondition{Key: key})
-		rentedAt := now.UnixMilli() - int64(h.Age*1000)
+		rentedAt := now.UnixMilli() - int64(float64(h.Age)*1000)
 		record := statecache.NewMachineGroup(group, h.MachineType, h.Zone, h.Spot, rentedAt, []string{id}, statecache.FirstToken(r.term))
 		c.Puts = append(c.Puts, statecache.Put{Key: key, Record: record})
 	}
--- a/internal/autoscaler/planning_input.go
+++ b/internal/autoscaler/planning_input.go
@@ -96,7 +96,7 @@
 			Age: (float64(now.UnixMilli()) - float64(b.ProvisionedAt)) / 1000, Schedulable: b.DrainReason == "" && !b.Terminating && !b.Suspected,
 		}
 		if b.Incarnation == 0 {
-			m.ReadyIn = math.Max(0, r.bootTime(b.MachineType)-m.Age)
+			m.ReadyIn = math.Max(0, r.bootSeconds(b.MachineType)-m.Age)
 			// A boot that drags on may never end: it covers no load any more.
 			m.Schedulable = m.Schedulable && !r.isBootOverdue(b, now)
 		}
@@ -124,7 +124,7 @@
 		for i := range intent.Count {
 			in.Machines = append(in.Machines, planner.Machine{
 				Name: fmt.Sprintf("rented-%d", i), Pool: poolOf(intent), Schedulable: true,
-				ReadyIn: r.bootTime(intent.MachineType),
+				ReadyIn: r.bootSeconds(intent.MachineType),
 			})
 		}
 	}
@@ -167,7 +167,7 @@
 		return
 	}
 	end := float64(now.UnixMilli()-j.SubmittedAt)/1000 + h.Wait + r.runtimes.Estimate(j.Spec)
-	late := end - *j.Spec.Deadline
+	late := end - float64(*j.Spec.Deadline)
 	by := ""
 	if late > 0 {
 		by = h.BlockedBy
--- a/internal/autoscaler/provision.go
+++ b/internal/autoscaler/provision.go
@@ -139,7 +139,7 @@
 
 // isBootOverdue tells whether a machine has been starting for longer than is usual.
 func (r *Autoscaler) isBootOverdue(b *statecache.Machine, now time.Time) bool {
-	return b.Incarnation == 0 && now.Sub(time.UnixMilli(b.ProvisionedAt)) > config.Seconds(scheduler.UsualBootFactor*r.bootTime(b.MachineType))
+	return b.Incarnation == 0 && now.Sub(time.UnixMilli(b.ProvisionedAt)) > config.Seconds(scheduler.UsualBootFactor*r.bootSeconds(b.MachineType))
 }
 
 // exhaustionCycles is for how many passes a pool that ran short is left alone.
@@ -208,10 +208,10 @@
 // fill when its machines are in use.
 const groupFillShare = 0.8
 
-func (r *Autoscaler) bootTime(typ string) float64 {
+func (r *Autoscaler) bootSeconds(typ string) float64 {
 	for i := range r.machineTypes {
 		if r.machineTypes[i].Name == typ {
-			return r.machineTypes[i].BootTime
+			return float64(r.machineTypes[i].BootTime)
 		}
 	}
 	return r.config.Operator.BootLag
--- a/internal/estimate/deadlines.go
+++ b/internal/estimate/deadlines.go
@@ -15,14 +15,15 @@
 // the same count: now, and when it starts at the earliest.
 func Deadlines(cfg *config.Config, j *statecache.Job, runS, nowS, startS float64) []float64 {
 	spec := j.Spec
+	deadlineSeconds := (*float64)(spec.Deadline)
 	var out []float64
 	if j.Blocked { // it could run from startS on, and Since is its submission yet
-		out = cfg.Deadlines(spec.Class, spec.Deadline, runS, startS)
+		out = cfg.Deadlines(spec.Class, deadlineSeconds, runS, startS)
 		for i := range out {
 			out[i] += startS
 		}
 	} else {
-		out = cfg.Deadlines(spec.Class, spec.Deadline, runS, float64(j.RunnableSince()-j.SubmittedAt)/1000)
+		out = cfg.Deadlines(spec.Class, deadlineSeconds, runS, float64(j.RunnableSince()-j.SubmittedAt)/1000)
 	}
 	if j.InheritedDeadline == 0 {
 		return out
--- a/internal/estimate/runtime.go
+++ b/internal/estimate/runtime.go
@@ -38,7 +38,7 @@
 		if g.Reason != wire.ReasonCompleted || g.Runtime <= 0 || j == nil || j.Spec == nil || j.Spec.EstimatedRuntime <= 0 {
 			continue
 		}
-		off := math.Log(g.Runtime / j.Spec.EstimatedRuntime)
+		off := math.Log(g.Runtime / float64(j.Spec.EstimatedRuntime))
 		off = math.Max(-math.Log(maxCorrection), math.Min(math.Log(maxCorrection), off))
 		e.classCorrections[j.Spec.Class] += smoothing * (off - e.classCorrections[j.Spec.Class])
 		m := e.jobRuntimes[id]
@@ -54,5 +54,5 @@
 	if m := e.jobRuntimes[j.ID]; m.n >= minSamples {
 		return m.sum / float64(m.n)
 	}
-	return j.EstimatedRuntime * math.Exp(e.classCorrections[j.Class])
+	return float64(j.EstimatedRuntime) * math.Exp(e.classCorrections[j.Class])
 }
--- a/internal/planner/existing.go
+++ b/internal/planner/existing.go
@@ -217,7 +217,7 @@
 			allowed:  true,
 			share:    need.Share(resources.OfMachineType(machineType)),
 			limit:    limit,
-			starting: max(limit, machineType.BootTime),
+			starting: max(limit, float64(machineType.BootTime)),
 			kind:     pool.Spot == d.Job.AllowSpot,
 		}
 		latest = max(latest, choices[i].starting)
--- a/internal/reconcile/reconcile.go
+++ b/internal/reconcile/reconcile.go
@@ -70,7 +70,7 @@
 		case e.same != nil && e.same.State == wire.TaskExited:
 			p.confirmTermination(rec, b, e.same.ExitReason)
 		case e.same != nil && (b.StopToken > 0 || !runs):
-			grace := float64(b.GraceSeconds)
+			grace := wire.Seconds(b.GraceSeconds)
 			if !runs {
 				grace = 0 // nobody wants what a cancelled task would save
 			}
@@ -94,7 +94,7 @@
 	return p
 }
 
-func (p *Result) confirmTermination(rec *statecache.Machine, b *statecache.TaskBinding, why string) {
+func (p *Result) confirmTermination(rec *statecache.Machine, b *statecache.TaskBinding, why wire.ExitReason) {
 	p.Terminated = append(p.Terminated, statecache.Termination{Machine: rec.Name, Job: b.Job, TaskIndex: b.TaskIndex, Reason: why})
 }
 
@@ -104,6 +104,6 @@
 		p.Commands = append(p.Commands, wire.Command{Op: wire.OpAcknowledge, Task: t.Task, Attempt: t.Attempt})
 		return
 	}
-	grace := 0.0
+	grace := wire.Seconds(0)
 	p.Commands = append(p.Commands, wire.Command{Op: wire.OpStop, Task: t.Task, Attempt: t.Attempt, GracePeriod: &grace})
 }
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -68,7 +68,7 @@
 			p.preemptedUntil[t.Job] = r.now.Add(p.heartbeats(1))
 		}
 		d.size += stopOverheadBytes
-		grace := 0.0
+		grace := wire.Seconds(0)
 		r.stops[v.Node.Name] = append(r.stops[v.Node.Name], wire.Command{Op: wire.OpStop, Task: t.TaskName(), Attempt: t.Attempt, GracePeriod: &grace})
 		slog.Info("preempting", "task", t.TaskName(), "machine", v.Node.Name, "ran_s", int(task.RuntimeSoFar))
 	}
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -161,7 +161,7 @@
 	}
 	for m, s := range p.startingNodes {
 		if !s.Spot && p.zoneOffers[s.Zone] > p.zoneOffers[n.Zone] && placement.Allowed(j, s.MachineType.Name, s.Zone, s.Spot) && resources.OfTask(j).Fits(resources.OfMachineType(s.MachineType)) &&
-			now.Sub(time.UnixMilli(p.view.Machines[m].ProvisionedAt)) < config.Seconds(UsualBootFactor*s.MachineType.BootTime) {
+			now.Sub(time.UnixMilli(p.view.Machines[m].ProvisionedAt)) < config.Seconds(UsualBootFactor*float64(s.MachineType.BootTime)) {
 			return true
 		}
 	}
--- a/internal/scheduler/victims.go
+++ b/internal/scheduler/victims.go
@@ -57,12 +57,12 @@
 		}
 		lost := t.RuntimeSoFar
 		if t.Job.CheckpointInterval > 0 {
-			lost = math.Min(lost, t.Job.CheckpointInterval)
+			lost = math.Min(lost, float64(t.Job.CheckpointInterval))
 		}
 		if t.Job.IsService() {
 			lost += 60 // a replica's users notice
 		} else if t.LastOfJob {
-			lost += t.Job.EstimatedRuntime
+			lost += float64(t.Job.EstimatedRuntime)
 		}
 		cands = append(cands, candidate{i, (1 + lost) * t.Job.CPUs * float64(1+3*t.Job.Priority)})
 	}
--- a/internal/simulation/invariants.go
+++ b/internal/simulation/invariants.go
@@ -33,7 +33,7 @@
 	completed map[int]bool
 	zones     map[string]int // its tasks that are on machines
 	accepted  bool
-	final     string
+	final     wire.JobState
 	asked     bool // to cancel
 	submitted time.Time
 	began     time.Time // when its first task started
@@ -216,7 +216,7 @@
 }
 
 // JobAnswered checks an answer: status 201, 200 or 404 for a job, with its state.
-func (r *InvariantChecker) JobAnswered(id string, status int, state string) {
+func (r *InvariantChecker) JobAnswered(id string, status int, state wire.JobState) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	t := r.jobs[id]
--- a/internal/statecache/completion_codec.go
+++ b/internal/statecache/completion_codec.go
@@ -52,7 +52,7 @@
 func TerminationBytes(g *Termination) int { return len(encodeTermination(g)) + machineSeparatorBytes }
 
 func encodeTermination(g *Termination) string {
-	why := strings.ReplaceAll(g.Reason, " ", "-") // a worker's word, perhaps an unknown one
+	why := strings.ReplaceAll(string(g.Reason), " ", "-") // a worker's word, perhaps an unknown one
 	s := g.Machine + " " + g.Job[len(jobPrefix):] + "/" + strconv.Itoa(g.TaskIndex) + " " + why
 	if g.Runtime > 0 {
 		s += " " + strconv.FormatFloat(g.Runtime, 'f', 1, 64)
@@ -69,7 +69,7 @@
 	if !ok {
 		return Termination{}, fmt.Errorf("gone %.80q", s)
 	}
-	g := Termination{Machine: f[0], Job: job, TaskIndex: n, Reason: f[2]}
+	g := Termination{Machine: f[0], Job: job, TaskIndex: n, Reason: wire.ExitReason(f[2])}
 	if len(f) > 3 {
 		var err error
 		if g.Runtime, err = strconv.ParseFloat(f[3], 64); err != nil {
--- a/internal/statecache/dependencies.go
+++ b/internal/statecache/dependencies.go
@@ -67,21 +67,22 @@
 		spec.Priority = after.Spec.Priority
 		j.Spec, j.PriorityInherited, lifted = &spec, true, true
 	}
-	due, tail := after.tightestDeadline()
-	if tail += after.Spec.EstimatedRuntime; due > 0 && (j.InheritedDeadline == 0 || latestCompletion(due, tail) < latestCompletion(j.InheritedDeadline, j.DownstreamRuntime)) {
-		j.InheritedDeadline, j.DownstreamRuntime, lifted = due, tail, true
+	due, tailSeconds := after.tightestDeadline()
+	tailSeconds += float64(after.Spec.EstimatedRuntime)
+	if due > 0 && (j.InheritedDeadline == 0 || latestCompletion(due, tailSeconds) < latestCompletion(j.InheritedDeadline, j.DownstreamRuntime)) {
+		j.InheritedDeadline, j.DownstreamRuntime, lifted = due, tailSeconds, true
 	}
 	return lifted
 }
 
 // latestCompletion is when a job must be done so that those behind it are in time.
-func latestCompletion(due int64, tailS float64) int64 { return due - int64(1000*tailS) }
+func latestCompletion(due int64, tailSeconds float64) int64 { return due - int64(1000*tailSeconds) }
 
 // tightestDeadline is the deadline that presses a job most: its own, or that of one that needs
 // it; and the running time from its own end to there.
-func (j *Job) tightestDeadline() (int64, float64) {
+func (j *Job) tightestDeadline() (due int64, tailSeconds float64) {
 	if j.Spec.Deadline != nil {
-		own := j.SubmittedAt + int64(1000**j.Spec.Deadline)
+		own := j.SubmittedAt + int64(1000*float64(*j.Spec.Deadline))
 		if j.InheritedDeadline == 0 || own < latestCompletion(j.InheritedDeadline, j.DownstreamRuntime) {
 			return own, 0
 		}
--- a/internal/statecache/machine_group.go
+++ b/internal/statecache/machine_group.go
@@ -28,7 +28,7 @@
 	Machine   string
 	Job       string
 	TaskIndex int
-	Reason    string
+	Reason    wire.ExitReason
 	Runtime   float64 // 0: not known
 }
 
@@ -37,8 +37,8 @@
 
 // Why a task left its machine, besides the workers' own reasons.
 const (
-	ReasonIncarnationEnded = "session_lost"
-	ReasonNeverStarted     = "never_started"
+	ReasonIncarnationEnded wire.ExitReason = "session_lost"
+	ReasonNeverStarted     wire.ExitReason = "never_started"
 )
 
 // Reasons for which machines are drained that others than the renter look at.
--- a/internal/statecache/records.go
+++ b/internal/statecache/records.go
@@ -58,12 +58,12 @@
 
 // Job is an accepted job. It is rewritten only when it ends.
 type Job struct {
-	Spec        *wire.Job `json:"spec,omitempty"` // nil once done
-	State       string    `json:"state,omitempty"`
-	TaskCount   int       `json:"n"`
-	SubmittedAt int64     `json:"at"`            // time of day of the acceptance, ms
-	FinishedAt  int64     `json:"end,omitempty"` // time of day of the end, ms
-	ModRevision uint64    `json:"-"`
+	Spec        *wire.Job     `json:"spec,omitempty"` // nil once done
+	State       wire.JobState `json:"state,omitempty"`
+	TaskCount   int           `json:"n"`
+	SubmittedAt int64         `json:"at"`            // time of day of the acceptance, ms
+	FinishedAt  int64         `json:"end,omitempty"` // time of day of the end, ms
+	ModRevision uint64        `json:"-"`
 
 	// What follows from other jobs' records, see pipeline.go. It is not stored.
 	Blocked               bool    `json:"-"` // not all predecessors are done
--- a/internal/statecache/view.go
+++ b/internal/statecache/view.go
@@ -68,11 +68,11 @@
 // four bytes for three, and half the value is left as margin.
 func ChunkTasks(valueKB float64) int { return max(1, int(valueKB*1024/2*3/4)) * 8 }
 
-func put[T any](m map[string]*T, name string, rec any) {
+func put[K ~string, T any](m map[K]*T, name string, rec any) {
 	if v, ok := rec.(*T); ok {
-		m[name] = v
+		m[K(name)] = v
 	} else {
-		delete(m, name)
+		delete(m, K(name))
 	}
 }
 
--- a/wire/cloud.go
+++ b/wire/cloud.go
@@ -7,17 +7,17 @@
 	MaxInstancesPerPage     = 500
 )
 
-// MachineType describes one type that the cloud rents.
+// MachineType is a type of machines that the cloud offers. Prices are per hour.
 type MachineType struct {
 	Name            string   `json:"label"`
 	CPUs            float64  `json:"cores"`
 	GPUs            float64  `json:"gpus"`
 	MemoryGB        float64  `json:"memoryGb"`
-	CacheGB         float64  `json:"cacheGb"`
-	ImageFetchGBps  float64  `json:"fetchGbPerS"`
+	CacheGB         float64  `json:"cacheGb"`     // space for images
+	ImageFetchGBps  float64  `json:"fetchGbPerS"` // GB per second
 	HourlyPrice     float64  `json:"hourly"`
 	HourlySpotPrice float64  `json:"marketPrice"`
-	BootTime        float64  `json:"bootS"`
+	BootTime        Seconds  `json:"bootS"` // as a rule, from the provision request to the first heartbeat
 	Zones           []string `json:"yards"`
 }
 
@@ -26,7 +26,8 @@
 	Types []MachineType `json:"builds"`
 }
 
-// ProvisionRequest rents machines; Request names it for ever.
+// ProvisionRequest provisions up to Count machines. RequestID makes it idempotent, and must
+// never be used for another request.
 type ProvisionRequest struct {
 	RequestID   string `json:"hire"`
 	MachineType string `json:"build"`
@@ -35,27 +36,30 @@
 	Count       int    `json:"howMany"`
 }
 
-// MachineNames is a list of names.
+// MachineNames is a list of machines: those that a request provisioned, or is to delete.
 type MachineNames struct {
 	Names []string `json:"nests"`
 }
 
-// States of a machine in the cloud's list.
+// InstanceState is the state of a machine in the cloud's list.
+type InstanceState string
+
+// States of an instance.
 const (
-	InstanceStarting = "starting"
-	InstanceRunning  = "running"
-	InstanceFailed   = "failed"
+	InstanceStarting InstanceState = "starting"
+	InstanceRunning  InstanceState = "running"
+	InstanceFailed   InstanceState = "failed" // stopped by itself; listed until it is deleted
 )
 
 // Instance is one machine in the cloud's list.
 type Instance struct {
-	ID          string  `json:"id"`
-	Address     string  `json:"address"`
-	MachineType string  `json:"build"`
-	Zone        string  `json:"yard"`
-	Spot        bool    `json:"loaners"`
-	State       string  `json:"status"`
-	Age         float64 `json:"heldS"`
+	ID          string        `json:"id"`
+	Address     string        `json:"address"`
+	MachineType string        `json:"build"`
+	Zone        string        `json:"yard"`
+	Spot        bool          `json:"loaners"`
+	State       InstanceState `json:"status"`
+	Age         Seconds       `json:"heldS"` // since the provision request, at the time of the list
 }
 
 // InstanceList answers GET /hosts.
--- a/wire/state.go
+++ b/wire/store.go
@@ -2,28 +2,28 @@
 
 import "encoding/json"
 
-// KeyValue is one key of the state service.
+// KeyValue is one key of the key-value store.
 type KeyValue struct {
 	Key         string          `json:"path"`
 	Value       json.RawMessage `json:"data"`
-	ModRevision uint64          `json:"stamp"`
-	LeaseID     uint64          `json:"permit,omitempty"`
+	ModRevision uint64          `json:"stamp"`            // revision of the key's last change
+	LeaseID     uint64          `json:"permit,omitempty"` // the key is removed when this lease expires; 0: none
 }
 
-// RangeResponse is a page of keys.
+// RangeResponse is a page of the keys with a prefix, as of a revision of the store.
 type RangeResponse struct {
 	KeyValues []KeyValue `json:"items"`
 	More      bool       `json:"more"`
 	Revision  uint64     `json:"epoch"`
 }
 
-// Precondition is a condition of a transaction: the key has this version, 0 for none.
+// Precondition is a condition of a transaction: the key has this modification revision.
 type Precondition struct {
 	Key         string `json:"path"`
-	ModRevision uint64 `json:"stamp"`
+	ModRevision uint64 `json:"stamp"` // 0: the key does not exist
 }
 
-// Write is one change of a transaction: a put or a delete.
+// Write is one write of a transaction: a put, or a delete if PutKey is empty.
 type Write struct {
 	PutKey    string          `json:"set,omitempty"`
 	Value     json.RawMessage `json:"data,omitempty"`
@@ -31,7 +31,7 @@
 	DeleteKey string          `json:"remove,omitempty"`
 }
 
-// Key is the key that the write changes.
+// Key returns the key that is written.
 func (w *Write) Key() string {
 	if w.PutKey != "" {
 		return w.PutKey
@@ -39,7 +39,8 @@
 	return w.DeleteKey
 }
 
-// Txn is a guarded set of writes.
+// Txn is a compare-and-swap transaction: all writes are made if all preconditions hold, and
+// none otherwise.
 type Txn struct {
 	Preconditions []Precondition `json:"guards"`
 	Writes        []Write        `json:"writes,omitempty"`
@@ -48,10 +49,10 @@
 // TxnResponse answers a transaction.
 type TxnResponse struct {
 	Revision   uint64   `json:"epoch"`
-	FailedKeys []string `json:"failed,omitempty"`
+	FailedKeys []string `json:"failed,omitempty"` // whose preconditions do not hold
 }
 
-// Event is one change seen by a watch.
+// Event is one change seen by a watch: a put, or a delete if PutKey is empty.
 type Event struct {
 	PutKey      string          `json:"set,omitempty"`
 	Value       json.RawMessage `json:"data,omitempty"`
@@ -59,18 +60,18 @@
 	ModRevision uint64          `json:"stamp"`
 }
 
-// WatchResponse answers a watch.
+// WatchResponse answers a watch with all changes up to a revision.
 type WatchResponse struct {
 	Revision uint64  `json:"epoch"`
 	Events   []Event `json:"news"`
 }
 
-// LeaseGrantRequest and LeaseReply create a lease.
+// LeaseGrantRequest asks for a lease.
 type LeaseGrantRequest struct {
-	TTLMillis int64 `json:"lifeMs"`
+	TTLMillis int64 `json:"lifeMs"` // time to live, in milliseconds
 }
 
-// LeaseGrantResponse names a lease.
+// LeaseGrantResponse names the lease that was granted.
 type LeaseGrantResponse struct {
 	LeaseID uint64 `json:"permit"`
 }
