--- a/internal/apiserver/server.go
+++ b/internal/apiserver/server.go
@@ -122,7 +122,7 @@
 	job    *statecache.Job
 }
 
-func (f *Server) snapshot(id string) (jobSnapshot, bool) {
+func (f *Server) snapshot(id wire.JobID) (jobSnapshot, bool) {
 	return actor.Ask(f.Actor, func(reply func(jobSnapshot)) {
 		j := f.view.Jobs[id]
 		if j == nil {
@@ -147,7 +147,7 @@
 
 // currentSnapshot is a job's state no older than the call: a final one from memory,
 // any other after a read of the state service.
-func (f *Server) currentSnapshot(ctx context.Context, id string) (jobSnapshot, error) {
+func (f *Server) currentSnapshot(ctx context.Context, id wire.JobID) (jobSnapshot, error) {
 	l, ok := f.snapshot(id)
 	if ok && l.known && !l.job.Active() {
 		return l, nil
@@ -177,9 +177,9 @@
 const errorNoSuchJob = "no such job"
 
 // jobIDFrom is the id of the job that a request names; false if it was answered already.
-func jobIDFrom(w http.ResponseWriter, r *http.Request) (id string, ok bool) {
-	id = chi.URLParam(r, "id")
-	if !wire.ValidJobID(id) {
+func jobIDFrom(w http.ResponseWriter, r *http.Request) (id wire.JobID, ok bool) {
+	id = wire.JobID(chi.URLParam(r, "id"))
+	if !wire.ValidJobID(string(id)) {
 		writeError(w, http.StatusNotFound, errorNoSuchJob)
 		return "", false
 	}
@@ -247,7 +247,7 @@
 		if f.storeUnreachable() {
 			break
 		}
-		key := statecache.Key(statecache.KindJob, id)
+		key := statecache.Key(statecache.KindJob, string(id))
 		out, ok := f.commit(ctx, statecache.Commit{
 			Preconditions: []wire.Precondition{{Key: key, ModRevision: l.job.ModRevision}},
 			Puts:          []statecache.Put{{Key: key, Record: l.job.Cancelled(time.Now().UnixMilli())}},
--- a/internal/apiserver/submit.go
+++ b/internal/apiserver/submit.go
@@ -93,7 +93,7 @@
 	writeRetryAfter(w, status, wait, why)
 }
 
-func (f *Server) respondToRepeat(ctx context.Context, w http.ResponseWriter, r *http.Request, id string, body []byte) {
+func (f *Server) respondToRepeat(ctx context.Context, w http.ResponseWriter, r *http.Request, id wire.JobID, body []byte) {
 	l, err := f.currentSnapshot(ctx, id)
 	if err != nil || !l.known {
 		f.forwardToPeer(ctx, w, r, body)
@@ -147,9 +147,9 @@
 		case id == j.ID:
 			return http.StatusUnprocessableEntity, "awaits: the job names itself", nil
 		case !l.known:
-			return http.StatusUnprocessableEntity, "awaits: " + id + " was never accepted", nil
+			return http.StatusUnprocessableEntity, "awaits: " + string(id) + " was never accepted", nil
 		case l.job.Spec != nil && l.job.Spec.IsService():
-			return http.StatusUnprocessableEntity, "awaits: " + id + " is a service, which is never done", nil
+			return http.StatusUnprocessableEntity, "awaits: " + string(id) + " is a service, which is never done", nil
 		}
 	}
 	return 0, "", nil
@@ -176,7 +176,7 @@
 		f.forwardToPeer(ctx, w, r, body)
 		return
 	}
-	key := statecache.Key(statecache.KindJob, j.ID)
+	key := statecache.Key(statecache.KindJob, string(j.ID))
 	// A crowd of users must not take all the writes: who comes too early is told
 	// when to come back.
 	f.admission.SetLimit(admissionRate(f.config))
--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -51,9 +51,9 @@
 	revision       uint64
 	freshAsOf      time.Time
 	machineTypes   []wire.MachineType
-	activeJobs     map[string]*statecache.Job
-	blockedJobs    map[string]*statecache.Job
-	latePipelines  map[string]string // pipelines by their last job: the stage that makes them late
+	activeJobs     map[wire.JobID]*statecache.Job
+	blockedJobs    map[wire.JobID]*statecache.Job
+	latePipelines  map[wire.JobID]wire.JobID // pipelines by their last job: the stage that makes them late
 	runtimes       *estimate.RuntimeEstimator
 	boundSince     map[string]time.Time        // bound task: since when
 	liveness       map[string]*machineLiveness // by machine
@@ -86,9 +86,9 @@
 		onProbeResponse: report,
 		writeLimiter:    rate.NewLimiter(rate.Limit(cfg.Params.Store.WriteRate*(1-cfg.Operator.SchedulerWriteShare)), cfg.Params.Store.TxnOpsLimit()),
 		view:            statecache.NewUnfinishedView(statecache.ChunkTasks(cfg.Params.Store.MaxValueKB)),
-		activeJobs:      map[string]*statecache.Job{},
-		blockedJobs:     map[string]*statecache.Job{},
-		latePipelines:   map[string]string{},
+		activeJobs:      map[wire.JobID]*statecache.Job{},
+		blockedJobs:     map[wire.JobID]*statecache.Job{},
+		latePipelines:   map[wire.JobID]wire.JobID{},
 		runtimes:        estimate.NewRuntimeEstimator(),
 		boundSince:      map[string]time.Time{},
 		liveness:        map[string]*machineLiveness{},
@@ -140,17 +140,18 @@
 				r.runtimes.Observe(g.Terminations, r.view.Jobs)
 			}
 		case statecache.KindJob:
+			id := wire.JobID(c.Name)
 			j, _ := c.Record.(*statecache.Job)
-			delete(r.activeJobs, c.Name)
-			delete(r.blockedJobs, c.Name)
+			delete(r.activeJobs, id)
+			delete(r.blockedJobs, id)
 			switch {
 			case j == nil || !j.Active() || j.Spec == nil:
-				r.runtimes.Forget(c.Name)
-				delete(r.latePipelines, c.Name)
+				r.runtimes.Forget(id)
+				delete(r.latePipelines, id)
 			case j.Blocked:
-				r.blockedJobs[c.Name] = j
+				r.blockedJobs[id] = j
 			default:
-				r.activeJobs[c.Name] = j
+				r.activeJobs[id] = j
 			}
 		}
 	}
--- a/internal/autoscaler/planning_input.go
+++ b/internal/autoscaler/planning_input.go
@@ -60,7 +60,7 @@
 			pools[resources.Pool{MachineType: b.MachineType, Zone: b.Zone, Spot: b.Spot}] = true
 		}
 	}
-	add := func(id string, j *statecache.Job, startS float64) {
+	add := func(id wire.JobID, j *statecache.Job, startS float64) {
 		n := r.view.PendingTasks(id, j)
 		if n <= 0 {
 			return
@@ -132,17 +132,17 @@
 }
 
 // dependencyWaits tells in how many seconds each blocked job could run.
-func (r *Autoscaler) dependencyWaits(now time.Time) map[string]estimate.DependencyWait {
+func (r *Autoscaler) dependencyWaits(now time.Time) map[wire.JobID]estimate.DependencyWait {
 	if len(r.blockedJobs) == 0 {
 		return nil
 	}
-	run := func(id string) float64 {
+	run := func(id wire.JobID) float64 {
 		if j := r.view.Jobs[id]; j != nil && j.Spec != nil {
 			return r.runtimes.Estimate(j.Spec)
 		}
 		return 0
 	}
-	left := func(id string) float64 {
+	left := func(id wire.JobID) float64 {
 		j, whole := r.activeJobs[id], run(id)
 		if j == nil {
 			return 0
@@ -161,14 +161,14 @@
 
 // logDeadlineRisk says early that a pipeline will miss its deadline, and which stage makes
 // it: once for each change.
-func (r *Autoscaler) logDeadlineRisk(last string, h estimate.DependencyWait, now time.Time) {
+func (r *Autoscaler) logDeadlineRisk(last wire.JobID, h estimate.DependencyWait, now time.Time) {
 	j := r.blockedJobs[last]
 	if j.Spec.Deadline == nil {
 		return
 	}
 	end := float64(now.UnixMilli()-j.SubmittedAt)/1000 + h.Wait + r.runtimes.Estimate(j.Spec)
 	late := end - float64(*j.Spec.Deadline)
-	by := ""
+	by := wire.JobID("")
 	if late > 0 {
 		by = h.BlockedBy
 	}
--- a/internal/estimate/deadlines.go
+++ b/internal/estimate/deadlines.go
@@ -6,6 +6,7 @@
 
 	"lynxledge/internal/config"
 	"lynxledge/internal/statecache"
+	"lynxledge/wire"
 )
 
 // Deadlines lists when a job is to be done, in seconds from when it could run, the
@@ -43,10 +44,10 @@
 
 // DependencyWaits tells of blocked jobs in how many seconds they could run, given how long
 // each job that is not blocked will take, and which of those holds them up.
-func DependencyWaits(blocked map[string]*statecache.Job, active func(id string) bool, left, runS func(id string) float64) map[string]DependencyWait {
-	out := make(map[string]DependencyWait, len(blocked))
+func DependencyWaits(blocked map[wire.JobID]*statecache.Job, active func(id wire.JobID) bool, left, runS func(id wire.JobID) float64) map[wire.JobID]DependencyWait {
+	out := make(map[wire.JobID]DependencyWait, len(blocked))
 	for id := range blocked {
-		for todo := []string{id}; len(todo) > 0; {
+		for todo := []wire.JobID{id}; len(todo) > 0; {
 			id := todo[len(todo)-1]
 			if _, known := out[id]; known {
 				todo = todo[:len(todo)-1]
@@ -82,5 +83,5 @@
 // DependencyWait says in how many seconds a job could run, and which job keeps it until then.
 type DependencyWait struct {
 	Wait      float64
-	BlockedBy string
+	BlockedBy wire.JobID
 }
--- a/internal/estimate/runtime.go
+++ b/internal/estimate/runtime.go
@@ -11,7 +11,7 @@
 // job's own completed tasks, else by how far its class was off lately.
 type RuntimeEstimator struct {
 	classCorrections map[string]float64 // logarithm of seen over estimated, smoothed
-	jobRuntimes      map[string]mean
+	jobRuntimes      map[wire.JobID]mean
 }
 
 type mean struct {
@@ -21,7 +21,7 @@
 
 // NewRuntimeEstimator knows nothing yet.
 func NewRuntimeEstimator() *RuntimeEstimator {
-	return &RuntimeEstimator{classCorrections: map[string]float64{}, jobRuntimes: map[string]mean{}}
+	return &RuntimeEstimator{classCorrections: map[string]float64{}, jobRuntimes: map[wire.JobID]mean{}}
 }
 
 const (
@@ -31,7 +31,7 @@
 )
 
 // Observe takes over what a group's new record says of completed tasks.
-func (e *RuntimeEstimator) Observe(gone []statecache.Termination, jobs map[string]*statecache.Job) {
+func (e *RuntimeEstimator) Observe(gone []statecache.Termination, jobs map[wire.JobID]*statecache.Job) {
 	for _, g := range gone {
 		id := g.Job
 		j := jobs[id]
@@ -47,7 +47,7 @@
 }
 
 // Forget drops a job that is over.
-func (e *RuntimeEstimator) Forget(id string) { delete(e.jobRuntimes, id) }
+func (e *RuntimeEstimator) Forget(id wire.JobID) { delete(e.jobRuntimes, id) }
 
 // Estimate is the running time to expect of a task.
 func (e *RuntimeEstimator) Estimate(j *wire.Job) float64 {
--- a/internal/placement/constraints.go
+++ b/internal/placement/constraints.go
@@ -18,7 +18,7 @@
 type ZoneCounts map[string]int
 
 // ZoneCountsOf counts a job's bound tasks by zone.
-func ZoneCountsOf(v *statecache.View, job string) ZoneCounts {
+func ZoneCountsOf(v *statecache.View, job wire.JobID) ZoneCounts {
 	z := ZoneCounts{}
 	for _, m := range v.Bindings[job] {
 		z[v.Machines[m].Zone]++
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -112,7 +112,7 @@
 		case a.Deadline > b.Deadline:
 			return 1
 		}
-		return strings.Compare(a.Job.ID, b.Job.ID)
+		return strings.Compare(string(a.Job.ID), string(b.Job.ID))
 	})
 	var out Plan
 	for _, d := range demands {
--- a/internal/reconcile/reconcile.go
+++ b/internal/reconcile/reconcile.go
@@ -25,7 +25,7 @@
 // later session, or absence under a token that fences every launch of the
 // attempt proves that a task is gone; absence alone proves nothing, because a
 // launch may be on its way.
-func Heartbeat(rec *statecache.Machine, rep *wire.Heartbeat, active func(job string) bool) Result {
+func Heartbeat(rec *statecache.Machine, rep *wire.Heartbeat, active func(job wire.JobID) bool) Result {
 	var p Result
 	if rep.Incarnation < rec.Incarnation {
 		return p // a report from before the worker's lease ended
--- a/internal/recovery/advisor.go
+++ b/internal/recovery/advisor.go
@@ -62,9 +62,9 @@
 func (a *Advisor) advise(now time.Time, cluster scheduler.ClusterState) *advice {
 	out := &advice{
 		zones:     admissions(now, cluster.View.ZoneRecoveries, &a.policy, cluster.Nodes),
-		preferred: map[string][]*scheduler.Node{},
+		preferred: map[wire.JobID][]*scheduler.Node{},
 		reserved:  map[*scheduler.Node]resources.Vector{},
-		positions: map[string]int{},
+		positions: map[wire.JobID]int{},
 	}
 	services := Services(cluster.View, cluster.ActiveJobs)
 	for i, s := range services {
@@ -103,9 +103,9 @@
 // advice is what an Advisor tells; it stays as it is.
 type advice struct {
 	zones     map[string]*Admission
-	preferred map[string][]*scheduler.Node
+	preferred map[wire.JobID][]*scheduler.Node
 	reserved  map[*scheduler.Node]resources.Vector
-	positions map[string]int
+	positions map[wire.JobID]int
 }
 
 // Admits tells whether a machine may take a task of a job.
@@ -123,10 +123,10 @@
 }
 
 // PreferredNodes are machines with room for the waiting replicas of a service.
-func (a *advice) PreferredNodes(service string) []*scheduler.Node { return a.preferred[service] }
+func (a *advice) PreferredNodes(service wire.JobID) []*scheduler.Node { return a.preferred[service] }
 
 // RecoveryOrder is a service's place in the order; one that was not known yet comes last.
-func (a *advice) RecoveryOrder(service string) int {
+func (a *advice) RecoveryOrder(service wire.JobID) int {
 	if i, known := a.positions[service]; known {
 		return i
 	}
--- a/internal/recovery/service.go
+++ b/internal/recovery/service.go
@@ -59,15 +59,15 @@
 			cmp.Compare(b.Job.Priority, a.Job.Priority),
 			cmp.Compare(a.serving(), b.serving()),
 			cmp.Compare(a.Since, b.Since),
-			strings.Compare(a.Job.ID, b.Job.ID),
+			strings.Compare(string(a.Job.ID), string(b.Job.ID)),
 		)
 	})
 }
 
 // Services finds the services that lack replicas, or are about to, in order.
-func Services(view *statecache.View, active map[string]*statecache.Job) []*Service {
-	found := map[string]*Service{}
-	get := func(id string) *Service {
+func Services(view *statecache.View, active map[wire.JobID]*statecache.Job) []*Service {
+	found := map[wire.JobID]*Service{}
+	get := func(id wire.JobID) *Service {
 		s := found[id]
 		if s == nil {
 			j := active[id]
--- a/internal/scheduler/advisor.go
+++ b/internal/scheduler/advisor.go
@@ -20,7 +20,7 @@
 // ClusterState is what an advisor looks at. It belongs to the placer.
 type ClusterState struct {
 	View       *statecache.View
-	ActiveJobs map[string]*statecache.Job
+	ActiveJobs map[wire.JobID]*statecache.Job
 	Nodes      []*Node
 	Usage      resources.Usage
 	TeamQuota  func(name string) config.TeamQuota
@@ -34,9 +34,9 @@
 	// LastResort tells whether a machine may take a task that has no room elsewhere.
 	IsFallback(n *Node, j *wire.Job) bool
 	// Preferred are machines with room for the waiting replicas of a service.
-	PreferredNodes(service string) []*Node
+	PreferredNodes(service wire.JobID) []*Node
 	// Position is a service's place in the order in which services are made whole.
-	RecoveryOrder(service string) int
+	RecoveryOrder(service wire.JobID) int
 	// Reserved is the room kept for replicas that are about to be placed anew.
 	ReservedCapacity() map[*Node]resources.Vector
 }
@@ -92,7 +92,7 @@
 // zoneCountsInCycle counts a job's bound tasks by zone. While zones recover, replicas that the
 // round proves gone count no more: the room that they leave is for the service itself
 // before it is for arrays.
-func (p *Scheduler) zoneCountsInCycle(r *cycle, job string) placement.ZoneCounts {
+func (p *Scheduler) zoneCountsInCycle(r *cycle, job wire.JobID) placement.ZoneCounts {
 	zones := placement.ZoneCountsOf(p.view, job)
 	if j := p.activeJobs[job]; p.advice == nil || j == nil || !j.Spec.IsService() {
 		return zones
@@ -107,7 +107,7 @@
 }
 
 // hasBinding tells whether the group's next record still binds a task to a machine.
-func (d *groupUpdate) hasBinding(machine, job string, n int) bool {
+func (d *groupUpdate) hasBinding(machine string, job wire.JobID, n int) bool {
 	return slices.ContainsFunc(d.Machines, func(m *statecache.Machine) bool {
 		return m.Name == machine && m.FindBinding(job, n) != nil
 	})
--- a/internal/scheduler/backoff.go
+++ b/internal/scheduler/backoff.go
@@ -38,7 +38,7 @@
 // backOffJob backs a job off: a refusal for want of room for one report, a real
 // failure twice as long each time, up to a lease: no job is left waiting beside
 // room for much longer than that.
-func (p *Scheduler) backOffJob(job, machine string, why wire.ExitReason, now time.Time) {
+func (p *Scheduler) backOffJob(job wire.JobID, machine string, why wire.ExitReason, now time.Time) {
 	f := p.failures[job]
 	if f == nil {
 		f = &jobFailures{machines: map[string]bool{}}
--- a/internal/scheduler/commit.go
+++ b/internal/scheduler/commit.go
@@ -17,15 +17,15 @@
 	limit                   int // writes
 	groupUpdates            map[string]*groupUpdate
 	completionChunks        map[string]*statecache.CompletionChunk // by key
-	finishedJobs            map[string]int                         // jobs that end: writes that takes
+	finishedJobs            map[wire.JobID]int                     // jobs that end: writes that takes
 	splitParts              map[string]int                         // groups to split: new records at most
-	cancellations           map[string]*statecache.Job             // jobs whose cancellation is stored
-	completed               map[string]int                         // jobs: tasks marked here
-	jobPreconditions        map[string]uint64                      // guarded jobs
+	cancellations           map[wire.JobID]*statecache.Job         // jobs whose cancellation is stored
+	completed               map[wire.JobID]int                     // jobs: tasks marked here
+	jobPreconditions        map[wire.JobID]uint64                  // guarded jobs
 	assignmentPreconditions map[string]uint64
-	placed                  map[string]int
+	placed                  map[wire.JobID]int
 	usage                   resources.Usage
-	guaranteed              map[string]bool // jobs within their teams' guarantees
+	guaranteed              map[wire.JobID]bool // jobs within their teams' guarantees
 	launches                map[string][]wire.Command
 	stops                   map[string][]wire.Command
 	terminated              int                            // tasks that left
@@ -45,13 +45,13 @@
 		limit:                   limit,
 		groupUpdates:            map[string]*groupUpdate{},
 		completionChunks:        map[string]*statecache.CompletionChunk{},
-		finishedJobs:            map[string]int{},
+		finishedJobs:            map[wire.JobID]int{},
 		splitParts:              map[string]int{},
-		cancellations:           map[string]*statecache.Job{},
-		completed:               map[string]int{},
-		jobPreconditions:        map[string]uint64{},
+		cancellations:           map[wire.JobID]*statecache.Job{},
+		completed:               map[wire.JobID]int{},
+		jobPreconditions:        map[wire.JobID]uint64{},
 		assignmentPreconditions: map[string]uint64{},
-		placed:                  map[string]int{},
+		placed:                  map[wire.JobID]int{},
 		usage:                   maps.Clone(tally),
 		launches:                map[string][]wire.Command{},
 		stops:                   map[string][]wire.Command{},
@@ -157,18 +157,18 @@
 	p.mergeGroups(r, &c)
 	c.RequireAssignments(r.assignmentPreconditions)
 	for id, stamp := range r.jobPreconditions {
-		c.Preconditions = append(c.Preconditions, wire.Precondition{Key: statecache.Key(statecache.KindJob, id), ModRevision: stamp})
+		c.Preconditions = append(c.Preconditions, wire.Precondition{Key: statecache.Key(statecache.KindJob, string(id)), ModRevision: stamp})
 	}
 	for key, d := range r.completionChunks {
 		c.Preconditions = append(c.Preconditions, wire.Precondition{Key: key, ModRevision: d.ModRevision})
 		c.Puts = append(c.Puts, statecache.Put{Key: key, Record: d})
 	}
 	for id, rec := range r.cancellations {
-		c.Puts = append(c.Puts, statecache.Put{Key: statecache.Key(statecache.KindJob, id), Record: rec})
+		c.Puts = append(c.Puts, statecache.Put{Key: statecache.Key(statecache.KindJob, string(id)), Record: rec})
 	}
 	for job, writes := range r.finishedJobs {
 		j := p.view.Jobs[job]
-		c.Puts = append(c.Puts, statecache.Put{Key: statecache.Key(statecache.KindJob, job), Record: &statecache.Job{
+		c.Puts = append(c.Puts, statecache.Put{Key: statecache.Key(statecache.KindJob, string(job)), Record: &statecache.Job{
 			State: wire.JobDone, TaskCount: j.TaskCount, SubmittedAt: j.SubmittedAt, FinishedAt: r.now.UnixMilli(),
 		}})
 		// The done set goes with the write that calls the job done.
@@ -225,7 +225,7 @@
 	})
 }
 
-func sum(m map[string]int) int {
+func sum(m map[wire.JobID]int) int {
 	n := 0
 	for _, v := range m {
 		n += v
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -25,7 +25,7 @@
 }
 
 type queuedJob struct {
-	id            string
+	id            wire.JobID
 	job           *statecache.Job
 	assignment    uint64 // stamp of the team's assignment
 	deadlineStage int    // how many of its deadlines it is not to keep
--- a/internal/scheduler/queue_order.go
+++ b/internal/scheduler/queue_order.go
@@ -90,6 +90,6 @@
 		if a.deadline != b.deadline {
 			return cmp.Compare(a.deadline, b.deadline)
 		}
-		return strings.Compare(a.id, b.id)
+		return strings.Compare(string(a.id), string(b.id))
 	})
 }
--- a/internal/scheduler/quota.go
+++ b/internal/scheduler/quota.go
@@ -20,16 +20,16 @@
 
 // compareClaims orders claims by the time from which they count.
 func compareClaims(a, b QuotaClaim) int {
-	return cmp.Or(cmp.Compare(a.SubmittedAt, b.SubmittedAt), strings.Compare(a.Job.ID, b.Job.ID))
+	return cmp.Or(cmp.Compare(a.SubmittedAt, b.SubmittedAt), strings.Compare(string(a.Job.ID), string(b.Job.ID)))
 }
 
 // JobsWithinGuarantee tells which jobs are within their teams' guarantees: those that fit
 // together with the team's earlier unfinished jobs. What a team runs beyond its
 // guarantee is the rest. It sorts the claims.
-func JobsWithinGuarantee(claims []QuotaClaim, team func(string) config.TeamQuota) map[string]bool {
+func JobsWithinGuarantee(claims []QuotaClaim, team func(string) config.TeamQuota) map[wire.JobID]bool {
 	slices.SortFunc(claims, compareClaims)
 	used := resources.Usage{}
-	guaranteed := map[string]bool{}
+	guaranteed := map[wire.JobID]bool{}
 	for _, c := range claims {
 		all := resources.Vector{}.Plus(resources.OfTask(c.Job), float64(c.RemainingTasks))
 		if used.WithinGuarantee(team(c.Job.Team), all) {
@@ -48,7 +48,7 @@
 }
 
 // current is the claims of jobs as they are now.
-func (l *quotaClaimList) current(jobs map[string]*statecache.Job, done func(job string) int) []QuotaClaim {
+func (l *quotaClaimList) current(jobs map[wire.JobID]*statecache.Job, done func(job wire.JobID) int) []QuotaClaim {
 	if l.outdated {
 		l.claims = l.claims[:0]
 		for _, j := range jobs {
--- a/internal/scheduler/reconciliation.go
+++ b/internal/scheduler/reconciliation.go
@@ -38,7 +38,7 @@
 }
 
 // finishJob calls a job done once all its tasks are, as far as the commit has room.
-func (p *Scheduler) finishJob(r *cycle, job string) {
+func (p *Scheduler) finishJob(r *cycle, job wire.JobID) {
 	j := p.view.Jobs[job]
 	if !p.view.Active(job) || r.finishedJobs[job] > 0 || p.view.CompletedCount(job)+r.completed[job] < j.TaskCount {
 		return
@@ -178,7 +178,7 @@
 		return // there is room for the marks elsewhere
 	}
 	for d.RetainedSize() > p.valueSizeShare(compactionFillShare) && r.ops() < r.limit && p.canAddPrecondition(r) {
-		most := ""
+		most := wire.JobID("")
 		for job, ns := range d.Completions {
 			if r.finishedJobs[job] == 0 && len(ns) > len(d.Completions[most]) {
 				most = job
@@ -213,7 +213,7 @@
 // completionChunkFor is the record of a job's done set that takes a task. A whole chunk takes
 // what fits into it under the service's limit. While nothing says that the limit has
 // fallen it takes everything, since a version that doesn't know parts may serve.
-func (p *Scheduler) completionChunkFor(r *cycle, job string, task int) statecache.CompletionChunkID {
+func (p *Scheduler) completionChunkFor(r *cycle, job wire.JobID, task int) statecache.CompletionChunkID {
 	chunk, bit := p.view.CompletionChunkOf(task)
 	id := statecache.CompletionChunkID{Chunk: chunk, FirstTask: statecache.WholeChunk}
 	if !p.config.StoreRates.LowerLimitsInForce() {
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -45,14 +45,14 @@
 	freshAsOf           time.Time
 	machineTypes        map[string]*wire.MachineType
 	zoneOffers          ZoneOffers
-	activeJobs          map[string]*statecache.Job
+	activeJobs          map[wire.JobID]*statecache.Job
 	quotaClaims         quotaClaimList // of the active jobs
 	runtimes            *estimate.RuntimeEstimator
-	firstIncompleteTask map[string]int           // lowest task of a job that may not be done
-	imageCaches         map[string][]cachedImage // machine: images fetched there, newest first
-	failures            map[string]*jobFailures  // job: what went wrong lately
-	avoidUntil          map[string]time.Time     // machine: not to be used until
-	preemptedUntil      map[string]time.Time     // array: not to be placed until, since a task of it gave way as soon as it was
+	firstIncompleteTask map[wire.JobID]int          // lowest task of a job that may not be done
+	imageCaches         map[string][]cachedImage    // machine: images fetched there, newest first
+	failures            map[wire.JobID]*jobFailures // job: what went wrong lately
+	avoidUntil          map[string]time.Time        // machine: not to be used until
+	preemptedUntil      map[wire.JobID]time.Time    // array: not to be placed until, since a task of it gave way as soon as it was
 
 	nodes             map[string]*Node
 	allNodes          []*Node
@@ -67,10 +67,10 @@
 
 	pendingEvidence     map[string]map[string]*pendingEvidence // group, machine
 	lastTermination     time.Time                              // when somebody last wrote what reports proved
-	fullyCompletedSince map[string]time.Time                   // complete jobs that are not called done yet, since
+	fullyCompletedSince map[wire.JobID]time.Time               // complete jobs that are not called done yet, since
 	oversizedGroups     map[string]bool                        // groups whose records can hardly be written, or not at all
 	crowdedGroups       map[string]bool                        // groups whose records are full before their machines are
-	cancelledDependents map[string]*statecache.Job             // cancelled with a predecessor, which their own records don't say yet
+	cancelledDependents map[wire.JobID]*statecache.Job         // cancelled with a predecessor, which their own records don't say yet
 
 	commitInFlight bool
 	cycleScheduled bool
@@ -99,22 +99,22 @@
 		writeLimiter:        rate.NewLimiter(rate.Limit(s.WriteRate*cfg.Operator.SchedulerWriteShare), s.TxnOpsLimit()),
 		view:                statecache.NewUnfinishedView(statecache.ChunkTasks(s.MaxValueKB)),
 		machineTypes:        map[string]*wire.MachineType{},
-		activeJobs:          map[string]*statecache.Job{},
+		activeJobs:          map[wire.JobID]*statecache.Job{},
 		runtimes:            estimate.NewRuntimeEstimator(),
-		firstIncompleteTask: map[string]int{},
+		firstIncompleteTask: map[wire.JobID]int{},
 		imageCaches:         map[string][]cachedImage{},
-		failures:            map[string]*jobFailures{},
+		failures:            map[wire.JobID]*jobFailures{},
 		avoidUntil:          map[string]time.Time{},
-		preemptedUntil:      map[string]time.Time{},
+		preemptedUntil:      map[wire.JobID]time.Time{},
 		nodes:               map[string]*Node{},
 		pools:               map[nodePool]poolCapacity{},
 		startingNodes:       map[string]*Node{},
 		usage:               resources.Usage{},
 		pendingEvidence:     map[string]map[string]*pendingEvidence{},
-		fullyCompletedSince: map[string]time.Time{},
+		fullyCompletedSince: map[wire.JobID]time.Time{},
 		oversizedGroups:     map[string]bool{},
 		crowdedGroups:       map[string]bool{},
-		cancelledDependents: map[string]*statecache.Job{},
+		cancelledDependents: map[wire.JobID]*statecache.Job{},
 	}
 	p.otherWriters.window = p.heartbeats(writeMeterHeartbeats)
 	return p
@@ -179,27 +179,28 @@
 			}
 		case statecache.KindCompletionChunk:
 			job, _, _ := strings.Cut(c.Name, "/")
-			p.noteIfCompleted(job, now)
+			p.noteIfCompleted(wire.JobID(job), now)
 		case statecache.KindJob:
+			id := wire.JobID(c.Name)
 			j, _ := c.Record.(*statecache.Job)
 			if j != nil && j.CancelledByDependency {
-				p.cancelledDependents[c.Name] = j
+				p.cancelledDependents[id] = j
 			} else {
-				delete(p.cancelledDependents, c.Name)
+				delete(p.cancelledDependents, id)
 			}
 			// A blocked job waits for others: it has no place in the queue, and counts
 			// towards nothing. Only records that say done make it ready.
 			if j != nil && j.Active() && j.Spec != nil && !j.Blocked {
-				p.activeJobs[c.Name] = j
+				p.activeJobs[id] = j
 				p.quotaClaims.outdated = true
 			} else {
-				delete(p.activeJobs, c.Name)
+				delete(p.activeJobs, id)
 				p.quotaClaims.outdated = true
-				delete(p.firstIncompleteTask, c.Name)
-				delete(p.failures, c.Name)
-				delete(p.preemptedUntil, c.Name)
-				delete(p.fullyCompletedSince, c.Name)
-				p.runtimes.Forget(c.Name)
+				delete(p.firstIncompleteTask, id)
+				delete(p.failures, id)
+				delete(p.preemptedUntil, id)
+				delete(p.fullyCompletedSince, id)
+				p.runtimes.Forget(id)
 			}
 		}
 	}
@@ -208,7 +209,7 @@
 	}
 }
 
-func (p *Scheduler) noteIfCompleted(job string, now time.Time) {
+func (p *Scheduler) noteIfCompleted(job wire.JobID, now time.Time) {
 	if _, ok := p.fullyCompletedSince[job]; !ok && p.view.AllTasksCompleted(job) {
 		p.fullyCompletedSince[job] = now
 	}
--- a/internal/simulation/idle.go
+++ b/internal/simulation/idle.go
@@ -48,9 +48,9 @@
 
 // followRoom notes how much of each machine that is up is free, and counts each job's
 // tasks that are on machines.
-func (r *InvariantChecker) followRoom(up []wire.Instance, types []wire.MachineType, now time.Time) (on map[string]int) {
+func (r *InvariantChecker) followRoom(up []wire.Instance, types []wire.MachineType, now time.Time) (on map[wire.JobID]int) {
 	used := map[string]amount{}
-	on = map[string]int{}
+	on = map[wire.JobID]int{}
 	for task, h := range r.on {
 		id, _, _ := wire.ParseTaskName(task)
 		on[id]++
--- a/internal/simulation/invariants.go
+++ b/internal/simulation/invariants.go
@@ -16,14 +16,14 @@
 	mu         sync.Mutex
 	teams      map[string]config.TeamQuota
 	cancelS    time.Duration
-	jobs       map[string]*jobRecord
+	jobs       map[wire.JobID]*jobRecord
 	on         map[string]wire.Instance // task: machine
 	used       map[string]float64       // processors, by team
 	violations []string
 	started    int
 	late       int // tasks ordered to start after their job's confirmed cancellation
 	over       bool
-	atEnd      func(job string)
+	atEnd      func(job wire.JobID)
 	free       map[string]*freeRoom // of machines that are up, by name
 }
 
@@ -47,7 +47,7 @@
 	r := &InvariantChecker{
 		teams:   map[string]config.TeamQuota{},
 		cancelS: config.Seconds(p.Workers.CancellationDeadline),
-		jobs:    map[string]*jobRecord{},
+		jobs:    map[wire.JobID]*jobRecord{},
 		on:      map[string]wire.Instance{},
 		used:    map[string]float64{},
 		free:    map[string]*freeRoom{},
@@ -87,7 +87,7 @@
 
 // OnJobEnd sets what happens at the moment at which the last task of an array
 // completes.
-func (r *InvariantChecker) OnJobEnd(f func(job string)) {
+func (r *InvariantChecker) OnJobEnd(f func(job wire.JobID)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.atEnd = f
@@ -198,7 +198,7 @@
 }
 
 // AskedToCancel notes that the user wants a job cancelled.
-func (r *InvariantChecker) AskedToCancel(id string) {
+func (r *InvariantChecker) AskedToCancel(id wire.JobID) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if t := r.jobs[id]; t != nil {
@@ -216,7 +216,7 @@
 }
 
 // JobAnswered checks an answer: status 201, 200 or 404 for a job, with its state.
-func (r *InvariantChecker) JobAnswered(id string, status int, state wire.JobState) {
+func (r *InvariantChecker) JobAnswered(id wire.JobID, status int, state wire.JobState) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	t := r.jobs[id]
@@ -277,7 +277,7 @@
 }
 
 // Accepted tells whether a user knows that a job was accepted.
-func (r *InvariantChecker) Accepted(id string) bool {
+func (r *InvariantChecker) Accepted(id wire.JobID) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.jobs[id].accepted
@@ -285,7 +285,7 @@
 
 // waiting tells whether a job waits for others.
 func (r *InvariantChecker) waiting(t *jobRecord) bool {
-	return slices.ContainsFunc(t.job.Dependencies, func(before string) bool {
+	return slices.ContainsFunc(t.job.Dependencies, func(before wire.JobID) bool {
 		b := r.jobs[before]
 		return len(b.completed) < b.job.TaskCount || b.final != wire.JobDone
 	})
@@ -328,14 +328,14 @@
 }
 
 // AcceptedAt is when a job's first task started; zero if none did.
-func (r *InvariantChecker) AcceptedAt(id string) time.Time {
+func (r *InvariantChecker) AcceptedAt(id wire.JobID) time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.jobs[id].began
 }
 
 // RunningTasks counts the tasks of jobs that are on machines.
-func (r *InvariantChecker) RunningTasks(jobs ...string) int {
+func (r *InvariantChecker) RunningTasks(jobs ...wire.JobID) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	n := 0
@@ -349,15 +349,15 @@
 
 // MissingTasks lists accepted services, not cancelled, of which fewer than half of
 // the replicas run.
-func (r *InvariantChecker) MissingTasks() []string {
+func (r *InvariantChecker) MissingTasks() []wire.JobID {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	on := map[string]int{}
+	on := map[wire.JobID]int{}
 	for task := range r.on {
 		id, _, _ := wire.ParseTaskName(task)
 		on[id]++
 	}
-	var out []string
+	var out []wire.JobID
 	for id, t := range r.jobs {
 		if t.accepted && t.final == "" && !t.asked && t.job.IsService() && 2*on[id] < t.job.TaskCount {
 			out = append(out, id)
@@ -368,10 +368,10 @@
 }
 
 // UnfinishedJobs lists jobs that were accepted and are not over.
-func (r *InvariantChecker) UnfinishedJobs() []string {
+func (r *InvariantChecker) UnfinishedJobs() []wire.JobID {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var out []string
+	var out []wire.JobID
 	for id, t := range r.jobs {
 		if t.accepted && t.final == "" && !t.job.IsService() {
 			out = append(out, id)
--- a/internal/statecache/cache.go
+++ b/internal/statecache/cache.go
@@ -121,13 +121,13 @@
 		}
 		j, isJob := c.Record.(*Job)
 		if isJob {
-			c.Record = l.dependencies.derive(c.Name, j)
+			c.Record = l.dependencies.derive(wire.JobID(c.Name), j)
 		}
 		l.view.Apply(c)
 		news = append(news, c)
 		if isJob {
-			l.dependencies.propagate(c.Name, func(id string, j *Job) {
-				more := Change{Key: Key(KindJob, id), Kind: KindJob, Name: id, Record: j, ModRevision: j.ModRevision}
+			l.dependencies.propagate(wire.JobID(c.Name), func(id wire.JobID, j *Job) {
+				more := Change{Key: Key(KindJob, string(id)), Kind: KindJob, Name: string(id), Record: j, ModRevision: j.ModRevision}
 				l.view.Apply(more)
 				news = append(news, more)
 			})
--- a/internal/statecache/completion_codec.go
+++ b/internal/statecache/completion_codec.go
@@ -53,7 +53,7 @@
 
 func encodeTermination(g *Termination) string {
 	why := strings.ReplaceAll(string(g.Reason), " ", "-") // a worker's word, perhaps an unknown one
-	s := g.Machine + " " + g.Job[len(jobPrefix):] + "/" + strconv.Itoa(g.TaskIndex) + " " + why
+	s := g.Machine + " " + string(g.Job)[len(jobPrefix):] + "/" + strconv.Itoa(g.TaskIndex) + " " + why
 	if g.Runtime > 0 {
 		s += " " + strconv.FormatFloat(g.Runtime, 'f', 1, 64)
 	}
--- a/internal/statecache/dependencies.go
+++ b/internal/statecache/dependencies.go
@@ -12,17 +12,17 @@
 // Every edge is looked at when one of its jobs is accepted or ends, never as a
 // part of all jobs, and by a worklist: chains may be of any length.
 type dependencyGraph struct {
-	jobs       map[string]*Job     // of the ledger's view
-	successors map[string][]string // job that isn't over: its successors that are not over
-	waiting    map[string]bool     // successors that stand in next
+	jobs       map[wire.JobID]*Job         // of the ledger's view
+	successors map[wire.JobID][]wire.JobID // job that isn't over: its successors that are not over
+	waiting    map[wire.JobID]bool         // successors that stand in next
 }
 
 func newDependencyGraph(v *View) *dependencyGraph {
-	return &dependencyGraph{jobs: v.Jobs, successors: map[string][]string{}, waiting: map[string]bool{}}
+	return &dependencyGraph{jobs: v.Jobs, successors: map[wire.JobID][]wire.JobID{}, waiting: map[wire.JobID]bool{}}
 }
 
 // derive gives a job what follows from its predecessors and successors.
-func (p *dependencyGraph) derive(id string, j *Job) *Job {
+func (p *dependencyGraph) derive(id wire.JobID, j *Job) *Job {
 	if !j.Active() || j.Spec == nil {
 		delete(p.waiting, id)
 		return j
@@ -92,8 +92,8 @@
 
 // propagate tells what a job's new record means for the others: its successors once
 // it is over, its predecessors before that. tell is called for each that changes.
-func (p *dependencyGraph) propagate(id string, tell func(id string, j *Job)) {
-	for todo := []string{id}; len(todo) > 0; {
+func (p *dependencyGraph) propagate(id wire.JobID, tell func(id wire.JobID, j *Job)) {
+	for todo := []wire.JobID{id}; len(todo) > 0; {
 		id, todo = todo[len(todo)-1], todo[:len(todo)-1]
 		j := p.jobs[id]
 		if !j.Active() {
--- a/internal/statecache/group_codec.go
+++ b/internal/statecache/group_codec.go
@@ -4,6 +4,8 @@
 	"encoding/json"
 	"errors"
 	"strings"
+
+	"lynxledge/wire"
 )
 
 // affixes is what all names, addresses and tokens of a group's rows have in
@@ -82,7 +84,7 @@
 )
 
 // BindingBytes is what binding a task adds to a record.
-func BindingBytes(job string) int { return len(job) + bindingOverheadBytes }
+func BindingBytes(job wire.JobID) int { return len(job) + bindingOverheadBytes }
 
 // encodeMachines encodes the group's rows. Those that stand in the record it was read
 // from are taken over if they leave the same out.
@@ -135,7 +137,7 @@
 	if len(g.Completions) > 0 {
 		r.Completions = make(map[string]string, len(g.Completions))
 		for job, ns := range g.Completions {
-			r.Completions[job[len(jobPrefix):]] = encodeCompletions(ns)
+			r.Completions[string(job)[len(jobPrefix):]] = encodeCompletions(ns)
 		}
 	}
 	for i := range g.Terminations {
@@ -177,13 +179,13 @@
 		g.Machines[i] = b
 	}
 	if len(r.Completions) > 0 {
-		g.Completions = make(map[string][]int, len(r.Completions))
+		g.Completions = make(map[wire.JobID][]int, len(r.Completions))
 		for job, s := range r.Completions {
 			ns, err := decodeCompletions(s)
 			if err != nil {
 				return nil, err
 			}
-			g.Completions[jobPrefix+job] = ns
+			g.Completions[wire.JobID(jobPrefix+job)] = ns
 		}
 	}
 	for _, s := range r.Terminations {
--- a/internal/statecache/group_split.go
+++ b/internal/statecache/group_split.go
@@ -63,7 +63,7 @@
 func (d *GroupUpdate) splitToFill(fill int) []*GroupUpdate {
 	machines, marks := d.Machines, d.Completions
 	p := newGroupSplit(d, fill)
-	d.Machines, d.Completions = nil, map[string][]int{}
+	d.Machines, d.Completions = nil, map[wire.JobID][]int{}
 
 	whole := MachineGroup{Machines: machines, affixes: d.affixes}
 	for i, row := range whole.encodeMachines(commonAffixes(machines)) {
@@ -131,7 +131,7 @@
 		Zone:          p.group.Zone,
 		Spot:          p.group.Spot,
 		ProvisionedAt: p.group.ProvisionedAt,
-		Completions:   map[string][]int{},
+		Completions:   map[wire.JobID][]int{},
 	}
 	return &GroupUpdate{MachineGroup: group, term: p.group.term, updated: map[string]*Machine{}}
 }
--- a/internal/statecache/group_update.go
+++ b/internal/statecache/group_update.go
@@ -28,7 +28,7 @@
 	d := &GroupUpdate{MachineGroup: *v.Groups[name], term: v.CurrentTerm(), updated: map[string]*Machine{}}
 	d.Machines = slices.Clone(d.Machines)
 	d.Terminations = nil
-	d.Completions = make(map[string][]int, len(d.Completions))
+	d.Completions = make(map[wire.JobID][]int, len(d.Completions))
 	for job, ns := range v.Groups[name].Completions {
 		if v.Active(job) {
 			d.Completions[job] = ns
@@ -94,7 +94,7 @@
 }
 
 // MarkCompleted notes a completed task.
-func (d *GroupUpdate) MarkCompleted(job string, n int) {
+func (d *GroupUpdate) MarkCompleted(job wire.JobID, n int) {
 	ns := d.Completions[job]
 	if i, ok := slices.BinarySearch(ns, n); !ok {
 		d.Completions[job] = slices.Insert(slices.Clone(ns), i, n)
--- a/internal/statecache/machine_codec.go
+++ b/internal/statecache/machine_codec.go
@@ -48,7 +48,7 @@
 	for i := range b.Bindings {
 		t := &b.Bindings[i]
 		s = append(s, ' ')
-		s = append(s, t.Job[len(jobPrefix):]...)
+		s = append(s, string(t.Job)[len(jobPrefix):]...)
 		s = append(s, '/')
 		s = strconv.AppendInt(s, int64(t.TaskIndex), 10)
 		s = append(s, '.')
--- a/internal/statecache/machine_group.go
+++ b/internal/statecache/machine_group.go
@@ -16,7 +16,7 @@
 	Machines      []*Machine // by name
 	// Marks are completed tasks of jobs that are not over, until they are
 	// folded into the jobs' done sets.
-	Completions  map[string][]int
+	Completions  map[wire.JobID][]int
 	Terminations []Termination // tasks that left with this write
 	ModRevision  uint64
 
@@ -26,7 +26,7 @@
 // Termination tells why a task left its machine.
 type Termination struct {
 	Machine   string
-	Job       string
+	Job       wire.JobID
 	TaskIndex int
 	Reason    wire.ExitReason
 	Runtime   float64 // 0: not known
@@ -76,7 +76,7 @@
 }
 
 // FindBinding returns the bound task of this name, or nil.
-func (b *Machine) FindBinding(job string, n int) *TaskBinding {
+func (b *Machine) FindBinding(job wire.JobID, n int) *TaskBinding {
 	for i := range b.Bindings {
 		if t := &b.Bindings[i]; t.TaskIndex == n && t.Job == job {
 			return t
--- a/internal/statecache/records.go
+++ b/internal/statecache/records.go
@@ -49,7 +49,7 @@
 const WholeChunk = -1
 
 // CompletionChunkKey names a record of a job's done set.
-func CompletionChunkKey(job string, id CompletionChunkID) string {
+func CompletionChunkKey(job wire.JobID, id CompletionChunkID) string {
 	if id.FirstTask == WholeChunk {
 		return fmt.Sprintf("%s%s/%s/%04d", KeyPrefix, KindCompletionChunk, job, id.Chunk)
 	}
@@ -101,7 +101,7 @@
 
 // TaskBinding is one task bound to a machine.
 type TaskBinding struct {
-	Job       string
+	Job       wire.JobID
 	TaskIndex int
 	Attempt   uint64
 	// Stop is the token of the record that first ordered the task stopped; 0
@@ -234,15 +234,15 @@
 }
 
 // parseCompletionChunkName takes the name of a done set's record apart.
-func parseCompletionChunkName(name string) (job string, id CompletionChunkID, ok bool) {
-	job, num, found := strings.Cut(name, "/")
+func parseCompletionChunkName(name string) (job wire.JobID, id CompletionChunkID, ok bool) {
+	jobName, num, found := strings.Cut(name, "/")
 	num, from, part := strings.Cut(num, ".")
 	chunk, err := strconv.Atoi(num)
 	id = CompletionChunkID{chunk, WholeChunk}
 	if part && err == nil {
 		id.FirstTask, err = strconv.Atoi(from)
 	}
-	return job, id, found && err == nil && chunk >= 0 && (!part || id.FirstTask >= 0)
+	return wire.JobID(jobName), id, found && err == nil && chunk >= 0 && (!part || id.FirstTask >= 0)
 }
 
 func decodeAs[T any](raw json.RawMessage, stamp func(*T)) (any, error) {
--- a/internal/statecache/view.go
+++ b/internal/statecache/view.go
@@ -15,11 +15,11 @@
 // View is what an actor knows of the state service. Every actor owns one and
 // applies the ledger's deltas to it.
 type View struct {
-	Jobs                map[string]*Job
-	CompletionChunks    map[string]map[CompletionChunkID]*CompletionChunk // stored done sets
+	Jobs                map[wire.JobID]*Job
+	CompletionChunks    map[wire.JobID]map[CompletionChunkID]*CompletionChunk // stored done sets
 	Groups              map[string]*MachineGroup
-	Machines            map[string]*Machine       // by machine
-	Bindings            map[string]map[int]string // job, task: the machine it is bound to
+	Machines            map[string]*Machine           // by machine
+	Bindings            map[wire.JobID]map[int]string // job, task: the machine it is bound to
 	Assignments         map[string]*Assignment
 	Members             map[string]*Member
 	ProvisioningIntents map[string]*ProvisioningIntent
@@ -27,7 +27,7 @@
 	Term                *Term
 	ZoneRecoveries      *ZoneRecoveries // nil: no zone is recovering
 
-	completions    map[string]*completionSet // of jobs that are not over
+	completions    map[wire.JobID]*completionSet // of jobs that are not over
 	chunkTasks     int
 	unfinishedOnly bool // keep no jobs that are done
 }
@@ -50,9 +50,9 @@
 // of a done set.
 func NewView(chunkTasks int) *View {
 	return &View{
-		Jobs: map[string]*Job{}, CompletionChunks: map[string]map[CompletionChunkID]*CompletionChunk{}, Groups: map[string]*MachineGroup{}, Machines: map[string]*Machine{},
-		Bindings: map[string]map[int]string{}, Assignments: map[string]*Assignment{}, Members: map[string]*Member{},
-		ProvisioningIntents: map[string]*ProvisioningIntent{}, completions: map[string]*completionSet{}, chunkTasks: chunkTasks,
+		Jobs: map[wire.JobID]*Job{}, CompletionChunks: map[wire.JobID]map[CompletionChunkID]*CompletionChunk{}, Groups: map[string]*MachineGroup{}, Machines: map[string]*Machine{},
+		Bindings: map[wire.JobID]map[int]string{}, Assignments: map[string]*Assignment{}, Members: map[string]*Member{},
+		ProvisioningIntents: map[string]*ProvisioningIntent{}, completions: map[wire.JobID]*completionSet{}, chunkTasks: chunkTasks,
 	}
 }
 
@@ -88,13 +88,14 @@
 func (v *View) Apply(c Change) []MachineChange {
 	switch c.Kind {
 	case KindJob:
+		id := wire.JobID(c.Name)
 		put(v.Jobs, c.Name, c.Record)
-		j := v.Jobs[c.Name]
+		j := v.Jobs[id]
 		if j == nil || !j.Active() {
-			delete(v.completions, c.Name)
+			delete(v.completions, id)
 		}
 		if v.unfinishedOnly && j != nil && j.State == wire.JobDone {
-			delete(v.Jobs, c.Name)
+			delete(v.Jobs, id)
 		}
 	case KindCompletionChunk:
 		v.applyCompletionChunk(c)
@@ -117,13 +118,13 @@
 }
 
 // Active tells whether a job is known and not over.
-func (v *View) Active(job string) bool {
+func (v *View) Active(job wire.JobID) bool {
 	j := v.Jobs[job]
 	return j != nil && j.Active()
 }
 
 // completionsOf is the set to add a job's completed tasks to, or nil when it is over.
-func (v *View) completionsOf(job string) *completionSet {
+func (v *View) completionsOf(job wire.JobID) *completionSet {
 	if !v.Active(job) {
 		return nil
 	}
@@ -239,13 +240,13 @@
 
 // IsCompleted tells whether a task has completed; of a job that is over, nothing is
 // known.
-func (v *View) IsCompleted(job string, task int) bool {
+func (v *View) IsCompleted(job wire.JobID, task int) bool {
 	d := v.completions[job]
 	return d != nil && d.bits.Has(task)
 }
 
 // CompletedCount is the number of completed tasks of a job that is not over.
-func (v *View) CompletedCount(job string) int {
+func (v *View) CompletedCount(job wire.JobID) int {
 	if d := v.completions[job]; d != nil {
 		return d.count
 	}
@@ -254,12 +255,12 @@
 
 // AllTasksCompleted tells whether a job has all its tasks done, but is not called done
 // yet.
-func (v *View) AllTasksCompleted(job string) bool {
+func (v *View) AllTasksCompleted(job wire.JobID) bool {
 	return v.Active(job) && v.CompletedCount(job) >= v.Jobs[job].TaskCount
 }
 
 // PendingTasks is how many tasks of a job are neither done nor bound.
-func (v *View) PendingTasks(id string, j *Job) int {
+func (v *View) PendingTasks(id wire.JobID, j *Job) int {
 	return j.TaskCount - v.CompletedCount(id) - len(v.Bindings[id])
 }
 
--- a/internal/statecache/view_records.go
+++ b/internal/statecache/view_records.go
@@ -1,10 +1,12 @@
 package statecache
 
+import "lynxledge/wire"
+
 // modRevision tells the stamp of a key, 0 when it does not exist.
 func (v *View) modRevision(kind, name string) uint64 {
 	switch kind {
 	case KindJob:
-		if r := v.Jobs[name]; r != nil {
+		if r := v.Jobs[wire.JobID(name)]; r != nil {
 			return r.ModRevision
 		}
 	case KindCompletionChunk:
@@ -57,7 +59,7 @@
 		out = append(out, Change{Key: key, Kind: kind, Name: name, Record: rec, ModRevision: stamp})
 	}
 	for n, r := range v.Jobs {
-		add(KindJob, n, r, r.ModRevision)
+		add(KindJob, string(n), r, r.ModRevision)
 	}
 	for job, chunks := range v.CompletionChunks {
 		for c, r := range chunks {
--- a/internal/zonecontrol/status.go
+++ b/internal/zonecontrol/status.go
@@ -13,6 +13,7 @@
 	"lynxledge/internal/scheduler"
 	"lynxledge/internal/statecache"
 	"lynxledge/internal/zonehealth"
+	"lynxledge/wire"
 )
 
 // StatusPath is where a controller answers with its Status, on its mesh address.
@@ -45,10 +46,10 @@
 
 // ServiceStatus is a service that lacks replicas, or is about to.
 type ServiceStatus struct {
-	Service string `json:"service"`
-	Class   string `json:"class"`
-	Waiting int    `json:"waiting"`
-	AtRisk  int    `json:"atRisk"`
+	Service wire.JobID `json:"service"`
+	Class   string     `json:"class"`
+	Waiting int        `json:"waiting"`
+	AtRisk  int        `json:"atRisk"`
 	// Placeable is how many of them have room now.
 	Placeable int `json:"placeable"`
 	// WaitsFor says what the others wait for.
--- a/wire/ids.go
+++ b/wire/ids.go
@@ -31,18 +31,18 @@
 }
 
 // TaskName is the name that workers know a task by.
-func TaskName(job string, index int) string { return fmt.Sprintf("%s/%d", job, index) }
+func TaskName(job JobID, index int) string { return fmt.Sprintf("%s/%d", job, index) }
 
 // ParseTaskName is the reverse of TaskName.
-func ParseTaskName(s string) (job string, index int, ok bool) {
-	job, digits, found := strings.Cut(s, "/")
-	if !found || !ValidJobID(job) || digits == "" || len(digits) > 6 || (digits[0] == '0' && digits != "0") || !onlyDigits(digits) {
+func ParseTaskName(s string) (job JobID, index int, ok bool) {
+	id, digits, found := strings.Cut(s, "/")
+	if !found || !ValidJobID(id) || digits == "" || len(digits) > 6 || (digits[0] == '0' && digits != "0") || !onlyDigits(digits) {
 		return "", 0, false
 	}
 	for _, c := range []byte(digits) {
 		index = index*10 + int(c-'0')
 	}
-	return job, index, index < MaxTasksPerJob
+	return JobID(id), index, index < MaxTasksPerJob
 }
 
 // ValidMachineName reports whether s can name a machine in a key of the store.
--- a/wire/job.go
+++ b/wire/job.go
@@ -53,7 +53,7 @@
 
 // Job is the specification of a job, as its user submits it. Resources are those of one task.
 type Job struct {
-	ID                 string   `json:"id"`
+	ID                 JobID    `json:"id"`
 	Class              string   `json:"lane"`
 	Team               string   `json:"crew"`
 	Kind               JobKind  `json:"shape"`
@@ -74,7 +74,7 @@
 	CheckpointDuration Seconds  `json:"stashS"`    // time to write a checkpoint when stopped
 	Deadline           *Seconds `json:"dueS,omitempty"`
 	// Dependencies are the jobs that have to be done before any task of this one starts.
-	Dependencies []string `json:"awaits,omitempty"`
+	Dependencies []JobID `json:"awaits,omitempty"`
 }
 
 // IsService reports whether the job's tasks run until it is cancelled.
@@ -93,7 +93,7 @@
 
 // JobStatus answers a submission, a query and a cancellation.
 type JobStatus struct {
-	ID             string   `json:"id"`
+	ID             JobID    `json:"id"`
 	State          JobState `json:"status"`
 	CompletedTasks int      `json:"done"`
 	RunningTasks   int      `json:"running"`
--- a/wire/job_parse.go
+++ b/wire/job_parse.go
@@ -14,7 +14,7 @@
 // where null is not allowed, must be told from a zero. Its fields have plain types, because
 // the texts of decoding errors name them.
 type jobDocument struct {
-	ID                 *string   `json:"id"`
+	ID                 *JobID    `json:"id"`
 	Class              *string   `json:"lane"`
 	Team               *string   `json:"crew"`
 	Kind               *string   `json:"shape"`
@@ -39,11 +39,11 @@
 
 // PeekJobID reads only the id of a submission, so that the repetition of a known job's
 // submission can be recognised whatever the rest of its body says.
-func PeekJobID(b []byte) (id string, ok bool) {
+func PeekJobID(b []byte) (id JobID, ok bool) {
 	var document struct {
-		ID *string `json:"id"`
+		ID *JobID `json:"id"`
 	}
-	if Decode(b, &document) != nil || document.ID == nil || !ValidJobID(*document.ID) {
+	if Decode(b, &document) != nil || document.ID == nil || !ValidJobID(string(*document.ID)) {
 		return "", false
 	}
 	return *document.ID, true
@@ -118,8 +118,8 @@
 		if !ValidJobID(dependency) {
 			return invalid("awaits", "awaits: %.40q is not of the form req-000412", dependency)
 		}
-		if !slices.Contains(j.Dependencies, dependency) {
-			j.Dependencies = append(j.Dependencies, dependency)
+		if !slices.Contains(j.Dependencies, JobID(dependency)) {
+			j.Dependencies = append(j.Dependencies, JobID(dependency))
 		}
 	}
 	return nil
@@ -128,7 +128,7 @@
 // validate checks the values of the fields.
 func (j *Job) validate() error {
 	switch {
-	case !ValidJobID(j.ID):
+	case !ValidJobID(string(j.ID)):
 		return invalid("id", "id %.40q is not of the form req-000412", j.ID)
 	case j.Kind != KindArray && j.Kind != KindService:
 		return invalid("shape", "shape %.40q", j.Kind)
