--- a/cmd/lynxledge/run.go
+++ b/cmd/lynxledge/run.go
@@ -38,6 +38,7 @@
 	"lynxledge/internal/storelimits"
 	"lynxledge/internal/worker"
 	"lynxledge/internal/zonecontrol"
+	"lynxledge/wire"
 )
 
 // goMemoryLimitShare is the part of the memory limit at which Go collects harder;
@@ -202,7 +203,7 @@
 		zones := zonecontrol.Start(ctx, cfg, boot, led, placer)
 		placer.SetAdvisor(recovery.NewAdvisor(cfg))
 		renter.SetZoneRecovery(recovery.NewScalingPolicy(cfg), zones.PoolExhausted)
-		rep.OnReachable(func(machines []string) { zones.MachinesReachable(cfg.MemberName, machines) })
+		rep.OnReachable(func(machines []wire.MachineID) { zones.MachinesReachable(cfg.MemberName, machines) })
 		msh.OnReachableBy(zones.MachinesReachable)
 		catalog.Subscribe(zones.SetMachineTypes)
 		n.zones = zones
@@ -262,8 +263,8 @@
 	return config.Seconds(float64(len(cfg.Peers)+1) / (cfg.Params.Store.RequestRateLimit() * share))
 }
 
-func teams(ts []config.TeamQuota) []string {
-	var out []string
+func teams(ts []config.TeamQuota) []wire.TeamName {
+	var out []wire.TeamName
 	for _, t := range ts {
 		out = append(out, t.Name)
 	}
--- a/internal/apiserver/submit.go
+++ b/internal/apiserver/submit.go
@@ -94,7 +94,7 @@
 	writeRetryAfter(w, status, wait, why)
 }
 
-func (f *Server) respondToRepeat(ctx context.Context, w http.ResponseWriter, r *http.Request, id string, body []byte) {
+func (f *Server) respondToRepeat(ctx context.Context, w http.ResponseWriter, r *http.Request, id wire.JobID, body []byte) {
 	l, err := f.currentSnapshot(ctx, id)
 	if err != nil || !l.known {
 		f.forwardToPeer(ctx, w, r, body)
@@ -107,7 +107,7 @@
 func (f *Server) admissionError(j *wire.Job) (int, string) {
 	team, ok := f.config.Params.TeamQuota(j.Team)
 	if !ok {
-		return http.StatusUnprocessableEntity, "unknown team " + strconv.Quote(j.Team)
+		return http.StatusUnprocessableEntity, "unknown team " + strconv.Quote(string(j.Team))
 	}
 	types, ok := actor.Ask(f.Actor, func(reply func([]wire.MachineType)) { reply(f.machineTypes) })
 	if !ok || len(types) == 0 {
@@ -148,9 +148,9 @@
 		case id == j.ID:
 			return http.StatusUnprocessableEntity, "awaits: the job names itself", nil
 		case !l.known:
-			return http.StatusUnprocessableEntity, "awaits: " + id + " was never accepted", nil
+			return http.StatusUnprocessableEntity, "awaits: " + string(id) + " was never accepted", nil
 		case l.job.Spec != nil && l.job.Spec.IsService():
-			return http.StatusUnprocessableEntity, "awaits: " + id + " is a service, which is never done", nil
+			return http.StatusUnprocessableEntity, "awaits: " + string(id) + " is a service, which is never done", nil
 		}
 	}
 	return 0, "", nil
@@ -177,7 +177,7 @@
 		f.forwardToPeer(ctx, w, r, body)
 		return
 	}
-	key := statecache.Key(statecache.KindJob, j.ID)
+	key := statecache.Key(statecache.KindJob, string(j.ID))
 	// A crowd of users must not take all the writes: who comes too early is told
 	// when to come back.
 	f.admission.SetLimit(admissionRate(f.config, f.storeLimits))
@@ -199,7 +199,7 @@
 			"tasks", j.TaskCount,
 			"image", j.Image,
 			"gb", j.ImageGB,
-			"expect_s", j.EstimatedRuntime)
+			"expect_s", float64(j.EstimatedRuntime))
 		status := wire.JobStatus{ID: j.ID, State: wire.JobQueued}
 		if l, ok := f.snapshot(j.ID); ok && l.known { // it may name a job that is cancelled
 			status = l.status
--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -21,8 +21,8 @@
 
 // Cloud is what the renter needs of the cloud.
 type Cloud interface {
-	Provision(ctx context.Context, r wire.ProvisionRequest) ([]string, error)
-	Delete(ctx context.Context, names []string) error
+	Provision(ctx context.Context, r wire.ProvisionRequest) ([]wire.MachineID, error)
+	Delete(ctx context.Context, names []wire.MachineID) error
 	List(ctx context.Context) ([]wire.Instance, error)
 	MachineTypes(ctx context.Context) ([]wire.MachineType, error)
 }
@@ -54,22 +54,22 @@
 	revision       uint64
 	freshAsOf      time.Time
 	machineTypes   []wire.MachineType
-	activeJobs     map[string]*statecache.Job
-	blockedJobs    map[string]*statecache.Job
-	latePipelines  map[string]string // pipelines by their last job: the stage that makes them late
+	activeJobs     map[wire.JobID]*statecache.Job
+	blockedJobs    map[wire.JobID]*statecache.Job
+	latePipelines  map[wire.JobID]wire.JobID // pipelines by their last job: the stage that makes them late
 	runtimes       *estimate.RuntimeEstimator
-	boundSince     map[string]time.Time        // bound task: since when
-	liveness       map[string]*machineLiveness // by machine
+	boundSince     map[wire.TaskID]time.Time           // bound task: since when
+	liveness       map[wire.MachineID]*machineLiveness // by machine
 	exhaustedPools map[resources.Pool]time.Time
-	pendingUpdates map[string]machineUpdate // machine: what is to be written of it
+	pendingUpdates map[wire.MachineID]machineUpdate // machine: what is to be written of it
 	commitInFlight bool
 
 	term                    uint64 // of the leadership that this state belongs to
 	provisionCount          int
 	provisioning            map[string]resources.Pool // by intent
 	replanAfterProvisioning bool                      // more is wanted of a pool with a rental under way
-	terminating             map[string]bool
-	terminatedAt            map[string]time.Time
+	terminating             map[wire.MachineID]bool
+	terminatedAt            map[wire.MachineID]time.Time
 	listInFlight            bool
 	lastListed              time.Time // when the cloud's list was asked for last
 	lastPlanned             time.Time // when the last pass was made
@@ -104,17 +104,17 @@
 		overload:        o.Overload,
 		writeLimiter:    rate.NewLimiter(rate.Limit(cfg.Params.Store.WriteRate*(1-cfg.Operator.SchedulerWriteShare)), cfg.Params.Store.TxnOpsLimit()),
 		view:            statecache.NewUnfinishedView(statecache.ChunkTasks(cfg.Params.Store.MaxValueKB)),
-		activeJobs:      map[string]*statecache.Job{},
-		blockedJobs:     map[string]*statecache.Job{},
-		latePipelines:   map[string]string{},
+		activeJobs:      map[wire.JobID]*statecache.Job{},
+		blockedJobs:     map[wire.JobID]*statecache.Job{},
+		latePipelines:   map[wire.JobID]wire.JobID{},
 		runtimes:        estimate.NewRuntimeEstimator(),
-		boundSince:      map[string]time.Time{},
-		liveness:        map[string]*machineLiveness{},
+		boundSince:      map[wire.TaskID]time.Time{},
+		liveness:        map[wire.MachineID]*machineLiveness{},
 		exhaustedPools:  map[resources.Pool]time.Time{},
 		provisioning:    map[string]resources.Pool{},
-		terminating:     map[string]bool{},
-		pendingUpdates:  map[string]machineUpdate{},
-		terminatedAt:    map[string]time.Time{},
+		terminating:     map[wire.MachineID]bool{},
+		pendingUpdates:  map[wire.MachineID]machineUpdate{},
+		terminatedAt:    map[wire.MachineID]time.Time{},
 	}
 	o.Cache.Subscribe(func(d statecache.Update) { r.Send(func() { r.apply(d) }) })
 	r.Every(cfg.Operator.PlanningInterval, r.runCycle)
@@ -134,7 +134,7 @@
 }
 
 // MachinesReachable tells the renter of machines that reported to some node.
-func (r *Autoscaler) MachinesReachable(machines []string) {
+func (r *Autoscaler) MachinesReachable(machines []wire.MachineID) {
 	now := time.Now()
 	r.Post(func() {
 		for _, m := range machines {
@@ -158,17 +158,18 @@
 				r.runtimes.Observe(g.Terminations, r.view.Jobs)
 			}
 		case statecache.KindJob:
+			id := wire.JobID(c.Name)
 			j, _ := c.Record.(*statecache.Job)
-			delete(r.activeJobs, c.Name)
-			delete(r.blockedJobs, c.Name)
+			delete(r.activeJobs, id)
+			delete(r.blockedJobs, id)
 			switch {
 			case j == nil || !j.Active() || j.Spec == nil:
-				r.runtimes.Forget(c.Name)
-				delete(r.latePipelines, c.Name)
+				r.runtimes.Forget(id)
+				delete(r.latePipelines, id)
 			case j.Blocked:
-				r.blockedJobs[c.Name] = j
+				r.blockedJobs[id] = j
 			default:
-				r.activeJobs[c.Name] = j
+				r.activeJobs[id] = j
 			}
 		}
 	}
@@ -177,7 +178,7 @@
 func (r *Autoscaler) applyMachineChange(c statecache.MachineChange, now time.Time) {
 	m, old, b := c.Machine, c.Old, c.New
 	for _, t := range statecache.UnboundTasks(old, b) {
-		delete(r.boundSince, t.TaskName())
+		delete(r.boundSince, t.TaskID())
 	}
 	if b == nil {
 		delete(r.liveness, m)
@@ -195,7 +196,7 @@
 	}
 	for i := range b.Bindings {
 		if t := &b.Bindings[i]; old == nil || old.FindBinding(t.Job, t.TaskIndex) == nil {
-			r.boundSince[t.TaskName()] = now
+			r.boundSince[t.TaskID()] = now
 		}
 	}
 }
--- a/internal/autoscaler/planning_input.go
+++ b/internal/autoscaler/planning_input.go
@@ -52,7 +52,7 @@
 		Refused: func(p resources.Pool) bool { return now.Before(r.exhaustedPools[p]) },
 	}
 	if recovery.Recovering(r.view.ZoneRecoveries) {
-		in.Avoided = func(zone string) bool { return r.zoneRecovery.IsLost(r.view.ZoneRecoveries, zone) }
+		in.Avoided = func(zone wire.Zone) bool { return r.zoneRecovery.IsLost(r.view.ZoneRecoveries, zone) }
 	}
 	withheld := r.zoneRecovery.WithheldFor(now, r.view)
 	pools := map[resources.Pool]bool{}
@@ -61,7 +61,7 @@
 			pools[resources.Pool{MachineType: b.MachineType, Zone: b.Zone, Spot: b.Spot}] = true
 		}
 	}
-	add := func(id string, j *statecache.Job, wait time.Duration) {
+	add := func(id wire.JobID, j *statecache.Job, wait time.Duration) {
 		n := r.view.PendingTasks(id, j)
 		if n <= 0 {
 			return
@@ -98,7 +98,7 @@
 			Age: (float64(now.UnixMilli()) - float64(b.ProvisionedAt)) / 1000, Schedulable: b.DrainReason == "" && !b.Terminating && !b.Suspected,
 		}
 		if b.Incarnation == 0 {
-			m.ReadyIn = math.Max(0, r.bootTime(b.MachineType)-m.Age)
+			m.ReadyIn = math.Max(0, r.bootSeconds(b.MachineType)-m.Age)
 			// A boot that drags on may never end: it covers no load any more.
 			m.Schedulable = m.Schedulable && !r.isBootOverdue(b, now)
 		}
@@ -116,7 +116,7 @@
 			}
 			left := math.Inf(1)
 			if !j.Spec.IsService() {
-				left = math.Max(0, r.runtimes.Estimate(j.Spec)-now.Sub(r.boundSince[t.TaskName()]).Seconds())
+				left = math.Max(0, r.runtimes.Estimate(j.Spec)-now.Sub(r.boundSince[t.TaskID()]).Seconds())
 			}
 			m.Tasks = append(m.Tasks, planner.RunningTask{Job: j.Spec, Remaining: left})
 		}
@@ -125,8 +125,8 @@
 	for _, intent := range r.view.ProvisioningIntents { // rented, though not known by name yet
 		for i := range intent.Count {
 			in.Machines = append(in.Machines, planner.Machine{
-				Name: fmt.Sprintf("rented-%d", i), Pool: poolOf(intent), Schedulable: true,
-				ReadyIn: r.bootTime(intent.MachineType),
+				Name: wire.MachineID(fmt.Sprintf("rented-%d", i)), Pool: poolOf(intent), Schedulable: true,
+				ReadyIn: r.bootSeconds(intent.MachineType),
 			})
 		}
 	}
@@ -134,17 +134,17 @@
 }
 
 // dependencyWaits tells in how many seconds each blocked job could run.
-func (r *Autoscaler) dependencyWaits(now time.Time) map[string]estimate.DependencyWait {
+func (r *Autoscaler) dependencyWaits(now time.Time) map[wire.JobID]estimate.DependencyWait {
 	if len(r.blockedJobs) == 0 {
 		return nil
 	}
-	run := func(id string) float64 {
+	run := func(id wire.JobID) float64 {
 		if j := r.view.Jobs[id]; j != nil && j.Spec != nil {
 			return r.runtimes.Estimate(j.Spec)
 		}
 		return 0
 	}
-	left := func(id string) float64 {
+	left := func(id wire.JobID) float64 {
 		j, whole := r.activeJobs[id], run(id)
 		if j == nil {
 			return 0
@@ -154,7 +154,7 @@
 		}
 		most := 0.0
 		for n := range r.view.Bindings[id] {
-			most = max(most, whole-now.Sub(r.boundSince[wire.TaskName(id, n)]).Seconds())
+			most = max(most, whole-now.Sub(r.boundSince[wire.NewTaskID(id, n)]).Seconds())
 		}
 		return most
 	}
@@ -163,14 +163,14 @@
 
 // logDeadlineRisk says early that a pipeline will miss its deadline, and which stage makes
 // it: once for each change.
-func (r *Autoscaler) logDeadlineRisk(last string, h estimate.DependencyWait, now time.Time) {
+func (r *Autoscaler) logDeadlineRisk(last wire.JobID, h estimate.DependencyWait, now time.Time) {
 	j := r.blockedJobs[last]
 	if j.Spec.Deadline == nil {
 		return
 	}
 	end := float64(now.UnixMilli()-j.SubmittedAt)/1000 + h.Wait + r.runtimes.Estimate(j.Spec)
-	late := end - *j.Spec.Deadline
-	by := ""
+	late := end - float64(*j.Spec.Deadline)
+	by := wire.JobID("")
 	if late > 0 {
 		by = h.BlockedBy
 	}
--- a/internal/autoscaler/provision.go
+++ b/internal/autoscaler/provision.go
@@ -93,7 +93,7 @@
 	}()
 }
 
-func (r *Autoscaler) handleProvisioned(name string, intent *statecache.ProvisioningIntent, machines []string, err error) {
+func (r *Autoscaler) handleProvisioned(name string, intent *statecache.ProvisioningIntent, machines []wire.MachineID, err error) {
 	pool := poolOf(intent)
 	none := errors.Is(err, cloud.ErrNoCapacity) || errors.Is(err, cloud.ErrInvalidRequest)
 	if err != nil && !none {
@@ -139,7 +139,7 @@
 
 // isBootOverdue tells whether a machine has been starting for longer than is usual.
 func (r *Autoscaler) isBootOverdue(b *statecache.Machine, now time.Time) bool {
-	return b.Incarnation == 0 && now.Sub(time.UnixMilli(b.ProvisionedAt)) > config.Seconds(scheduler.UsualBootFactor*r.bootTime(b.MachineType))
+	return b.Incarnation == 0 && now.Sub(time.UnixMilli(b.ProvisionedAt)) > config.Seconds(scheduler.UsualBootFactor*r.bootSeconds(b.MachineType))
 }
 
 // exhaustionCycles is for how many passes a pool that ran short is left alone.
@@ -151,10 +151,10 @@
 // into another since, and a late copy of the commit that made it would bring its
 // machines back with nothing bound to them. short tells that the cloud had fewer
 // than were asked for.
-func (r *Autoscaler) recordMachines(name string, intent *statecache.ProvisioningIntent, left int, machines []string, short bool) {
-	rest := slices.DeleteFunc(machines, func(m string) bool {
+func (r *Autoscaler) recordMachines(name string, intent *statecache.ProvisioningIntent, left int, machines []wire.MachineID, short bool) {
+	rest := slices.DeleteFunc(machines, func(m wire.MachineID) bool {
 		_, returned := r.terminatedAt[m]
-		return returned || !wire.ValidMachineName(m) || r.view.Machines[m] != nil
+		return returned || !wire.ValidMachineName(string(m)) || r.view.Machines[m] != nil
 	})
 	stored := r.view.ProvisioningIntents[name]
 	lead, leads := r.leadership()
@@ -208,10 +208,10 @@
 // fill when its machines are in use.
 const groupFillShare = 0.8
 
-func (r *Autoscaler) bootTime(typ string) float64 {
+func (r *Autoscaler) bootSeconds(typ string) float64 {
 	for i := range r.machineTypes {
 		if r.machineTypes[i].Name == typ {
-			return r.machineTypes[i].BootTime
+			return float64(r.machineTypes[i].BootTime)
 		}
 	}
 	return r.config.Operator.BootLag.Seconds()
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -8,15 +8,17 @@
 	"io/fs"
 	"os"
 	"time"
+
+	"lynxledge/wire"
 )
 
 // Config is everything that a controller is told at its start.
 type Config struct {
-	MemberName          string `toml:"member"`
-	Zone                string `toml:"area"`
-	ClientListenAddress string `toml:"client_listen"`
-	PeerListenAddress   string `toml:"mesh_addr"`
-	Peers               []Peer `toml:"others"`
+	MemberName          string    `toml:"member"`
+	Zone                wire.Zone `toml:"area"`
+	ClientListenAddress string    `toml:"client_listen"`
+	PeerListenAddress   string    `toml:"mesh_addr"`
+	Peers               []Peer    `toml:"others"`
 	External            struct {
 		Cloud string `toml:"cloud"`
 		State string `toml:"state"`
@@ -29,15 +31,15 @@
 
 // Peer is another controller.
 type Peer struct {
-	Name    string `toml:"member"`
-	Zone    string `toml:"area"`
-	Address string `toml:"endpoint"`
+	Name    string    `toml:"member"`
+	Zone    wire.Zone `toml:"area"`
+	Address string    `toml:"endpoint"`
 }
 
 // Params describes the deployment.
 type Params struct {
 	ClusterSize int                 `toml:"size"`
-	Zones       []string            `toml:"zones"`
+	Zones       []wire.Zone         `toml:"zones"`
 	ClockSkew   time.Duration       `toml:"-"` // this and the others without a name are converted from the document's
 	Teams       []TeamQuota         `toml:"teams"`
 	Objectives  []Objective         `toml:"-"`
@@ -49,15 +51,15 @@
 
 // TeamQuota is a team's guaranteed and largest share of the cluster; 0 means none.
 type TeamQuota struct {
-	Name           string  `toml:"name"`
-	GuaranteedCPUs float64 `toml:"cpus"`
-	MaxCPUs        float64 `toml:"cpus_max"`
-	GuaranteedGPUs float64 `toml:"gpus"`
-	MaxGPUs        float64 `toml:"gpus_max"`
+	Name           wire.TeamName `toml:"name"`
+	GuaranteedCPUs float64       `toml:"cpus"`
+	MaxCPUs        float64       `toml:"cpus_max"`
+	GuaranteedGPUs float64       `toml:"gpus"`
+	MaxGPUs        float64       `toml:"gpus_max"`
 }
 
 // TeamQuota finds a team by name.
-func (p *Params) TeamQuota(name string) (TeamQuota, bool) {
+func (p *Params) TeamQuota(name wire.TeamName) (TeamQuota, bool) {
 	for _, t := range p.Teams {
 		if t.Name == name {
 			return t, true
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -4,6 +4,8 @@
 	"fmt"
 	"math"
 	"net"
+
+	"lynxledge/wire"
 )
 
 const (
@@ -139,7 +141,7 @@
 }
 
 func (p *paramsDocument) validateTeams() error {
-	seen := map[string]bool{}
+	seen := map[wire.TeamName]bool{}
 	for i, t := range p.Teams {
 		if t.Name == "" || seen[t.Name] {
 			return fieldProblem(fmt.Sprintf("params.teams[%d].name", i), "%q is empty or named twice", t.Name)
--- a/internal/estimate/runtime.go
+++ b/internal/estimate/runtime.go
@@ -11,7 +11,7 @@
 // job's own completed tasks, else by how far its class was off lately.
 type RuntimeEstimator struct {
 	classCorrections map[string]float64 // logarithm of seen over estimated, smoothed
-	jobRuntimes      map[string]mean
+	jobRuntimes      map[wire.JobID]mean
 }
 
 type mean struct {
@@ -21,7 +21,7 @@
 
 // NewRuntimeEstimator knows nothing yet.
 func NewRuntimeEstimator() *RuntimeEstimator {
-	return &RuntimeEstimator{classCorrections: map[string]float64{}, jobRuntimes: map[string]mean{}}
+	return &RuntimeEstimator{classCorrections: map[string]float64{}, jobRuntimes: map[wire.JobID]mean{}}
 }
 
 const (
@@ -31,14 +31,14 @@
 )
 
 // Observe takes over what a group's new record says of completed tasks.
-func (e *RuntimeEstimator) Observe(gone []statecache.Termination, jobs map[string]*statecache.Job) {
+func (e *RuntimeEstimator) Observe(gone []statecache.Termination, jobs map[wire.JobID]*statecache.Job) {
 	for _, g := range gone {
 		id := g.Job
 		j := jobs[id]
 		if g.Reason != wire.ReasonCompleted || g.Runtime <= 0 || j == nil || j.Spec == nil || j.Spec.EstimatedRuntime <= 0 {
 			continue
 		}
-		off := math.Log(g.Runtime / j.Spec.EstimatedRuntime)
+		off := math.Log(g.Runtime / float64(j.Spec.EstimatedRuntime))
 		off = math.Max(-math.Log(maxCorrection), math.Min(math.Log(maxCorrection), off))
 		e.classCorrections[j.Spec.Class] += smoothing * (off - e.classCorrections[j.Spec.Class])
 		m := e.jobRuntimes[id]
@@ -47,12 +47,12 @@
 }
 
 // Forget drops a job that is over.
-func (e *RuntimeEstimator) Forget(id string) { delete(e.jobRuntimes, id) }
+func (e *RuntimeEstimator) Forget(id wire.JobID) { delete(e.jobRuntimes, id) }
 
 // Estimate is the running time to expect of a task.
 func (e *RuntimeEstimator) Estimate(j *wire.Job) float64 {
 	if m := e.jobRuntimes[j.ID]; m.n >= minSamples {
 		return m.sum / float64(m.n)
 	}
-	return j.EstimatedRuntime * math.Exp(e.classCorrections[j.Class])
+	return float64(j.EstimatedRuntime) * math.Exp(e.classCorrections[j.Class])
 }
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -30,7 +30,7 @@
 
 // Machine is one rented machine, up or not.
 type Machine struct {
-	Name string
+	Name wire.MachineID
 	Pool resources.Pool
 	Age  float64
 	// ReadyS is the expected time until it takes tasks; 0 once it is up.
@@ -47,7 +47,7 @@
 	Refused  func(resources.Pool) bool // the cloud had no such machine lately
 	// Avoided tells which zones nothing is rented in for work that may go elsewhere; nil:
 	// none.
-	Avoided          func(zone string) bool
+	Avoided          func(zone wire.Zone) bool
 	BootLag          float64
 	PlanningInterval float64
 	BillingPeriod    float64
@@ -66,7 +66,7 @@
 // Plan is what a pass decides.
 type Plan struct {
 	ScaleOut []ScaleOutRequest
-	ScaleIn  []string
+	ScaleIn  []wire.MachineID
 	Unmet    int // tasks for which no pool is to be had
 }
 
@@ -85,7 +85,7 @@
 	p := &planning{
 		Input:        in,
 		machineTypes: map[string]*wire.MachineType{},
-		offer:        map[string]int{},
+		offer:        map[wire.Zone]int{},
 		load:         map[resources.Pool]float64{},
 		tasks:        map[resources.Pool]int{},
 		share:        map[resources.Pool]float64{},
@@ -112,7 +112,7 @@
 		case a.Deadline > b.Deadline:
 			return 1
 		}
-		return strings.Compare(a.Job.ID, b.Job.ID)
+		return strings.Compare(string(a.Job.ID), string(b.Job.ID))
 	})
 	var out Plan
 	for _, d := range demands {
@@ -124,7 +124,7 @@
 		}
 	}
 	slices.SortFunc(out.ScaleOut, func(a, b ScaleOutRequest) int {
-		return strings.Compare(a.Zone+a.MachineType+kind(a.Spot), b.Zone+b.MachineType+kind(b.Spot))
+		return strings.Compare(string(a.Zone)+a.MachineType+kind(a.Spot), string(b.Zone)+b.MachineType+kind(b.Spot))
 	})
 	out.ScaleIn = p.returns()
 	return out
@@ -140,7 +140,7 @@
 type planning struct {
 	Input
 	machineTypes map[string]*wire.MachineType
-	offer        map[string]int // types to rent in a zone
+	offer        map[wire.Zone]int // types to rent in a zone
 	most         int
 	room         []*capacitySlot
 	order        []resources.Pool // every pool
@@ -208,8 +208,8 @@
 
 // returns names idle machines that no load was put on and that are near a
 // multiple of the billing period.
-func (p *planning) returns() []string {
-	var out []string
+func (p *planning) returns() []wire.MachineID {
+	var out []wire.MachineID
 	for _, s := range p.room {
 		if s.taken || len(s.machine.Tasks) > 0 {
 			continue
--- a/internal/recovery/admission.go
+++ b/internal/recovery/admission.go
@@ -9,6 +9,7 @@
 	"lynxledge/internal/scheduler"
 	"lynxledge/internal/statecache"
 	"lynxledge/internal/zonehealth"
+	"lynxledge/wire"
 )
 
 // Admission is which machines of a recovering zone take new tasks. The machines are in a
@@ -24,14 +25,14 @@
 }
 
 // orderNumber is a machine's place in the order of admission.
-func orderNumber(machine string) uint64 {
+func orderNumber(machine wire.MachineID) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(machine)) // never fails
 	return max(1, h.Sum64())        // 0 admits none
 }
 
 // admits tells whether a machine takes tasks of services, or of arrays.
-func (a *Admission) admits(machine string, service bool) bool {
+func (a *Admission) admits(machine wire.MachineID, service bool) bool {
 	switch {
 	case a.Phase == zonehealth.Lost:
 		return !service && a.arraysAnyway
@@ -42,8 +43,8 @@
 }
 
 // admissions works out the admission of every zone that is recovering.
-func admissions(now time.Time, record *statecache.ZoneRecoveries, policy *zonehealth.Policy, nodes []*scheduler.Node) map[string]*Admission {
-	out := map[string]*Admission{}
+func admissions(now time.Time, record *statecache.ZoneRecoveries, policy *zonehealth.Policy, nodes []*scheduler.Node) map[wire.Zone]*Admission {
+	out := map[wire.Zone]*Admission{}
 	for i := range record.Zones {
 		z := &record.Zones[i]
 		phase := phaseOf(record, z.Zone)
@@ -63,7 +64,7 @@
 }
 
 // orderNumbers are those of a zone's machines that take tasks, sorted.
-func orderNumbers(zone string, nodes []*scheduler.Node) []uint64 {
+func orderNumbers(zone wire.Zone, nodes []*scheduler.Node) []uint64 {
 	var order []uint64
 	for _, n := range nodes {
 		if n.Zone == zone && n.Schedulable {
--- a/internal/recovery/scaling_policy.go
+++ b/internal/recovery/scaling_policy.go
@@ -7,6 +7,7 @@
 	"lynxledge/internal/config"
 	"lynxledge/internal/statecache"
 	"lynxledge/internal/zonehealth"
+	"lynxledge/wire"
 )
 
 // ScalingPolicy tells the planner what recovering zones mean for renting: nothing is rented in
@@ -26,7 +27,7 @@
 }
 
 // IsRecovering tells whether a zone is lost or returning.
-func (r *ScalingPolicy) IsRecovering(record *statecache.ZoneRecoveries, zone string) bool {
+func (r *ScalingPolicy) IsRecovering(record *statecache.ZoneRecoveries, zone wire.Zone) bool {
 	return r != nil && phaseOf(record, zone).Recovering()
 }
 
@@ -46,17 +47,17 @@
 
 // IsLost tells whether nothing should be rented in a zone. The nil Rentals knows of no
 // zone that is.
-func (r *ScalingPolicy) IsLost(record *statecache.ZoneRecoveries, zone string) bool {
+func (r *ScalingPolicy) IsLost(record *statecache.ZoneRecoveries, zone wire.Zone) bool {
 	return r != nil && phaseOf(record, zone) == zonehealth.Lost
 }
 
 // WithheldFor tells in how many seconds machines that are up will take tasks, for those
 // that don't yet.
-func (r *ScalingPolicy) WithheldFor(now time.Time, view *statecache.View) map[string]float64 {
+func (r *ScalingPolicy) WithheldFor(now time.Time, view *statecache.View) map[wire.MachineID]float64 {
 	if r == nil || !Recovering(view.ZoneRecoveries) {
 		return nil
 	}
-	order := map[string][]uint64{} // by zone
+	order := map[wire.Zone][]uint64{} // by zone
 	for name, m := range view.Machines {
 		if m.Schedulable() {
 			order[m.Zone] = append(order[m.Zone], orderNumber(name))
@@ -65,7 +66,7 @@
 	for zone := range order {
 		slices.Sort(order[zone])
 	}
-	withheld := map[string]float64{}
+	withheld := map[wire.MachineID]float64{}
 	for name, m := range view.Machines {
 		z := view.ZoneRecoveries.Find(m.Zone)
 		if z == nil || !m.Schedulable() {
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -68,8 +68,8 @@
 			p.preemptedUntil[t.Job] = r.now.Add(p.config.Params.Workers.Heartbeats(1))
 		}
 		d.size += stopOverheadBytes
-		grace := 0.0
-		r.stops[v.Node.Name] = append(r.stops[v.Node.Name], wire.Command{Op: wire.OpStop, Task: t.TaskName(), Attempt: t.Attempt, GracePeriod: &grace})
-		slog.Info("preempting", "task", t.TaskName(), "machine", v.Node.Name, "ran_s", int(task.RuntimeSoFar))
+		grace := wire.Seconds(0)
+		r.stops[v.Node.Name] = append(r.stops[v.Node.Name], wire.Command{Op: wire.OpStop, Task: t.TaskID(), Attempt: t.Attempt, GracePeriod: &grace})
+		slog.Info("preempting", "task", t.TaskID(), "machine", v.Node.Name, "ran_s", int(task.RuntimeSoFar))
 	}
 }
--- a/internal/statecache/completion_codec.go
+++ b/internal/statecache/completion_codec.go
@@ -52,8 +52,8 @@
 func TerminationBytes(g *Termination) int { return len(encodeTermination(g)) + machineSeparatorBytes }
 
 func encodeTermination(g *Termination) string {
-	why := strings.ReplaceAll(g.Reason, " ", "-") // a worker's word, perhaps an unknown one
-	s := g.Machine + " " + g.Job[len(jobPrefix):] + "/" + strconv.Itoa(g.TaskIndex) + " " + why
+	why := strings.ReplaceAll(string(g.Reason), " ", "-") // a worker's word, perhaps an unknown one
+	s := string(g.Machine) + " " + string(g.Job)[len(jobPrefix):] + "/" + strconv.Itoa(g.TaskIndex) + " " + why
 	if g.Runtime > 0 {
 		s += " " + strconv.FormatFloat(g.Runtime, 'f', 1, 64)
 	}
@@ -65,11 +65,11 @@
 	if len(f) < 3 {
 		return Termination{}, fmt.Errorf("gone %.80q", s)
 	}
-	job, n, ok := wire.ParseTaskName(jobPrefix + f[1])
+	job, n, ok := wire.ParseTaskID(wire.TaskID(jobPrefix + f[1]))
 	if !ok {
 		return Termination{}, fmt.Errorf("gone %.80q", s)
 	}
-	g := Termination{Machine: f[0], Job: job, TaskIndex: n, Reason: f[2]}
+	g := Termination{Machine: wire.MachineID(f[0]), Job: job, TaskIndex: n, Reason: wire.ExitReason(f[2])}
 	if len(f) > 3 {
 		var err error
 		if g.Runtime, err = strconv.ParseFloat(f[3], 64); err != nil {
--- a/internal/statecache/group_split.go
+++ b/internal/statecache/group_split.go
@@ -63,7 +63,7 @@
 func (d *GroupUpdate) splitToFill(fill int) []*GroupUpdate {
 	machines, marks := d.Machines, d.Completions
 	p := newGroupSplit(d, fill)
-	d.Machines, d.Completions = nil, map[string][]int{}
+	d.Machines, d.Completions = nil, map[wire.JobID][]int{}
 
 	whole := MachineGroup{Machines: machines, affixes: d.affixes}
 	for i, row := range whole.encodeMachines(commonAffixes(machines)) {
@@ -102,7 +102,7 @@
 	}
 	from := d.Name
 	if len(d.Machines) > 0 {
-		from = d.Machines[0].Name
+		from = string(d.Machines[0].Name)
 	}
 	empty := groupOverheadBytes + len(d.MachineType) + len(d.Zone) + shared
 	return &groupSplit{group: d, firstMachine: from, maxBytes: fill, emptyBytes: empty, parts: []*GroupUpdate{d}, sizes: []int{empty}}
@@ -131,14 +131,14 @@
 		Zone:          p.group.Zone,
 		Spot:          p.group.Spot,
 		ProvisionedAt: p.group.ProvisionedAt,
-		Completions:   map[string][]int{},
+		Completions:   map[wire.JobID][]int{},
 	}
-	return &GroupUpdate{MachineGroup: group, term: p.group.term, updated: map[string]*Machine{}}
+	return &GroupUpdate{MachineGroup: group, term: p.group.term, updated: map[wire.MachineID]*Machine{}}
 }
 
 // AssignmentRevisions are the stamps of all assignments, by team.
-func (v *View) AssignmentRevisions() map[string]uint64 {
-	stamps := make(map[string]uint64, len(v.Assignments))
+func (v *View) AssignmentRevisions() map[wire.TeamName]uint64 {
+	stamps := make(map[wire.TeamName]uint64, len(v.Assignments))
 	for team, assignment := range v.Assignments {
 		stamps[team] = assignment.ModRevision
 	}
@@ -146,8 +146,8 @@
 }
 
 // RequireAssignments guards a commit on assignments, given by team.
-func (c *Commit) RequireAssignments(stamps map[string]uint64) {
+func (c *Commit) RequireAssignments(stamps map[wire.TeamName]uint64) {
 	for team, stamp := range stamps {
-		c.Preconditions = append(c.Preconditions, wire.Precondition{Key: Key(KindAssignment, team), ModRevision: stamp})
+		c.Preconditions = append(c.Preconditions, wire.Precondition{Key: Key(KindAssignment, string(team)), ModRevision: stamp})
 	}
 }
--- a/internal/statecache/machine_codec.go
+++ b/internal/statecache/machine_codec.go
@@ -19,7 +19,7 @@
 // base 36; attempts and stops as what they lie below the row's token.
 func (b *Machine) encode(a affixes) string {
 	s := make([]byte, 0, 64+24*len(b.Bindings))
-	s = append(s, b.Name[len(a.Name):]...)
+	s = append(s, string(b.Name)[len(a.Name):]...)
 	s = append(s, ' ')
 	if b.Address == "" {
 		s = append(s, noAddress...)
@@ -48,7 +48,7 @@
 	for i := range b.Bindings {
 		t := &b.Bindings[i]
 		s = append(s, ' ')
-		s = append(s, t.Job[len(jobPrefix):]...)
+		s = append(s, string(t.Job)[len(jobPrefix):]...)
 		s = append(s, '/')
 		s = strconv.AppendInt(s, int64(t.TaskIndex), 10)
 		s = append(s, '.')
@@ -68,7 +68,7 @@
 	if len(f) < 5 {
 		return nil, fmt.Errorf("row %.80q", row)
 	}
-	b := &Machine{Name: a.Name + f[0], encoded: row}
+	b := &Machine{Name: wire.MachineID(a.Name + f[0]), encoded: row}
 	if f[1] != noAddress {
 		b.Address = a.Address + f[1] + a.Port
 	}
@@ -96,7 +96,7 @@
 
 func decodeBinding(s string, token uint64) (TaskBinding, error) {
 	name, rest, _ := strings.Cut(s, ".")
-	job, n, ok := wire.ParseTaskName(jobPrefix + name)
+	job, n, ok := wire.ParseTaskID(wire.TaskID(jobPrefix + name))
 	if !ok {
 		return TaskBinding{}, fmt.Errorf("task %.40q", s)
 	}
--- a/internal/statecache/machine_group.go
+++ b/internal/statecache/machine_group.go
@@ -10,13 +10,13 @@
 type MachineGroup struct {
 	Name          string
 	MachineType   string
-	Zone          string
+	Zone          wire.Zone
 	Spot          bool
 	ProvisionedAt int64      // time of day of the rental, ms
 	Machines      []*Machine // by name
 	// Marks are completed tasks of jobs that are not over, until they are
 	// folded into the jobs' done sets.
-	Completions  map[string][]int
+	Completions  map[wire.JobID][]int
 	Terminations []Termination // tasks that left with this write
 	ModRevision  uint64
 
@@ -25,20 +25,20 @@
 
 // Termination tells why a task left its machine.
 type Termination struct {
-	Machine   string
-	Job       string
+	Machine   wire.MachineID
+	Job       wire.JobID
 	TaskIndex int
-	Reason    string
+	Reason    wire.ExitReason
 	Runtime   float64 // 0: not known
 }
 
-// TaskName is the task's name.
-func (g *Termination) TaskName() string { return wire.TaskName(g.Job, g.TaskIndex) }
+// TaskID is the task's name.
+func (g *Termination) TaskID() wire.TaskID { return wire.NewTaskID(g.Job, g.TaskIndex) }
 
 // Why a task left its machine, besides the workers' own reasons.
 const (
-	ReasonIncarnationEnded = "session_lost"
-	ReasonNeverStarted     = "never_started"
+	ReasonIncarnationEnded wire.ExitReason = "session_lost"
+	ReasonNeverStarted     wire.ExitReason = "never_started"
 )
 
 // Reasons for which machines are drained that others than the renter look at.
@@ -50,10 +50,10 @@
 // Machine is one machine of a group and all that is bound to it. It is never
 // written to once it is part of a record.
 type Machine struct {
-	Name          string
+	Name          wire.MachineID
 	Group         string
 	MachineType   string
-	Zone          string
+	Zone          wire.Zone
 	Spot          bool
 	ProvisionedAt int64 // time of day of the rental, ms
 	Address       string
@@ -76,7 +76,7 @@
 }
 
 // FindBinding returns the bound task of this name, or nil.
-func (b *Machine) FindBinding(job string, n int) *TaskBinding {
+func (b *Machine) FindBinding(job wire.JobID, n int) *TaskBinding {
 	for i := range b.Bindings {
 		if t := &b.Bindings[i]; t.TaskIndex == n && t.Job == job {
 			return t
@@ -101,7 +101,7 @@
 }
 
 // NewMachineGroup makes the first record of machines; names must be sorted.
-func NewMachineGroup(name, typ, zone string, spot bool, at int64, machines []string, token uint64) *MachineGroup {
+func NewMachineGroup(name, typ string, zone wire.Zone, spot bool, at int64, machines []wire.MachineID, token uint64) *MachineGroup {
 	g := &MachineGroup{Name: name, MachineType: typ, Zone: zone, Spot: spot, ProvisionedAt: at}
 	for _, m := range machines {
 		g.Machines = append(g.Machines, &Machine{Name: m, FencingToken: token})
--- a/internal/statecache/records.go
+++ b/internal/statecache/records.go
@@ -49,7 +49,7 @@
 const WholeChunk = -1
 
 // CompletionChunkKey names a record of a job's done set.
-func CompletionChunkKey(job string, id CompletionChunkID) string {
+func CompletionChunkKey(job wire.JobID, id CompletionChunkID) string {
 	if id.FirstTask == WholeChunk {
 		return fmt.Sprintf("%s%s/%s/%04d", KeyPrefix, KindCompletionChunk, job, id.Chunk)
 	}
@@ -58,12 +58,12 @@
 
 // Job is an accepted job. It is rewritten only when it ends.
 type Job struct {
-	Spec        *wire.Job `json:"spec,omitempty"` // nil once done
-	State       string    `json:"state,omitempty"`
-	TaskCount   int       `json:"n"`
-	SubmittedAt int64     `json:"at"`            // time of day of the acceptance, ms
-	FinishedAt  int64     `json:"end,omitempty"` // time of day of the end, ms
-	ModRevision uint64    `json:"-"`
+	Spec        *wire.Job     `json:"spec,omitempty"` // nil once done
+	State       wire.JobState `json:"state,omitempty"`
+	TaskCount   int           `json:"n"`
+	SubmittedAt int64         `json:"at"`            // time of day of the acceptance, ms
+	FinishedAt  int64         `json:"end,omitempty"` // time of day of the end, ms
+	ModRevision uint64        `json:"-"`
 
 	// What follows from other jobs' records, see pipeline.go. It is not stored.
 	Blocked               bool    `json:"-"` // not all predecessors are done
@@ -101,7 +101,7 @@
 
 // TaskBinding is one task bound to a machine.
 type TaskBinding struct {
-	Job       string
+	Job       wire.JobID
 	TaskIndex int
 	Attempt   uint64
 	// Stop is the token of the record that first ordered the task stopped; 0
@@ -111,8 +111,8 @@
 	GraceSeconds int
 }
 
-// TaskName is the task's name.
-func (b *TaskBinding) TaskName() string { return wire.TaskName(b.Job, b.TaskIndex) }
+// TaskID is the task's name.
+func (b *TaskBinding) TaskID() wire.TaskID { return wire.NewTaskID(b.Job, b.TaskIndex) }
 
 // FirstToken is the lowest token of a term; generations count up from it.
 func FirstToken(term uint64) uint64 { return term << termShift }
@@ -156,11 +156,11 @@
 
 // ProvisioningIntent is the intent to rent machines, stored before the call.
 type ProvisioningIntent struct {
-	MachineType string `json:"type"`
-	Zone        string `json:"zone"`
-	Spot        bool   `json:"spot,omitempty"`
-	Count       int    `json:"count"` // still to be rented
-	Batch       int    `json:"batch,omitempty"`
+	MachineType string    `json:"type"`
+	Zone        wire.Zone `json:"zone"`
+	Spot        bool      `json:"spot,omitempty"`
+	Count       int       `json:"count"` // still to be rented
+	Batch       int       `json:"batch,omitempty"`
 	// Tasks is how many tasks a machine is expected to hold; it sizes groups.
 	TasksPerMachine float64 `json:"tasks,omitempty"`
 	RequestedAt     int64   `json:"at"`
@@ -234,15 +234,15 @@
 }
 
 // parseCompletionChunkName takes the name of a done set's record apart.
-func parseCompletionChunkName(name string) (job string, id CompletionChunkID, ok bool) {
-	job, num, found := strings.Cut(name, "/")
+func parseCompletionChunkName(name string) (job wire.JobID, id CompletionChunkID, ok bool) {
+	jobName, num, found := strings.Cut(name, "/")
 	num, from, part := strings.Cut(num, ".")
 	chunk, err := strconv.Atoi(num)
 	id = CompletionChunkID{chunk, WholeChunk}
 	if part && err == nil {
 		id.FirstTask, err = strconv.Atoi(from)
 	}
-	return job, id, found && err == nil && chunk >= 0 && (!part || id.FirstTask >= 0)
+	return wire.JobID(jobName), id, found && err == nil && chunk >= 0 && (!part || id.FirstTask >= 0)
 }
 
 func decodeAs[T any](raw json.RawMessage, stamp func(*T)) (any, error) {
--- a/internal/statecache/view_records.go
+++ b/internal/statecache/view_records.go
@@ -1,10 +1,12 @@
 package statecache
 
+import "lynxledge/wire"
+
 // modRevision tells the stamp of a key, 0 when it does not exist.
 func (v *View) modRevision(kind, name string) uint64 {
 	switch kind {
 	case KindJob:
-		if r := v.Jobs[name]; r != nil {
+		if r := v.Jobs[wire.JobID(name)]; r != nil {
 			return r.ModRevision
 		}
 	case KindCompletionChunk:
@@ -18,7 +20,7 @@
 			return r.ModRevision
 		}
 	case KindAssignment:
-		if r := v.Assignments[name]; r != nil {
+		if r := v.Assignments[wire.TeamName(name)]; r != nil {
 			return r.ModRevision
 		}
 	case KindMember:
@@ -57,7 +59,7 @@
 		out = append(out, Change{Key: key, Kind: kind, Name: name, Record: rec, ModRevision: stamp})
 	}
 	for n, r := range v.Jobs {
-		add(KindJob, n, r, r.ModRevision)
+		add(KindJob, string(n), r, r.ModRevision)
 	}
 	for job, chunks := range v.CompletionChunks {
 		for c, r := range chunks {
@@ -70,7 +72,7 @@
 		add(KindMachineGroup, n, r, r.ModRevision)
 	}
 	for n, r := range v.Assignments {
-		add(KindAssignment, n, r, r.ModRevision)
+		add(KindAssignment, string(n), r, r.ModRevision)
 	}
 	for n, r := range v.Members {
 		add(KindMember, n, r, r.ModRevision)
