--- a/cmd/lynxledge/run.go
+++ b/cmd/lynxledge/run.go
@@ -90,7 +90,7 @@
 		peers:   new(net.Dialer).DialContext,
 	})
 	go func() {
-		if err := n.mesh.Serve(peers, n.peerHandler()); err != nil {
+		if err := n.mesh.Serve(ctx, peers, n.peerHandler()); err != nil {
 			slog.Error("mesh server ended", "err", err)
 		}
 	}()
@@ -168,7 +168,7 @@
 		MaxValueBytes: p.Store.ValueSizeLimit(), MaxCompletionChunkBytes: int(p.Store.MaxValueKB * 1024), OnThrottled: limits.ObserveThrottled, OnSizeRejected: limits.ObserveLowerSizeLimit,
 		JobCountWarning: jobCountWarning(p.Resources),
 	})
-	msh := peer.Start(ctx, cfg, to.peers, led.FreshAsOf)
+	msh := peer.Start(ctx, peer.Options{Config: cfg, Dial: to.peers, FreshAsOf: led.FreshAsOf})
 	var placer *scheduler.Scheduler
 	rep := heartbeat.Start(ctx, cfg, boot, led, heartbeat.Routes{
 		FreshPeer: msh.FreshPeer, Isolated: msh.Isolated, SendEvidence: msh.SendEvidence,
@@ -183,8 +183,10 @@
 	})
 	rep.OnReachable(msh.AnnounceReachable)
 	rep.OnReachable(renter.MachinesReachable)
-	msh.OnReachable(renter.MachinesReachable)
-	msh.OnEvidence(func(n reconcile.Evidence) { placer.HandleEvidence(n, 0) })
+	handlers := peer.Handlers{
+		Reachable: func(_ string, machines []wire.MachineID) { renter.MachinesReachable(machines) },
+		Evidence:  func(evidence reconcile.Evidence) { placer.HandleEvidence(evidence, 0) },
+	}
 	elect := election.Start(ctx, to.state, led, election.Options{
 		MemberName: cfg.MemberName, Incarnation: boot, LeaseTTL: p.Workers.Heartbeats(ops.MemberLeaseHeartbeats),
 		Teams: teams(p.Teams), MaxTxnOps: p.Store.TxnOpsLimit(), ChunkTasks: chunk, Capabilities: capabilities(ops),
@@ -204,17 +206,21 @@
 		placer.SetAdvisor(recovery.NewAdvisor(cfg))
 		renter.SetZoneRecovery(recovery.NewScalingPolicy(cfg), zones.PoolExhausted)
 		rep.OnReachable(func(machines []wire.MachineID) { zones.MachinesReachable(cfg.MemberName, machines) })
-		msh.OnReachableBy(zones.MachinesReachable)
+		handlers.Reachable = func(member string, machines []wire.MachineID) {
+			renter.MachinesReachable(machines)
+			zones.MachinesReachable(member, machines)
+		}
 		catalog.Subscribe(zones.SetMachineTypes)
 		n.zones = zones
 		n.actors = append(n.actors, zones.Actor)
 	}
 	if ops.Standby != nil {
 		n.standby = standby.Start(ctx, cfg, boot, led, elect)
-		msh.Watch(n.standby, boot, ops.Standby.HeartbeatInterval(p.Workers))
+		handlers.FailureDetection = &peer.FailureDetection{Incarnation: boot, Interval: ops.Standby.HeartbeatInterval(p.Workers), Observer: n.standby}
 		n.actors = append(n.actors, n.standby.Actor)
 	}
 	go catalog.Run(ctx, 12*ops.PlanningInterval, report/3)
+	msh.Run(ctx, handlers)
 	led.Run()
 	return n
 }
--- a/internal/apiserver/server.go
+++ b/internal/apiserver/server.go
@@ -17,6 +17,7 @@
 	"lynxledge/internal/config"
 	"lynxledge/internal/heartbeat"
 	"lynxledge/internal/overload"
+	"lynxledge/internal/peer"
 	"lynxledge/internal/statecache"
 	"lynxledge/internal/storelimits"
 	"lynxledge/wire"
@@ -34,10 +35,6 @@
 	FreshPeer() string // the name of such a controller, or ""
 }
 
-// ForwardedHeader marks requests that another controller passed on; they are not
-// passed on again.
-const ForwardedHeader = "Lynxledge-Forwarded"
-
 // Server is the actor that knows the jobs as users see them.
 type Server struct {
 	*actor.Actor
@@ -180,7 +177,7 @@
 // forwardToPeer passes a request on when this node can't answer for want of state;
 // without a controller that can, the user is told at once to come back.
 func (f *Server) forwardToPeer(ctx context.Context, w http.ResponseWriter, r *http.Request, body []byte) {
-	if f.peer != nil && r.Header.Get(ForwardedHeader) == "" {
+	if f.peer != nil && r.Header.Get(peer.ForwardedHeader) == "" {
 		if status, b, err := f.peer.Forward(ctx, r.Method, r.URL.Path, body); err == nil && status < http.StatusInternalServerError {
 			writeJSON(w, status, json.RawMessage(b))
 			return
--- a/internal/peer/doc.go
+++ b/internal/peer/doc.go
@@ -1,4 +1,5 @@
-// Package peer connects the controllers to one another. Each keeps an HTTP/2 stream open to
-// every other one and tells on it which workers it hears and how fresh its view of the store
-// is. Safety depends on nothing that travels here.
+// Package peer connects the controllers to one another. Each controller keeps an HTTP/2 stream
+// open to every other one. On it, it announces which workers it can reach and how old its view of
+// the store is, and forwards the evidence of heartbeats. Safety depends on nothing that travels
+// here.
 package peer
--- a/internal/peer/transport.go
+++ b/internal/peer/transport.go
@@ -1,337 +1,168 @@
 package peer
 
 import (
-	"bytes"
 	"context"
-	"encoding/json"
-	"errors"
-	"io"
 	"log/slog"
-	"math/rand/v2"
 	"net"
 	"net/http"
-	"sync/atomic"
 	"time"
 
-	"github.com/go-chi/chi/v5"
-
 	"lynxledge/internal/actor"
-	"lynxledge/internal/apiserver"
 	"lynxledge/internal/config"
 	"lynxledge/internal/reconcile"
 	"lynxledge/wire"
 )
 
-// PeerHeartbeat is one message of a stream.
-type PeerHeartbeat struct {
-	Member        string `json:"member"`
-	ViewAgeMillis int64  `json:"ageMs"` // of the sender's view; below 0: it has none
-	// Boot tells the sender's process from its earlier ones; 0: it doesn't say.
-	Incarnation uint64           `json:"boot,omitempty"`
-	Reachable   []wire.MachineID `json:"heard,omitempty"`
-	// Note is for the receiver to write, if it places.
-	Evidence *reconcile.Evidence `json:"note,omitempty"`
-}
-
-// Transport is the actor that knows the other controllers.
-type Transport struct {
-	*actor.Actor
-	ctx               context.Context
-	config            *config.Config
-	heartbeatInterval time.Duration
-	freshAsOf         func() time.Time
-	peers             map[string]*peerState
-	freshestPeer      atomic.Pointer[peerState]
-	isolated          atomic.Bool
-	onReachable       atomic.Pointer[func([]wire.MachineID)]
-	onReachableBy     atomic.Pointer[func(member string, machines []wire.MachineID)]
-	onEvidence        atomic.Pointer[func(reconcile.Evidence)]
-	watcher           atomic.Pointer[Watcher]
-	incarnation       atomic.Uint64
-	client            *http.Client
-}
-
-// Watcher is told what is heard of other controllers. It must not wait for the mesh.
-type Watcher interface {
-	Heartbeat(member string, boot uint64)
-	Opened(member string)
-	Closed(member string)
-}
-
-// noWatcher is told in vain.
-type noWatcher struct{}
+// heartbeatsPerWorkerHeartbeat is how many peer heartbeats are sent in the interval between two
+// heartbeats of a worker.
+const heartbeatsPerWorkerHeartbeat = 3
 
-func (noWatcher) Heartbeat(string, uint64) {}
-func (noWatcher) Opened(string)            {}
-func (noWatcher) Closed(string)            {}
+// stalenessHeartbeats is the age, in intervals of peer heartbeats, beyond which another
+// controller's last heartbeat and its view don't count any more.
+const stalenessHeartbeats = 3
 
-// Watch has another actor follow the heartbeats and connections of other controllers, and
-// has this one say, more often than it would, which process it is.
-func (m *Transport) Watch(w Watcher, boot uint64, every time.Duration) {
-	m.watcher.Store(&w)
-	m.incarnation.Store(boot)
-	m.Every(every, func() { m.AnnounceReachable(nil) })
-}
+// Dial opens a connection.
+type Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 
-func (m *Transport) currentWatcher() Watcher {
-	if w := m.watcher.Load(); w != nil {
-		return *w
-	}
-	return noWatcher{}
+// Options are what a Transport works with.
+type Options struct {
+	Config    *config.Config
+	Dial      Dial
+	FreshAsOf func() time.Time // of this controller's view; zero: it has none
 }
 
-type peerState struct {
-	config.Peer
-	outbound      chan PeerHeartbeat
-	connected     atomic.Bool // the stream to it is open
-	lastHeartbeat time.Time
-	viewAge       time.Duration
+// Handlers receive what other controllers send. They must not wait for the transport.
+type Handlers struct {
+	// Reachable is told of the workers that another controller had heartbeats from. Nil: nobody is.
+	Reachable func(member string, machines []wire.MachineID)
+	// Evidence is told of what heartbeats proved to another controller. Nil: nobody is.
+	Evidence func(reconcile.Evidence)
+	// FailureDetection is nil if it is off.
+	FailureDetection *FailureDetection
 }
 
-func h2c() *http.Protocols {
-	p := new(http.Protocols)
-	p.SetUnencryptedHTTP2(true)
-	return p
+// FailureDetection has heartbeats sent more often, with the incarnation of this controller's
+// process, and an observer follow those of the others.
+type FailureDetection struct {
+	Incarnation uint64
+	Interval    time.Duration
+	Observer    Observer
 }
 
-// Dial opens a connection.
-type Dial func(ctx context.Context, network, addr string) (net.Conn, error)
-
-// Start opens the streams. fresh tells from when this node's view is.
-func Start(ctx context.Context, cfg *config.Config, dial Dial, fresh func() time.Time) *Transport {
-	period := cfg.Params.Workers.HeartbeatInterval / 3
-	m := &Transport{
-		Actor: actor.Start(ctx, "mesh", 128), ctx: ctx, config: cfg, heartbeatInterval: period, freshAsOf: fresh,
-		peers: map[string]*peerState{},
-		client: &http.Client{Transport: &http.Transport{
-			DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
-				ctx, cancel := context.WithTimeout(ctx, period)
-				defer cancel()
-				return dial(ctx, network, addr)
-			}, Protocols: h2c(),
-			HTTP2: &http.HTTP2Config{SendPingTimeout: 2 * period, PingTimeout: 2 * period},
-		}},
-	}
-	for _, p := range cfg.Peers {
-		q := &peerState{Peer: p, outbound: make(chan PeerHeartbeat, maxQueuedMessages)}
-		m.peers[p.Name] = q
-		go m.connectLoop(q)
-	}
-	m.Every(period, func() {
-		m.AnnounceReachable(nil)
-		m.selectFreshestPeer()
-	})
-	return m
-}
-
-// OnReachable sets the receiver of the workers that others hear.
-func (m *Transport) OnReachable(f func([]wire.MachineID)) { m.onReachable.Store(&f) }
-
-// OnReachableBy sets the receiver of the workers that others hear, with who hears them.
-func (m *Transport) OnReachableBy(f func(member string, machines []wire.MachineID)) {
-	m.onReachableBy.Store(&f)
+// Observer is told of the heartbeats and connections of other controllers. It must not wait
+// for the transport.
+type Observer interface {
+	Heartbeat(member string, incarnation uint64)
+	Opened(member string)
+	Closed(member string)
 }
 
-// maxQueuedMessages is how many messages wait for a stream; more are dropped. It holds what some
-// thousand machines prove within a few seconds, in which a stream may stand still.
-const maxQueuedMessages = 256
+// noObserver is told in vain.
+type noObserver struct{}
 
-// OnEvidence sets the receiver of what reports prove.
-func (m *Transport) OnEvidence(f func(reconcile.Evidence)) { m.onEvidence.Store(&f) }
+func (noObserver) Heartbeat(string, uint64) {}
+func (noObserver) Opened(string)            {}
+func (noObserver) Closed(string)            {}
 
-// SendEvidence passes on what a report proves; false if the other controller is out of
-// reach. That it was told proves nothing.
-func (m *Transport) SendEvidence(member string, n reconcile.Evidence) bool {
-	p := m.peers[member]
-	if p == nil || !p.connected.Load() {
-		return false
-	}
-	select {
-	case p.outbound <- m.withViewAge(PeerHeartbeat{Evidence: &n}):
-		return true
-	default:
-		return false
-	}
-}
+// Transport is the actor that knows the other controllers.
+type Transport struct {
+	*actor.Actor
+	member            string
+	heartbeatInterval time.Duration
+	freshAsOf         func() time.Time
+	peers             *table
+	client            *http.Client
 
-func (m *Transport) withViewAge(b PeerHeartbeat) PeerHeartbeat {
-	b.Member, b.ViewAgeMillis, b.Incarnation = m.config.MemberName, -1, m.incarnation.Load()
-	if f := m.freshAsOf(); !f.IsZero() {
-		b.ViewAgeMillis = time.Since(f).Milliseconds()
-	}
-	return b
+	// Set by Run, constant afterwards.
+	handlers    Handlers
+	observer    Observer
+	incarnation uint64 // announced; 0: none is
 }
 
-// AnnounceReachable tells the others which workers reported here.
-func (m *Transport) AnnounceReachable(machines []wire.MachineID) {
-	b := m.withViewAge(PeerHeartbeat{Reachable: machines})
-	for _, p := range m.peers {
-		select {
-		case p.outbound <- b:
-		default: // the stream is down; silence is not proof of anything
-		}
+// Start starts the actor, which ends with ctx. It sends and receives nothing before Run.
+func Start(ctx context.Context, o Options) *Transport {
+	interval := o.Config.Params.Workers.HeartbeatInterval / heartbeatsPerWorkerHeartbeat
+	return &Transport{
+		Actor:             actor.Start(ctx, "peer", 128),
+		member:            o.Config.MemberName,
+		heartbeatInterval: interval,
+		freshAsOf:         o.FreshAsOf,
+		peers:             newTable(o.Config.Peers, stalenessHeartbeats*interval),
+		client:            newClient(o.Dial, interval),
+		observer:          noObserver{},
 	}
 }
 
-// connectLoop keeps one stream open.
-func (m *Transport) connectLoop(p *peerState) {
-	for n := 0; m.ctx.Err() == nil; n++ {
-		begun := time.Now()
-		err := m.stream(p)
-		slog.Debug("stream ended", "peer", p.Name, "err", err)
-		if time.Since(begun) > 10*m.heartbeatInterval {
-			n = 0
-		}
-		wait := m.heartbeatInterval << min(n, 1) // peers are few, and soon missed
-		select {
-		case <-time.After(wait + rand.N(wait)):
-		case <-m.ctx.Done():
-		}
+// Run opens the streams and keeps them open until ctx ends. It must be called before Serve.
+func (t *Transport) Run(ctx context.Context, handlers Handlers) {
+	t.handlers = handlers
+	detection := handlers.FailureDetection
+	if detection != nil {
+		t.observer, t.incarnation = detection.Observer, detection.Incarnation
 	}
-}
-
-func (m *Transport) stream(p *peerState) error {
-	ctx, cancel := context.WithCancel(m.ctx)
-	defer cancel()
-	r, w := io.Pipe()
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+p.Address+"/beats", r)
-	if err != nil {
-		return err
+	for _, p := range t.peers.byName {
+		go t.connectLoop(ctx, p)
 	}
-	go func() {
-		enc := json.NewEncoder(w)
-		for {
-			select {
-			case b := <-p.outbound:
-				if err := enc.Encode(b); err != nil {
-					return
-				}
-			case <-ctx.Done():
-				w.CloseWithError(ctx.Err())
-				return
-			}
-		}
-	}()
-	resp, err := m.client.Do(req)
-	if err != nil {
-		return err
+	t.Every(t.heartbeatInterval, func() {
+		t.AnnounceReachable(nil)
+		t.peers.selectFreshest()
+	})
+	if detection != nil {
+		t.Every(detection.Interval, func() { t.AnnounceReachable(nil) })
 	}
-	defer resp.Body.Close()
-	p.connected.Store(true)
-	defer p.connected.Store(false)
-	m.currentWatcher().Opened(p.Name)
-	defer func() { m.currentWatcher().Closed(p.Name) }()
-	_, err = io.Copy(io.Discard, resp.Body)
-	return err
 }
 
-// Serve answers the others' streams and questions until ctx ends.
-func (m *Transport) Serve(l net.Listener, front http.Handler) error {
-	r := chi.NewRouter()
-	r.Post("/beats", m.receiveHeartbeats)
-	r.Mount("/", front)
-	srv := &http.Server{
-		Handler: r, Protocols: h2c(), ReadHeaderTimeout: 4 * m.heartbeatInterval,
-		HTTP2: &http.HTTP2Config{SendPingTimeout: 2 * m.heartbeatInterval, PingTimeout: 2 * m.heartbeatInterval},
-	}
-	return srv.Serve(l)
-}
+// Isolated tells whether there are other controllers, but none sent heartbeats lately.
+func (t *Transport) Isolated() bool { return t.peers.isolated.Load() }
 
-func (m *Transport) receiveHeartbeats(w http.ResponseWriter, r *http.Request) {
-	w.WriteHeader(http.StatusOK)
-	if f, ok := w.(http.Flusher); ok {
-		f.Flush()
-	}
-	dec := json.NewDecoder(r.Body)
-	from := ""
-	defer func() {
-		if from != "" {
-			m.currentWatcher().Closed(from)
-		}
-	}()
-	for {
-		var b PeerHeartbeat
-		if err := dec.Decode(&b); err != nil {
-			if !errors.Is(err, io.EOF) {
-				slog.Debug("stream broke", "err", err)
-			}
-			return
-		}
-		if from == "" {
-			from = b.Member
-			m.currentWatcher().Opened(from)
-		}
-		m.currentWatcher().Heartbeat(b.Member, b.Incarnation)
-		m.Post(func() { m.handleHeartbeat(b) })
+// FreshPeer names the controller with the freshest view, or nothing.
+func (t *Transport) FreshPeer() string {
+	if p := t.peers.freshest.Load(); p != nil {
+		return p.Name
 	}
+	return ""
 }
 
-func (m *Transport) handleHeartbeat(b PeerHeartbeat) {
-	p := m.peers[b.Member]
-	if p == nil {
-		slog.Warn("beat of an unknown controller", "member", b.Member)
-		return
-	}
-	p.lastHeartbeat, p.viewAge = time.Now(), time.Duration(b.ViewAgeMillis)*time.Millisecond
-	if f := m.onReachable.Load(); f != nil && len(b.Reachable) > 0 {
-		(*f)(b.Reachable)
-	}
-	if f := m.onReachableBy.Load(); f != nil && len(b.Reachable) > 0 {
-		(*f)(b.Member, b.Reachable)
-	}
-	if f := m.onEvidence.Load(); f != nil && b.Evidence != nil && b.Evidence.Heartbeat != nil && b.Evidence.Heartbeat.Validate() == nil {
-		(*f)(*b.Evidence)
+// AnnounceReachable tells the others from which workers heartbeats came here.
+func (t *Transport) AnnounceReachable(machines []wire.MachineID) {
+	heartbeat := t.heartbeat()
+	heartbeat.Reachable = machines
+	for _, p := range t.peers.byName {
+		p.enqueue(heartbeat) // or drops it: missed heartbeats prove nothing
 	}
 }
 
-// selectFreshestPeer names the controller with the freshest view among those heard
-// lately.
-func (m *Transport) selectFreshestPeer() {
-	var best *peerState
-	alone := len(m.peers) > 0
-	for _, p := range m.peers {
-		if time.Since(p.lastHeartbeat) > 3*m.heartbeatInterval {
-			continue
-		}
-		alone = false
-		if p.viewAge < 0 || p.viewAge > 3*m.heartbeatInterval {
-			continue
-		}
-		if best == nil || p.viewAge < best.viewAge {
-			best = p
-		}
+// SendEvidence forwards what a heartbeat proves; false if the other controller is out of
+// reach. That it was sent proves nothing.
+func (t *Transport) SendEvidence(member string, evidence reconcile.Evidence) bool {
+	p := t.peers.byName[member]
+	if p == nil || !p.connected.Load() {
+		return false
 	}
-	m.freshestPeer.Store(best)
-	m.isolated.Store(alone)
+	heartbeat := t.heartbeat()
+	heartbeat.Evidence = &evidence
+	return p.enqueue(heartbeat)
 }
 
-// Isolated tells whether there are other controllers, but none was heard lately.
-func (m *Transport) Isolated() bool { return m.isolated.Load() }
-
-// FreshPeer names a controller that has state, or nothing.
-func (m *Transport) FreshPeer() string {
-	if p := m.freshestPeer.Load(); p != nil {
-		return p.Name
+// heartbeat is a message that says who sends it and how old the sender's view is.
+func (t *Transport) heartbeat() PeerHeartbeat {
+	heartbeat := PeerHeartbeat{Member: t.member, ViewAgeMillis: -1, Incarnation: t.incarnation}
+	if freshAsOf := t.freshAsOf(); !freshAsOf.IsZero() {
+		heartbeat.ViewAgeMillis = time.Since(freshAsOf).Milliseconds()
 	}
-	return ""
+	return heartbeat
 }
 
-// Forward passes a user's request on to a controller that has state.
-func (m *Transport) Forward(ctx context.Context, method, path string, body []byte) (int, []byte, error) {
-	p := m.freshestPeer.Load()
-	if p == nil {
-		return 0, nil, errors.New("no controller with state is known")
+// handleHeartbeat takes a message over.
+func (t *Transport) handleHeartbeat(heartbeat PeerHeartbeat) {
+	if !t.peers.recordHeartbeat(time.Now(), &heartbeat) {
+		slog.Warn("heartbeat from unknown controller", "member", heartbeat.Member)
+		return
 	}
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+p.Address+path, bytes.NewReader(body))
-	if err != nil {
-		return 0, nil, err
+	if t.handlers.Reachable != nil && len(heartbeat.Reachable) > 0 {
+		t.handlers.Reachable(heartbeat.Member, heartbeat.Reachable)
 	}
-	req.Header.Set(apiserver.ForwardedHeader, m.config.MemberName)
-	resp, err := m.client.Do(req)
-	if err != nil {
-		return 0, nil, err
+	if t.handlers.Evidence != nil && heartbeat.hasValidEvidence() {
+		t.handlers.Evidence(*heartbeat.Evidence)
 	}
-	defer resp.Body.Close()
-	b, err := io.ReadAll(io.LimitReader(resp.Body, wire.MaxBodyBytes))
-	return resp.StatusCode, b, err
 }
