--- a/internal/apiserver/submit.go
+++ b/internal/apiserver/submit.go
@@ -16,6 +16,7 @@
 	"lynxledge/internal/placement"
 	"lynxledge/internal/resources"
 	"lynxledge/internal/statecache"
+	"lynxledge/internal/storelimits"
 	"lynxledge/wire"
 )
 
@@ -25,18 +26,18 @@
 // a part of it some seconds sooner. More than the rate would only be refused.
 const admissionRateFactor = 1.2
 
-func newAdmissionLimiter(cfg *config.Config) *rate.Limiter {
-	each := admissionRate(cfg)
+func newAdmissionLimiter(cfg *config.Config, limits *storelimits.Tracker) *rate.Limiter {
+	each := admissionRate(cfg, limits)
 	return rate.NewLimiter(each, 1+int(2*each))
 }
 
 // admissionRate is this controller's part.
-func admissionRate(cfg *config.Config) rate.Limit {
-	return rate.Limit(cfg.StoreWriteRate() * admissionRateFactor / float64(len(cfg.Peers)+1))
+func admissionRate(cfg *config.Config, limits *storelimits.Tracker) rate.Limit {
+	return rate.Limit(limits.WriteRate(&cfg.Params.Store) * admissionRateFactor / float64(len(cfg.Peers)+1))
 }
 
 func (f *Server) submit(w http.ResponseWriter, r *http.Request) {
-	if f.config.Overload.Level() >= overload.Overloaded {
+	if f.overload.Level() >= overload.Overloaded {
 		f.refuseSubmission(w, http.StatusServiceUnavailable, "overloaded")
 		return
 	}
@@ -89,11 +90,11 @@
 
 // refuseSubmission tells a user at once to come back, and when there will be a turn.
 func (f *Server) refuseSubmission(w http.ResponseWriter, status int, why string) {
-	wait := f.queue.next(time.Now(), float64(admissionRate(f.config)))
+	wait := f.queue.next(time.Now(), float64(admissionRate(f.config, f.storeLimits)))
 	writeRetryAfter(w, status, wait, why)
 }
 
-func (f *Server) respondToRepeat(ctx context.Context, w http.ResponseWriter, r *http.Request, id string, body []byte) {
+func (f *Server) respondToRepeat(ctx context.Context, w http.ResponseWriter, r *http.Request, id wire.JobID, body []byte) {
 	l, err := f.currentSnapshot(ctx, id)
 	if err != nil || !l.known {
 		f.forwardToPeer(ctx, w, r, body)
@@ -106,7 +107,7 @@
 func (f *Server) admissionError(j *wire.Job) (int, string) {
 	team, ok := f.config.Params.TeamQuota(j.Team)
 	if !ok {
-		return http.StatusUnprocessableEntity, "unknown team " + strconv.Quote(j.Team)
+		return http.StatusUnprocessableEntity, "unknown team " + strconv.Quote(string(j.Team))
 	}
 	types, ok := actor.Ask(f.Actor, func(reply func([]wire.MachineType)) { reply(f.machineTypes) })
 	if !ok || len(types) == 0 {
@@ -147,9 +148,9 @@
 		case id == j.ID:
 			return http.StatusUnprocessableEntity, "awaits: the job names itself", nil
 		case !l.known:
-			return http.StatusUnprocessableEntity, "awaits: " + id + " was never accepted", nil
+			return http.StatusUnprocessableEntity, "awaits: " + string(id) + " was never accepted", nil
 		case l.job.Spec != nil && l.job.Spec.IsService():
-			return http.StatusUnprocessableEntity, "awaits: " + id + " is a service, which is never done", nil
+			return http.StatusUnprocessableEntity, "awaits: " + string(id) + " is a service, which is never done", nil
 		}
 	}
 	return 0, "", nil
@@ -176,17 +177,17 @@
 		f.forwardToPeer(ctx, w, r, body)
 		return
 	}
-	key := statecache.Key(statecache.KindJob, j.ID)
+	key := statecache.Key(statecache.KindJob, string(j.ID))
 	// A crowd of users must not take all the writes: who comes too early is told
 	// when to come back.
-	f.admission.SetLimit(admissionRate(f.config))
+	f.admission.SetLimit(admissionRate(f.config, f.storeLimits))
 	if !f.admission.Allow() {
 		f.refuseSubmission(w, http.StatusTooManyRequests, "too many submissions at once")
 		return
 	}
 	out, ok := f.commit(ctx, statecache.Commit{
 		Preconditions: []wire.Precondition{{Key: key}},
-		Puts:          []statecache.Put{{Key: key, Record: &statecache.Job{Spec: j, TaskCount: j.TaskCount, SubmittedAt: time.Now().UnixMilli()}}},
+		Puts:          []statecache.Put{{Key: key, Record: &statecache.Job{Spec: j, TaskCount: j.TaskCount, SubmittedAt: statecache.TimestampOf(time.Now())}}},
 		RetryFor:      retryAfter,
 	})
 	switch {
@@ -198,7 +199,7 @@
 			"tasks", j.TaskCount,
 			"image", j.Image,
 			"gb", j.ImageGB,
-			"expect_s", j.EstimatedRuntime)
+			"expect_s", float64(j.EstimatedRuntime))
 		status := wire.JobStatus{ID: j.ID, State: wire.JobQueued}
 		if l, ok := f.snapshot(j.ID); ok && l.known { // it may name a job that is cancelled
 			status = l.status
--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -15,13 +15,14 @@
 	"lynxledge/internal/recovery"
 	"lynxledge/internal/resources"
 	"lynxledge/internal/statecache"
+	"lynxledge/internal/storelimits"
 	"lynxledge/wire"
 )
 
 // Cloud is what the renter needs of the cloud.
 type Cloud interface {
-	Provision(ctx context.Context, r wire.ProvisionRequest) ([]string, error)
-	Delete(ctx context.Context, names []string) error
+	Provision(ctx context.Context, r wire.ProvisionRequest) ([]wire.MachineID, error)
+	Delete(ctx context.Context, names []wire.MachineID) error
 	List(ctx context.Context) ([]wire.Instance, error)
 	MachineTypes(ctx context.Context) ([]wire.MachineType, error)
 }
@@ -43,6 +44,8 @@
 	writeLimiter    *rate.Limiter // of writes
 	prober          Prober
 	onProbeResponse func(*wire.Heartbeat)
+	storeLimits     *storelimits.Tracker
+	overload        *overload.Gauge
 
 	zoneRecovery    *recovery.ScalingPolicy // nil: zones that recover are treated like any other
 	onPoolExhausted func(pool resources.Pool, until time.Time)
@@ -51,56 +54,71 @@
 	revision       uint64
 	freshAsOf      time.Time
 	machineTypes   []wire.MachineType
-	activeJobs     map[string]*statecache.Job
-	blockedJobs    map[string]*statecache.Job
-	latePipelines  map[string]string // pipelines by their last job: the stage that makes them late
+	activeJobs     map[wire.JobID]*statecache.Job
+	blockedJobs    map[wire.JobID]*statecache.Job
+	latePipelines  map[wire.JobID]wire.JobID // pipelines by their last job: the stage that makes them late
 	runtimes       *estimate.RuntimeEstimator
-	boundSince     map[string]time.Time        // bound task: since when
-	liveness       map[string]*machineLiveness // by machine
+	boundSince     map[wire.TaskID]time.Time           // bound task: since when
+	liveness       map[wire.MachineID]*machineLiveness // by machine
 	exhaustedPools map[resources.Pool]time.Time
-	pendingUpdates map[string]machineUpdate // machine: what is to be written of it
+	pendingUpdates map[wire.MachineID]machineUpdate // machine: what is to be written of it
 	commitInFlight bool
 
 	term                    uint64 // of the leadership that this state belongs to
 	provisionCount          int
 	provisioning            map[string]resources.Pool // by intent
 	replanAfterProvisioning bool                      // more is wanted of a pool with a rental under way
-	terminating             map[string]bool
-	terminatedAt            map[string]time.Time
+	terminating             map[wire.MachineID]bool
+	terminatedAt            map[wire.MachineID]time.Time
 	listInFlight            bool
 	lastListed              time.Time // when the cloud's list was asked for last
 	lastPlanned             time.Time // when the last pass was made
 }
 
-// Start runs the actor; it acts only while this process leads.
-func Start(ctx context.Context, cfg *config.Config, boot uint64, l *statecache.Cache, c Cloud, p Prober, report func(*wire.Heartbeat)) *Autoscaler {
+// Options are what an Autoscaler works with.
+type Options struct {
+	Config          *config.Config
+	Incarnation     uint64 // of this process
+	Cache           *statecache.Cache
+	Cloud           Cloud
+	Prober          Prober
+	OnProbeResponse func(*wire.Heartbeat)
+	StoreLimits     *storelimits.Tracker // nil: the limits are as configured
+	Overload        *overload.Gauge      // nil: this process is never overloaded
+}
+
+// Start runs the actor until ctx ends; it acts only while this process leads.
+func Start(ctx context.Context, o Options) *Autoscaler {
+	cfg := o.Config
 	r := &Autoscaler{
 		Actor:           actor.Start(ctx, "renter", 256),
 		ctx:             ctx,
 		config:          cfg,
-		incarnation:     boot,
+		incarnation:     o.Incarnation,
 		startedAt:       time.Now(),
-		cache:           l,
-		cloud:           c,
-		prober:          p,
-		onProbeResponse: report,
+		cache:           o.Cache,
+		cloud:           o.Cloud,
+		prober:          o.Prober,
+		onProbeResponse: o.OnProbeResponse,
+		storeLimits:     o.StoreLimits,
+		overload:        o.Overload,
 		writeLimiter:    rate.NewLimiter(rate.Limit(cfg.Params.Store.WriteRate*(1-cfg.Operator.SchedulerWriteShare)), cfg.Params.Store.TxnOpsLimit()),
 		view:            statecache.NewUnfinishedView(statecache.ChunkTasks(cfg.Params.Store.MaxValueKB)),
-		activeJobs:      map[string]*statecache.Job{},
-		blockedJobs:     map[string]*statecache.Job{},
-		latePipelines:   map[string]string{},
+		activeJobs:      map[wire.JobID]*statecache.Job{},
+		blockedJobs:     map[wire.JobID]*statecache.Job{},
+		latePipelines:   map[wire.JobID]wire.JobID{},
 		runtimes:        estimate.NewRuntimeEstimator(),
-		boundSince:      map[string]time.Time{},
-		liveness:        map[string]*machineLiveness{},
+		boundSince:      map[wire.TaskID]time.Time{},
+		liveness:        map[wire.MachineID]*machineLiveness{},
 		exhaustedPools:  map[resources.Pool]time.Time{},
 		provisioning:    map[string]resources.Pool{},
-		terminating:     map[string]bool{},
-		pendingUpdates:  map[string]machineUpdate{},
-		terminatedAt:    map[string]time.Time{},
+		terminating:     map[wire.MachineID]bool{},
+		pendingUpdates:  map[wire.MachineID]machineUpdate{},
+		terminatedAt:    map[wire.MachineID]time.Time{},
 	}
-	l.Subscribe(func(d statecache.Update) { r.Send(func() { r.apply(d) }) })
-	r.Every(config.Seconds(cfg.Operator.PlanningInterval), r.runCycle)
-	r.Every(config.Seconds(cfg.Params.Workers.HeartbeatInterval/2), r.checkLiveness)
+	o.Cache.Subscribe(func(d statecache.Update) { r.Send(func() { r.apply(d) }) })
+	r.Every(cfg.Operator.PlanningInterval, r.runCycle)
+	r.Every(cfg.Params.Workers.HeartbeatInterval/2, r.checkLiveness)
 	return r
 }
 
@@ -116,7 +134,7 @@
 }
 
 // MachinesReachable tells the renter of machines that reported to some node.
-func (r *Autoscaler) MachinesReachable(machines []string) {
+func (r *Autoscaler) MachinesReachable(machines []wire.MachineID) {
 	now := time.Now()
 	r.Post(func() {
 		for _, m := range machines {
@@ -140,17 +158,18 @@
 				r.runtimes.Observe(g.Terminations, r.view.Jobs)
 			}
 		case statecache.KindJob:
+			id := wire.JobID(c.Name)
 			j, _ := c.Record.(*statecache.Job)
-			delete(r.activeJobs, c.Name)
-			delete(r.blockedJobs, c.Name)
+			delete(r.activeJobs, id)
+			delete(r.blockedJobs, id)
 			switch {
 			case j == nil || !j.Active() || j.Spec == nil:
-				r.runtimes.Forget(c.Name)
-				delete(r.latePipelines, c.Name)
+				r.runtimes.Forget(id)
+				delete(r.latePipelines, id)
 			case j.Blocked:
-				r.blockedJobs[c.Name] = j
+				r.blockedJobs[id] = j
 			default:
-				r.activeJobs[c.Name] = j
+				r.activeJobs[id] = j
 			}
 		}
 	}
@@ -159,7 +178,7 @@
 func (r *Autoscaler) applyMachineChange(c statecache.MachineChange, now time.Time) {
 	m, old, b := c.Machine, c.Old, c.New
 	for _, t := range statecache.UnboundTasks(old, b) {
-		delete(r.boundSince, t.TaskName())
+		delete(r.boundSince, t.TaskID())
 	}
 	if b == nil {
 		delete(r.liveness, m)
@@ -177,7 +196,7 @@
 	}
 	for i := range b.Bindings {
 		if t := &b.Bindings[i]; old == nil || old.FindBinding(t.Job, t.TaskIndex) == nil {
-			r.boundSince[t.TaskName()] = now
+			r.boundSince[t.TaskID()] = now
 		}
 	}
 }
@@ -197,7 +216,7 @@
 
 // leadership is the leadership of this process, if it is confirmed.
 func (r *Autoscaler) leadership() (election.Leadership, bool) {
-	lead, ok := election.ConfirmLeadership(r.view, r.incarnation, r.revision, r.freshAsOf, r.heartbeats(maxViewAgeHeartbeats))
+	lead, ok := election.ConfirmLeadership(r.view, r.incarnation, r.revision, r.freshAsOf, r.config.Params.Workers.Heartbeats(maxViewAgeHeartbeats))
 	if ok && r.term != lead.Term() {
 		r.term, r.provisionCount = lead.Term(), 0
 		now := time.Now()
@@ -251,14 +270,14 @@
 // deferPlanning tells whether planning should wait, because the processor has more urgent
 // work to do.
 func (r *Autoscaler) deferPlanning() bool {
-	longest := config.Seconds(r.config.Operator.PlanningInterval * maxSkippedCycles)
-	return r.config.Overload.Level() >= overload.Behind && time.Since(r.lastPlanned) < longest
+	longest := r.config.Operator.PlanningIntervals(maxSkippedCycles)
+	return r.overload.Level() >= overload.Behind && time.Since(r.lastPlanned) < longest
 }
 
 // commit makes a change within the leader's part of the writes; reply runs in
 // the actor.
 func (r *Autoscaler) commit(c statecache.Commit, reply func(statecache.Outcome)) {
-	r.writeLimiter.SetLimit(rate.Limit(r.config.StoreWriteRate() * (1 - r.config.Operator.SchedulerWriteShare)))
+	r.writeLimiter.SetLimit(rate.Limit(r.storeLimits.WriteRate(&r.config.Params.Store) * (1 - r.config.Operator.SchedulerWriteShare)))
 	wait := r.writeLimiter.ReserveN(time.Now(), min(c.Ops(), r.writeLimiter.Burst())).Delay()
 	r.After(wait, func() {
 		r.cache.Commit(c, func(out statecache.Outcome) { r.Send(func() { reply(out) }) })
--- a/internal/autoscaler/planning_input.go
+++ b/internal/autoscaler/planning_input.go
@@ -6,6 +6,7 @@
 	"math"
 	"time"
 
+	"lynxledge/internal/config"
 	"lynxledge/internal/estimate"
 	"lynxledge/internal/placement"
 	"lynxledge/internal/planner"
@@ -47,11 +48,11 @@
 	now := time.Now()
 	ops := r.config.Operator
 	in := planner.Input{
-		Types: r.machineTypes, BootLag: ops.BootLag, PlanningInterval: ops.PlanningInterval, BillingPeriod: ops.BillingPeriod, HeadroomShare: ops.HeadroomShare, MaxPriceMultiple: ops.MaxPriceMultiple,
+		Types: r.machineTypes, BootLag: ops.BootLag.Seconds(), PlanningInterval: ops.PlanningInterval.Seconds(), BillingPeriod: ops.BillingPeriod.Seconds(), HeadroomShare: ops.HeadroomShare, MaxPriceMultiple: ops.MaxPriceMultiple,
 		Refused: func(p resources.Pool) bool { return now.Before(r.exhaustedPools[p]) },
 	}
 	if recovery.Recovering(r.view.ZoneRecoveries) {
-		in.Avoided = func(zone string) bool { return r.zoneRecovery.IsLost(r.view.ZoneRecoveries, zone) }
+		in.Avoided = func(zone wire.Zone) bool { return r.zoneRecovery.IsLost(r.view.ZoneRecoveries, zone) }
 	}
 	withheld := r.zoneRecovery.WithheldFor(now, r.view)
 	pools := map[resources.Pool]bool{}
@@ -60,23 +61,24 @@
 			pools[resources.Pool{MachineType: b.MachineType, Zone: b.Zone, Spot: b.Spot}] = true
 		}
 	}
-	add := func(id string, j *statecache.Job, startS float64) {
+	add := func(id wire.JobID, j *statecache.Job, wait time.Duration) {
 		n := r.view.PendingTasks(id, j)
 		if n <= 0 {
 			return
 		}
 		// The first deadline that a machine rented now can still keep.
-		age, due := float64(now.UnixMilli()-j.RunnableSince())/1000, 0.0
-		run := r.runtimes.Estimate(j.Spec)
-		deadlines := estimate.Deadlines(r.config, j, run, age, age+startS)
+		age, due := config.Milliseconds(int64(statecache.TimestampOf(now)-j.RunnableSince())), time.Duration(0)
+		runSeconds := r.runtimes.Estimate(j.Spec)
+		run := config.Seconds(runSeconds)
+		deadlines := estimate.Deadlines(r.config, j, run, age, age+wait)
 		for _, d := range deadlines {
 			if due = d - age; ops.BootLag+run <= due {
 				break
 			}
 		}
 		in.Demands = append(in.Demands, planner.Demand{
-			Job: j.Spec, Count: r.limitedByQuota(j, n), Runtime: run, Zones: placement.ZoneCountsOf(r.view, id),
-			Deadline: due, Late: !j.Spec.IsService() && ops.BootLag+run > due, Overdue: age > overdueDeadlineMultiple*deadlines[len(deadlines)-1] && !r.hasSuitableMachine(j.Spec, pools),
+			Job: j.Spec, Count: r.limitedByQuota(j, n), Runtime: runSeconds, Zones: placement.ZoneCountsOf(r.view, id),
+			Deadline: due.Seconds(), Late: !j.Spec.IsService() && ops.BootLag+run > due, Overdue: age > overdueDeadlineMultiple*deadlines[len(deadlines)-1] && !r.hasSuitableMachine(j.Spec, pools),
 		})
 	}
 	for id, j := range r.activeJobs {
@@ -86,8 +88,8 @@
 	// rented when they would be up as it becomes ready, not long before.
 	for id, h := range r.dependencyWaits(now) {
 		r.logDeadlineRisk(id, h, now)
-		if h.Wait <= ops.BootLag+ops.PlanningInterval {
-			add(id, r.blockedJobs[id], h.Wait)
+		if wait := config.Seconds(h.Wait); wait <= ops.BootLag+ops.PlanningInterval {
+			add(id, r.blockedJobs[id], wait)
 		}
 	}
 	for name, b := range r.view.Machines {
@@ -96,7 +98,7 @@
 			Age: (float64(now.UnixMilli()) - float64(b.ProvisionedAt)) / 1000, Schedulable: b.DrainReason == "" && !b.Terminating && !b.Suspected,
 		}
 		if b.Incarnation == 0 {
-			m.ReadyIn = math.Max(0, r.bootTime(b.MachineType)-m.Age)
+			m.ReadyIn = math.Max(0, r.bootSeconds(b.MachineType)-m.Age)
 			// A boot that drags on may never end: it covers no load any more.
 			m.Schedulable = m.Schedulable && !r.isBootOverdue(b, now)
 		}
@@ -114,7 +116,7 @@
 			}
 			left := math.Inf(1)
 			if !j.Spec.IsService() {
-				left = math.Max(0, r.runtimes.Estimate(j.Spec)-now.Sub(r.boundSince[t.TaskName()]).Seconds())
+				left = math.Max(0, r.runtimes.Estimate(j.Spec)-now.Sub(r.boundSince[t.TaskID()]).Seconds())
 			}
 			m.Tasks = append(m.Tasks, planner.RunningTask{Job: j.Spec, Remaining: left})
 		}
@@ -123,8 +125,8 @@
 	for _, intent := range r.view.ProvisioningIntents { // rented, though not known by name yet
 		for i := range intent.Count {
 			in.Machines = append(in.Machines, planner.Machine{
-				Name: fmt.Sprintf("rented-%d", i), Pool: poolOf(intent), Schedulable: true,
-				ReadyIn: r.bootTime(intent.MachineType),
+				Name: wire.MachineID(fmt.Sprintf("rented-%d", i)), Pool: poolOf(intent), Schedulable: true,
+				ReadyIn: r.bootSeconds(intent.MachineType),
 			})
 		}
 	}
@@ -132,17 +134,17 @@
 }
 
 // dependencyWaits tells in how many seconds each blocked job could run.
-func (r *Autoscaler) dependencyWaits(now time.Time) map[string]estimate.DependencyWait {
+func (r *Autoscaler) dependencyWaits(now time.Time) map[wire.JobID]estimate.DependencyWait {
 	if len(r.blockedJobs) == 0 {
 		return nil
 	}
-	run := func(id string) float64 {
+	run := func(id wire.JobID) float64 {
 		if j := r.view.Jobs[id]; j != nil && j.Spec != nil {
 			return r.runtimes.Estimate(j.Spec)
 		}
 		return 0
 	}
-	left := func(id string) float64 {
+	left := func(id wire.JobID) float64 {
 		j, whole := r.activeJobs[id], run(id)
 		if j == nil {
 			return 0
@@ -152,7 +154,7 @@
 		}
 		most := 0.0
 		for n := range r.view.Bindings[id] {
-			most = max(most, whole-now.Sub(r.boundSince[wire.TaskName(id, n)]).Seconds())
+			most = max(most, whole-now.Sub(r.boundSince[wire.NewTaskID(id, n)]).Seconds())
 		}
 		return most
 	}
@@ -161,14 +163,14 @@
 
 // logDeadlineRisk says early that a pipeline will miss its deadline, and which stage makes
 // it: once for each change.
-func (r *Autoscaler) logDeadlineRisk(last string, h estimate.DependencyWait, now time.Time) {
+func (r *Autoscaler) logDeadlineRisk(last wire.JobID, h estimate.DependencyWait, now time.Time) {
 	j := r.blockedJobs[last]
 	if j.Spec.Deadline == nil {
 		return
 	}
-	end := float64(now.UnixMilli()-j.SubmittedAt)/1000 + h.Wait + r.runtimes.Estimate(j.Spec)
-	late := end - *j.Spec.Deadline
-	by := ""
+	end := float64(statecache.TimestampOf(now)-j.SubmittedAt)/1000 + h.Wait + r.runtimes.Estimate(j.Spec)
+	late := end - float64(*j.Spec.Deadline)
+	by := wire.JobID("")
 	if late > 0 {
 		by = h.BlockedBy
 	}
--- a/internal/autoscaler/provision.go
+++ b/internal/autoscaler/provision.go
@@ -55,7 +55,7 @@
 	name := fmt.Sprintf("r-%d-%d", r.term, r.provisionCount)
 	intent := &statecache.ProvisioningIntent{
 		MachineType: want.MachineType, Zone: want.Zone, Spot: want.Spot,
-		Count: want.Count, TasksPerMachine: want.Tasks, RequestedAt: time.Now().UnixMilli(),
+		Count: want.Count, TasksPerMachine: want.Tasks, RequestedAt: statecache.TimestampOf(time.Now()),
 	}
 	key := statecache.Key(statecache.KindProvisioningIntent, name)
 	r.provisioning[name] = want.Pool
@@ -93,7 +93,7 @@
 	}()
 }
 
-func (r *Autoscaler) handleProvisioned(name string, intent *statecache.ProvisioningIntent, machines []string, err error) {
+func (r *Autoscaler) handleProvisioned(name string, intent *statecache.ProvisioningIntent, machines []wire.MachineID, err error) {
 	pool := poolOf(intent)
 	none := errors.Is(err, cloud.ErrNoCapacity) || errors.Is(err, cloud.ErrInvalidRequest)
 	if err != nil && !none {
@@ -109,7 +109,7 @@
 	asked := min(intent.Count, wire.MaxMachinesPerProvision)
 	left, short := intent.Count-asked, none || len(machines) < asked
 	if short {
-		r.exhaustedPools[pool] = time.Now().Add(config.Seconds(r.config.Operator.PlanningInterval * exhaustionCycles))
+		r.exhaustedPools[pool] = time.Now().Add(r.config.Operator.PlanningIntervals(exhaustionCycles))
 		if r.onPoolExhausted != nil {
 			r.onPoolExhausted(pool, r.exhaustedPools[pool])
 		}
@@ -139,7 +139,7 @@
 
 // isBootOverdue tells whether a machine has been starting for longer than is usual.
 func (r *Autoscaler) isBootOverdue(b *statecache.Machine, now time.Time) bool {
-	return b.Incarnation == 0 && now.Sub(time.UnixMilli(b.ProvisionedAt)) > config.Seconds(scheduler.UsualBootFactor*r.bootTime(b.MachineType))
+	return b.Incarnation == 0 && now.Sub(b.ProvisionedAt.Time()) > config.Seconds(scheduler.UsualBootFactor*r.bootSeconds(b.MachineType))
 }
 
 // exhaustionCycles is for how many passes a pool that ran short is left alone.
@@ -151,10 +151,10 @@
 // into another since, and a late copy of the commit that made it would bring its
 // machines back with nothing bound to them. short tells that the cloud had fewer
 // than were asked for.
-func (r *Autoscaler) recordMachines(name string, intent *statecache.ProvisioningIntent, left int, machines []string, short bool) {
-	rest := slices.DeleteFunc(machines, func(m string) bool {
+func (r *Autoscaler) recordMachines(name string, intent *statecache.ProvisioningIntent, left int, machines []wire.MachineID, short bool) {
+	rest := slices.DeleteFunc(machines, func(m wire.MachineID) bool {
 		_, returned := r.terminatedAt[m]
-		return returned || !wire.ValidMachineName(m) || r.view.Machines[m] != nil
+		return returned || !wire.ValidMachineName(string(m)) || r.view.Machines[m] != nil
 	})
 	stored := r.view.ProvisioningIntents[name]
 	lead, leads := r.leadership()
@@ -165,18 +165,21 @@
 	s := r.config.Params.Store
 	per := statecache.MachinesPerGroup(int(float64(s.ValueSizeLimit())*groupFillShare), intent.TasksPerMachine)
 	key := statecache.Key(statecache.KindProvisioningIntent, name)
-	c := statecache.Commit{Preconditions: []wire.Precondition{lead.Precondition(), {Key: key, ModRevision: stored.ModRevision}}, RetryFor: config.Seconds(r.config.Operator.PlanningInterval)}
+	c := statecache.Commit{Preconditions: []wire.Precondition{lead.Precondition(), {Key: key, ModRevision: stored.ModRevision}}, RetryFor: r.config.Operator.PlanningInterval}
 	for len(rest) > 0 && len(c.Puts) < s.TxnOpsLimit()-1 {
 		n := min(per, len(rest))
 		group := fmt.Sprintf("%s.%s", name, rest[0])
 		bind := statecache.Key(statecache.KindMachineGroup, group)
 		c.Preconditions = append(c.Preconditions, wire.Precondition{Key: bind})
-		c.Puts = append(c.Puts, statecache.Put{Key: bind, Record: statecache.NewMachineGroup(group, intent.MachineType, intent.Zone, intent.Spot, intent.RequestedAt, rest[:n], statecache.FirstToken(r.term))})
+		c.Puts = append(c.Puts, statecache.Put{Key: bind, Record: statecache.NewMachineGroup(statecache.GroupOptions{
+			Name: group, MachineType: intent.MachineType, Zone: intent.Zone, Spot: intent.Spot, ProvisionedAt: intent.RequestedAt,
+			Machines: rest[:n], FencingToken: statecache.FirstToken(r.term),
+		})})
 		rest = rest[n:]
 	}
 	next := *intent
 	if len(rest) == 0 && left > 0 {
-		next.Count, next.Batch, next.RequestedAt = left, intent.Batch+1, time.Now().UnixMilli()
+		next.Count, next.Batch, next.RequestedAt = left, intent.Batch+1, statecache.TimestampOf(time.Now())
 	}
 	if len(rest) > 0 || left > 0 {
 		c.Puts = append(c.Puts, statecache.Put{Key: key, Record: &next})
@@ -208,11 +211,11 @@
 // fill when its machines are in use.
 const groupFillShare = 0.8
 
-func (r *Autoscaler) bootTime(typ string) float64 {
+func (r *Autoscaler) bootSeconds(typ string) float64 {
 	for i := range r.machineTypes {
 		if r.machineTypes[i].Name == typ {
-			return r.machineTypes[i].BootTime
+			return float64(r.machineTypes[i].BootTime)
 		}
 	}
-	return r.config.Operator.BootLag
+	return r.config.Operator.BootLag.Seconds()
 }
--- a/internal/autoscaler/unreachable.go
+++ b/internal/autoscaler/unreachable.go
@@ -41,15 +41,15 @@
 
 // livenessSurvey is which machines the leader hears.
 type livenessSurvey struct {
-	started                              int            // machines that have been up
-	startedByZone, missedHeartbeatByZone map[string]int // by zone; unheard: for more than a report
-	toSuspect                            []string       // to be marked as suspected
-	unreachable                          []string       // heard by nobody, and they answer no probe
+	started                              int               // machines that have been up
+	startedByZone, missedHeartbeatByZone map[wire.Zone]int // by zone; unheard: for more than a report
+	toSuspect                            []wire.MachineID  // to be marked as suspected
+	unreachable                          []wire.MachineID  // heard by nobody, and they answer no probe
 }
 
 // zonePartitioned tells whether a zone looks cut off: most of its machines are silent at once, and
 // they are not just a few.
-func (h *livenessSurvey) zonePartitioned(zone string) bool {
+func (h *livenessSurvey) zonePartitioned(zone wire.Zone) bool {
 	return h.missedHeartbeatByZone[zone] >= minPartitionedMachines && 2*h.missedHeartbeatByZone[zone] > h.startedByZone[zone]
 }
 
@@ -76,9 +76,9 @@
 
 // surveyLiveness finds out which machines are heard, and probes those that aren't.
 func (r *Autoscaler) surveyLiveness(now time.Time) *livenessSurvey {
-	report := r.heartbeats(1)
-	silence := r.heartbeats(r.config.Operator.UnreachableHeartbeats)
-	h := &livenessSurvey{startedByZone: map[string]int{}, missedHeartbeatByZone: map[string]int{}}
+	report := r.config.Params.Workers.Heartbeats(1)
+	silence := r.config.Params.Workers.Heartbeats(r.config.Operator.UnreachableHeartbeats)
+	h := &livenessSurvey{startedByZone: map[wire.Zone]int{}, missedHeartbeatByZone: map[wire.Zone]int{}}
 	for m, b := range r.view.Machines {
 		if b.Terminating { // it is being deleted
 			continue
@@ -106,17 +106,12 @@
 }
 
 // checkBootTimeout returns a machine that was started long ago and never reported.
-func (r *Autoscaler) checkBootTimeout(now time.Time, m string, b *statecache.Machine) {
-	if age := now.Sub(time.UnixMilli(b.ProvisionedAt)); age > config.Seconds(r.bootTime(b.MachineType)*r.config.Operator.BootTimeoutMultiple) {
+func (r *Autoscaler) checkBootTimeout(now time.Time, m wire.MachineID, b *statecache.Machine) {
+	if age := now.Sub(b.ProvisionedAt.Time()); age > config.Seconds(r.bootSeconds(b.MachineType)*r.config.Operator.BootTimeoutMultiple) {
 		r.scaleIn(m, "never came up")
 	}
 }
 
-// heartbeats is a number of the workers' report intervals.
-func (r *Autoscaler) heartbeats(n float64) time.Duration {
-	return config.Seconds(r.config.Params.Workers.HeartbeatInterval * n)
-}
-
 // suspicionHeartbeats is for how many report intervals a machine has to be marked as suspected
 // before it is returned. A leader that is cut off from the workers hears none, and then
 // the mesh may be silent too: others have that time to take the mark away.
@@ -127,7 +122,7 @@
 	var others []*scheduler.Node // made once, for there may be many silent machines
 	for _, m := range h.unreachable {
 		row, known := r.view.Machines[m], r.livenessOf(m)
-		if !row.Suspected || now.Sub(known.suspectedAt) < r.heartbeats(suspicionHeartbeats) || r.mayRecover(row, now.Sub(known.lastReachable), h) {
+		if !row.Suspected || now.Sub(known.suspectedAt) < r.config.Params.Workers.Heartbeats(suspicionHeartbeats) || r.mayRecover(row, now.Sub(known.lastReachable), h) {
 			continue
 		}
 		if now.Sub(known.lastReachable) < r.maxUnreachableRetention() {
@@ -146,7 +141,7 @@
 // failed long before; one that is cut off ends its tasks after a lease, but may be back
 // sooner than another.
 func (r *Autoscaler) maxUnreachableRetention() time.Duration {
-	return config.Seconds(2 * r.config.Params.Workers.LeaseDuration)
+	return r.config.Params.Workers.Leases(2)
 }
 
 // mayRecover tells whether a silent machine is rather cut off than lost. It will be back
@@ -223,7 +218,7 @@
 }
 
 // probe asks a silent machine directly.
-func (r *Autoscaler) probe(m string, b *statecache.Machine) {
+func (r *Autoscaler) probe(m wire.MachineID, b *statecache.Machine) {
 	known := r.livenessOf(m)
 	if known.probing {
 		return
@@ -239,7 +234,7 @@
 // lost, it may just have no way to whom it reports. But if its lease has run out
 // meanwhile, it loses all it is given again and again: from then on its answers
 // don't count, until a report comes from it.
-func (r *Autoscaler) handleProbeResponse(m string, session uint64, rep *wire.Heartbeat, err error) {
+func (r *Autoscaler) handleProbeResponse(m wire.MachineID, session uint64, rep *wire.Heartbeat, err error) {
 	known := r.liveness[m]
 	if known == nil {
 		return // it was returned meanwhile
--- a/internal/planner/existing.go
+++ b/internal/planner/existing.go
@@ -7,6 +7,7 @@
 
 	"lynxledge/internal/placement"
 	"lynxledge/internal/resources"
+	"lynxledge/wire"
 )
 
 // demandShape is all of a demand that decides when a slot could take one of its tasks.
@@ -14,7 +15,7 @@
 type demandShape struct {
 	need  resources.Vector
 	types string
-	zone  string
+	zone  wire.Zone
 	spot  bool
 	roomy bool
 }
@@ -217,7 +218,7 @@
 			allowed:  true,
 			share:    need.Share(resources.OfMachineType(machineType)),
 			limit:    limit,
-			starting: max(limit, machineType.BootTime),
+			starting: max(limit, float64(machineType.BootTime)),
 			kind:     pool.Spot == d.Job.AllowSpot,
 		}
 		latest = max(latest, choices[i].starting)
--- a/internal/reconcile/reconcile.go
+++ b/internal/reconcile/reconcile.go
@@ -25,7 +25,7 @@
 // later session, or absence under a token that fences every launch of the
 // attempt proves that a task is gone; absence alone proves nothing, because a
 // launch may be on its way.
-func Heartbeat(rec *statecache.Machine, rep *wire.Heartbeat, active func(job string) bool) Result {
+func Heartbeat(rec *statecache.Machine, rep *wire.Heartbeat, active func(job wire.JobID) bool) Result {
 	var p Result
 	if rep.Incarnation < rec.Incarnation {
 		return p // a report from before the worker's lease ended
@@ -43,10 +43,10 @@
 	}
 	p.PreemptionNotice = rep.PreemptionNotice != nil && rec.DrainReason == ""
 	type entries struct{ same, other *wire.TaskStatus }
-	seen := make(map[string]entries, len(rep.Tasks))
-	bound := make(map[string]*statecache.TaskBinding, len(rec.Bindings))
+	seen := make(map[wire.TaskID]entries, len(rep.Tasks))
+	bound := make(map[wire.TaskID]*statecache.TaskBinding, len(rec.Bindings))
 	for i := range rec.Bindings {
-		bound[rec.Bindings[i].TaskName()] = &rec.Bindings[i]
+		bound[rec.Bindings[i].TaskID()] = &rec.Bindings[i]
 	}
 	saving := false
 	for i := range rep.Tasks {
@@ -63,14 +63,14 @@
 	var starts []wire.Command
 	for i := range rec.Bindings {
 		b := &rec.Bindings[i]
-		name := b.TaskName()
+		name := b.TaskID()
 		e := seen[name]
 		runs := active(b.Job)
 		switch {
 		case e.same != nil && e.same.State == wire.TaskExited:
 			p.confirmTermination(rec, b, e.same.ExitReason)
 		case e.same != nil && (b.StopToken > 0 || !runs):
-			grace := float64(b.GraceSeconds)
+			grace := wire.Seconds(b.GraceSeconds)
 			if !runs {
 				grace = 0 // nobody wants what a cancelled task would save
 			}
@@ -94,7 +94,7 @@
 	return p
 }
 
-func (p *Result) confirmTermination(rec *statecache.Machine, b *statecache.TaskBinding, why string) {
+func (p *Result) confirmTermination(rec *statecache.Machine, b *statecache.TaskBinding, why wire.ExitReason) {
 	p.Terminated = append(p.Terminated, statecache.Termination{Machine: rec.Name, Job: b.Job, TaskIndex: b.TaskIndex, Reason: why})
 }
 
@@ -104,6 +104,6 @@
 		p.Commands = append(p.Commands, wire.Command{Op: wire.OpAcknowledge, Task: t.Task, Attempt: t.Attempt})
 		return
 	}
-	grace := 0.0
+	grace := wire.Seconds(0)
 	p.Commands = append(p.Commands, wire.Command{Op: wire.OpStop, Task: t.Task, Attempt: t.Attempt, GracePeriod: &grace})
 }
--- a/internal/scheduler/backoff.go
+++ b/internal/scheduler/backoff.go
@@ -5,7 +5,6 @@
 	"math"
 	"time"
 
-	"lynxledge/internal/config"
 	"lynxledge/internal/statecache"
 	"lynxledge/wire"
 )
@@ -18,7 +17,7 @@
 type jobFailures struct {
 	count    int
 	until    time.Time
-	machines map[string]bool
+	machines map[wire.MachineID]bool
 }
 
 // learnFromTerminations learns from what a group's new record says of the tasks that left.
@@ -38,19 +37,20 @@
 // backOffJob backs a job off: a refusal for want of room for one report, a real
 // failure twice as long each time, up to a lease: no job is left waiting beside
 // room for much longer than that.
-func (p *Scheduler) backOffJob(job, machine, why string, now time.Time) {
+func (p *Scheduler) backOffJob(job wire.JobID, machine wire.MachineID, why wire.ExitReason, now time.Time) {
 	f := p.failures[job]
 	if f == nil {
-		f = &jobFailures{machines: map[string]bool{}}
+		f = &jobFailures{machines: map[wire.MachineID]bool{}}
 		p.failures[job] = f
 	}
 	f.machines[machine] = true
 	if why == wire.ReasonInsufficientCapacity || why == wire.ReasonAttemptConflict {
-		p.avoidUntil[machine] = now.Add(p.heartbeats(1))
+		p.avoidUntil[machine] = now.Add(p.config.Params.Workers.Heartbeats(1))
 		return
 	}
 	f.count++
-	wait := min(p.config.Params.Workers.HeartbeatInterval*math.Pow(2, float64(min(f.count, 6)-2)), p.config.Params.Workers.LeaseDuration)
-	f.until = now.Add(config.Seconds(wait))
-	slog.Info("task failed", "job", job, "machine", machine, "why", why, "failures", f.count, "wait_s", wait)
+	workers := p.config.Params.Workers
+	wait := min(workers.Heartbeats(math.Pow(2, float64(min(f.count, 6)-2))), workers.LeaseDuration)
+	f.until = now.Add(wait)
+	slog.Info("task failed", "job", job, "machine", machine, "why", why, "failures", f.count, "wait_s", wait.Seconds())
 }
--- a/internal/scheduler/cycle.go
+++ b/internal/scheduler/cycle.go
@@ -17,7 +17,7 @@
 // runCycle takes what has come together and makes one commit of it.
 func (p *Scheduler) runCycle() {
 	now := time.Now()
-	if now.Sub(p.freshAsOf) > p.heartbeats(maxViewAgeHeartbeats) {
+	if now.Sub(p.freshAsOf) > p.config.Params.Workers.Heartbeats(maxViewAgeHeartbeats) {
 		return
 	}
 	limit, wait := p.writeBudget(now)
@@ -71,7 +71,7 @@
 		p.finishJob(r, job)
 	}
 	p.storeDependencyCancellations(r, places)
-	if p.config.Overload.Level() < overload.Behind {
+	if p.overload.Level() < overload.Behind {
 		r.victimSearchShare = victimSearchShares(q)
 	}
 	for _, w := range q {
@@ -176,6 +176,6 @@
 	r.assignmentPreconditions[w.job.Spec.Team] = w.assignment
 	r.placed[w.id]++
 	r.launchedMachines[node.Name] = rec
-	r.launches[node.Name] = append(r.launches[node.Name], wire.Command{Op: wire.OpLaunch, Task: t.TaskName(), Attempt: t.Attempt})
+	r.launches[node.Name] = append(r.launches[node.Name], wire.Command{Op: wire.OpLaunch, Task: t.TaskID(), Attempt: t.Attempt})
 	return true
 }
--- a/internal/scheduler/pending_evidence.go
+++ b/internal/scheduler/pending_evidence.go
@@ -38,7 +38,7 @@
 			// The mesh may be sending the note as it came: its map is not written to.
 			ran := maps.Clone(old.TaskRuntimes)
 			if ran == nil {
-				ran = map[string]float64{}
+				ran = map[wire.TaskID]float64{}
 			}
 			maps.Copy(ran, n.TaskRuntimes)
 			n.TaskRuntimes = ran
@@ -49,9 +49,9 @@
 }
 
 // storeEvidence puts a note with those of its group.
-func (p *Scheduler) storeEvidence(group, machine string, n *pendingEvidence) {
+func (p *Scheduler) storeEvidence(group string, machine wire.MachineID, n *pendingEvidence) {
 	if p.pendingEvidence[group] == nil {
-		p.pendingEvidence[group] = map[string]*pendingEvidence{}
+		p.pendingEvidence[group] = map[wire.MachineID]*pendingEvidence{}
 	}
 	p.pendingEvidence[group][machine] = n
 }
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -14,8 +14,8 @@
 
 // ownAssignments lists the teams that this process may place: their assignments name
 // it, and the view has every bind made under earlier ones.
-func (p *Scheduler) ownAssignments() map[string]*statecache.Assignment {
-	out := map[string]*statecache.Assignment{}
+func (p *Scheduler) ownAssignments() map[wire.TeamName]*statecache.Assignment {
+	out := map[wire.TeamName]*statecache.Assignment{}
 	for team, h := range p.view.Assignments {
 		if h.Incarnation == p.incarnation && p.revision >= h.ModRevision {
 			out[team] = h
@@ -25,7 +25,7 @@
 }
 
 type queuedJob struct {
-	id            string
+	id            wire.JobID
 	job           *statecache.Job
 	assignment    uint64 // stamp of the team's assignment
 	deadlineStage int    // how many of its deadlines it is not to keep
@@ -43,7 +43,7 @@
 // that would make the whole queue late again.
 //
 // While zones recover, services go before all arrays, whatever their priority.
-func (p *Scheduler) queue(mine map[string]*statecache.Assignment, now time.Time) []queuedJob {
+func (p *Scheduler) queue(mine map[wire.TeamName]*statecache.Assignment, now time.Time) []queuedJob {
 	if len(mine) == 0 {
 		return nil
 	}
@@ -70,7 +70,7 @@
 			continue
 		}
 		run := p.runtimes.Estimate(j.Spec)
-		age := float64(now.UnixMilli()-j.RunnableSince()) / 1000
+		age := config.Milliseconds(int64(statecache.TimestampOf(now) - j.RunnableSince()))
 		if age > starved && left == j.TaskCount {
 			w.deadlineStage, w.deadline = -1, float64(j.RunnableSince())
 			if !j.Spec.IsService() {
@@ -80,8 +80,8 @@
 			continue
 		}
 		w.candidate = deadlineCandidate{clusterTime: run * float64(left) / p.clusterSlots(j.Spec), runtime: run}
-		for _, d := range estimate.Deadlines(p.config, j, run, age, age) {
-			w.candidate.deadlines = append(w.candidate.deadlines, d-age)
+		for _, d := range estimate.Deadlines(p.config, j, config.Seconds(run), age, age) {
+			w.candidate.deadlines = append(w.candidate.deadlines, (d - age).Seconds())
 		}
 		q = append(q, w)
 	}
@@ -161,7 +161,7 @@
 	}
 	for m, s := range p.startingNodes {
 		if !s.Spot && p.zoneOffers[s.Zone] > p.zoneOffers[n.Zone] && placement.Allowed(j, s.MachineType.Name, s.Zone, s.Spot) && resources.OfTask(j).Fits(resources.OfMachineType(s.MachineType)) &&
-			now.Sub(time.UnixMilli(p.view.Machines[m].ProvisionedAt)) < config.Seconds(UsualBootFactor*s.MachineType.BootTime) {
+			now.Sub(p.view.Machines[m].ProvisionedAt.Time()) < config.Seconds(UsualBootFactor*float64(s.MachineType.BootTime)) {
 			return true
 		}
 	}
--- a/internal/scheduler/reconciliation.go
+++ b/internal/scheduler/reconciliation.go
@@ -6,7 +6,6 @@
 	"slices"
 	"time"
 
-	"lynxledge/internal/config"
 	"lynxledge/internal/reconcile"
 	"lynxledge/internal/resources"
 	"lynxledge/internal/statecache"
@@ -18,7 +17,7 @@
 	for job, since := range p.fullyCompletedSince {
 		if !p.view.AllTasksCompleted(job) {
 			delete(p.fullyCompletedSince, job)
-		} else if placing || r.now.Sub(since) > p.heartbeats(1) {
+		} else if placing || r.now.Sub(since) > p.config.Params.Workers.Heartbeats(1) {
 			p.finishJob(r, job)
 		}
 	}
@@ -38,7 +37,7 @@
 }
 
 // finishJob calls a job done once all its tasks are, as far as the commit has room.
-func (p *Scheduler) finishJob(r *cycle, job string) {
+func (p *Scheduler) finishJob(r *cycle, job wire.JobID) {
 	j := p.view.Jobs[job]
 	if !p.view.Active(job) || r.finishedJobs[job] > 0 || p.view.CompletedCount(job)+r.completed[job] < j.TaskCount {
 		return
@@ -49,7 +48,7 @@
 	}
 	r.finishedJobs[job] = 1 + min(chunks, r.limit-r.ops()-1)
 	r.jobPreconditions[job] = j.ModRevision
-	at := time.UnixMilli(j.SubmittedAt)
+	at := j.SubmittedAt.Time()
 	r.onCommitted = append(r.onCommitted, func() { slog.Debug("job done", "job", job, "age_s", int(time.Since(at).Seconds())) })
 }
 
@@ -61,7 +60,7 @@
 func (p *Scheduler) applyPendingEvidence(r *cycle, placing, queued bool) {
 	// A writer that is slow is not dead: others that wrote for it made its guards
 	// fail, and it slower yet.
-	idle := r.now.Sub(p.lastTermination) > p.heartbeats(1)
+	idle := r.now.Sub(p.lastTermination) > p.config.Params.Workers.Heartbeats(1)
 	type due struct {
 		group string
 		late  bool
@@ -77,9 +76,9 @@
 				continue
 			}
 			waits := r.now.Sub(n.applyAt)
-			if placing || waits > 0 && (idle || waits > config.Seconds(p.config.Params.Workers.LeaseDuration)) {
+			if placing || waits > 0 && (idle || waits > p.config.Params.Workers.LeaseDuration) {
 				d.empty = max(d.empty, 0) + waits.Seconds()*float64(max(n.exitedTasks, 1))
-				d.late = d.late || waits > p.heartbeats(1)
+				d.late = d.late || waits > p.config.Params.Workers.Heartbeats(1)
 			}
 		}
 		if len(machines) == 0 {
@@ -147,7 +146,7 @@
 		}
 	}
 	for _, g := range proof.Terminated {
-		g.Runtime = n.TaskRuntimes[g.TaskName()]
+		g.Runtime = wire.Seconds(n.TaskRuntimes[g.TaskID()])
 		if g.Reason == wire.ReasonCompleted && p.view.Active(g.Job) && !p.view.IsCompleted(g.Job, g.TaskIndex) {
 			d.MarkCompleted(g.Job, g.TaskIndex)
 			r.completed[g.Job]++
@@ -161,7 +160,7 @@
 			r.usage[j.Spec.Team] = r.usage[j.Spec.Team].Plus(resources.OfTask(j.Spec), -1)
 		}
 		if g.Reason != wire.ReasonCompleted {
-			r.onCommitted = append(r.onCommitted, func() { slog.Info("task left machine", "task", g.TaskName(), "machine", m, "why", g.Reason) })
+			r.onCommitted = append(r.onCommitted, func() { slog.Info("task left machine", "task", g.TaskID(), "machine", m, "why", g.Reason) })
 		}
 	}
 	if node := p.nodes[m]; node != nil {
@@ -178,7 +177,7 @@
 		return // there is room for the marks elsewhere
 	}
 	for d.RetainedSize() > p.valueSizeShare(compactionFillShare) && r.ops() < r.limit && p.canAddPrecondition(r) {
-		most := ""
+		most := wire.JobID("")
 		for job, ns := range d.Completions {
 			if r.finishedJobs[job] == 0 && len(ns) > len(d.Completions[most]) {
 				most = job
@@ -213,10 +212,10 @@
 // completionChunkFor is the record of a job's done set that takes a task. A whole chunk takes
 // what fits into it under the service's limit. While nothing says that the limit has
 // fallen it takes everything, since a version that doesn't know parts may serve.
-func (p *Scheduler) completionChunkFor(r *cycle, job string, task int) statecache.CompletionChunkID {
+func (p *Scheduler) completionChunkFor(r *cycle, job wire.JobID, task int) statecache.CompletionChunkID {
 	chunk, bit := p.view.CompletionChunkOf(task)
 	id := statecache.CompletionChunkID{Chunk: chunk, FirstTask: statecache.WholeChunk}
-	if !p.config.StoreRates.LowerLimitsInForce() {
+	if !p.storeLimits.LowerLimitsInForce() {
 		return id
 	}
 	reach := bit + 1
--- a/internal/zonecontrol/record.go
+++ b/internal/zonecontrol/record.go
@@ -121,11 +121,11 @@
 	return r.ModRevision
 }
 
-func zoneRecordOf(name string, status zonehealth.Status) statecache.ZoneRecovery {
+func zoneRecordOf(name wire.Zone, status zonehealth.Status) statecache.ZoneRecovery {
 	return statecache.ZoneRecovery{
 		Zone:      name,
 		Phase:     status.Phase.String(),
-		Since:     status.Since.UnixMilli(),
+		Since:     statecache.TimestampOf(status.Since),
 		Losses:    status.Losses,
 		HoldUntil: milliseconds(status.HoldUntil),
 		Step:      status.Step,
@@ -134,8 +134,8 @@
 }
 
 // statusesOf reads a record; zones in a phase that is not known are left out.
-func statusesOf(record *statecache.ZoneRecoveries) map[string]zonehealth.Status {
-	statuses := map[string]zonehealth.Status{}
+func statusesOf(record *statecache.ZoneRecoveries) map[wire.Zone]zonehealth.Status {
+	statuses := map[wire.Zone]zonehealth.Status{}
 	if record == nil {
 		return statuses
 	}
@@ -147,7 +147,7 @@
 		}
 		statuses[z.Zone] = zonehealth.Status{
 			Phase:     phase,
-			Since:     time.UnixMilli(z.Since),
+			Since:     z.Since.Time(),
 			Losses:    z.Losses,
 			HoldUntil: timeOf(z.HoldUntil),
 			Step:      z.Step,
@@ -164,16 +164,16 @@
 		a.HoldUntil == b.HoldUntil && a.Step == b.Step
 }
 
-func milliseconds(t time.Time) int64 {
+func milliseconds(t time.Time) statecache.Timestamp {
 	if t.IsZero() {
 		return 0
 	}
-	return t.UnixMilli()
+	return statecache.TimestampOf(t)
 }
 
-func timeOf(ms int64) time.Time {
+func timeOf(ms statecache.Timestamp) time.Time {
 	if ms == 0 {
 		return time.Time{}
 	}
-	return time.UnixMilli(ms)
+	return ms.Time()
 }
