--- /dev/null
+++ b/cmd/lynxledge/sim_settings_test.go
@@ -0,0 +1,60 @@
+package main
+
+import (
+	"lynxledge/internal/config"
+	"lynxledge/wire"
+)
+
+const settings = `
+member = "n0"
+area = "a"
+client_listen = "127.0.0.1:1"
+mesh_addr = "127.0.0.1:2"
+[external]
+cloud = "127.0.0.1:3"
+state = "127.0.0.1:4"
+[params]
+size = 3
+zones = ["a", "b"]
+skew_ms = 25.0
+[[params.teams]]
+name = "red"
+cpus = 8.0
+cpus_max = 20.0
+[[params.teams]]
+name = "blue"
+cpus = 4.0
+cpus_max = 0.0
+[params.workers]
+report_s = 3.0
+lease_s = 34.0
+cancel_s = 64.0
+[params.state]
+rps = 150.0
+write_rps = 50.0
+value_kb = 8.0
+txn_ops = 8
+[params.cloud]
+rps = 3.0
+list_lag_s = 10.0
+[params.resources]
+cpu = 0.1
+memory_mb = 70.0
+`
+
+var machineTypes = []wire.MachineType{
+	{Name: "s", CPUs: 4, MemoryGB: 16, CacheGB: 20, ImageFetchGBps: 1, HourlyPrice: 1, HourlySpotPrice: 0.4, BootTime: 20, Zones: []wire.Zone{"a", "b"}},
+	{Name: "l", CPUs: 16, MemoryGB: 64, CacheGB: 20, ImageFetchGBps: 1, HourlyPrice: 4.5, HourlySpotPrice: 1.5, BootTime: 20, Zones: []wire.Zone{"a"}},
+}
+
+// clusterSize is the size of a cluster and of the cloud.
+type clusterSize struct {
+	members          int
+	machineTypes     []wire.MachineType
+	poolSize         int            // machines of one type, zone and price class
+	poolSizes        map[string]int // by machine type, where it is another
+	memberZones      []wire.Zone    // of the members, in turn; empty: as in the settings
+	operatorSettings func(*config.OperatorSettings)
+}
+
+var smallCluster = clusterSize{members: 3, machineTypes: machineTypes, poolSize: 5}
--- a/internal/autoscaler/leadership.go
+++ b/internal/autoscaler/leadership.go
@@ -4,11 +4,9 @@
 	"time"
 
 	"lynxledge/internal/election"
+	"lynxledge/internal/statecache"
 )
 
-// maxViewAgeHeartbeats is how old a view may be to lead by it, in heartbeat intervals.
-const maxViewAgeHeartbeats = 2
-
 // isLeader tells whether this process leads and its view can be trusted.
 func (r *Autoscaler) isLeader() bool {
 	_, ok := r.leadership()
@@ -17,7 +15,7 @@
 
 // leadership returns the leadership of this process, if it is confirmed.
 func (r *Autoscaler) leadership() (election.Leadership, bool) {
-	maxAge := r.config.Params.Workers.Heartbeats(maxViewAgeHeartbeats)
+	maxAge := r.config.Params.Workers.Heartbeats(statecache.MaxViewAgeHeartbeats)
 	lead, ok := election.ConfirmLeadership(r.view, r.incarnation, r.revision, r.freshAsOf, maxAge)
 	if ok && r.term != lead.Term() {
 		r.beginTerm(lead.Term())
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -122,13 +122,10 @@
 	})
 }
 
-// maxViewAgeHeartbeats is how old a view may be to place by it, in heartbeat intervals.
-const maxViewAgeHeartbeats = 2
-
 // runCycle plans a scheduling cycle and commits it.
 func (s *Scheduler) runCycle() {
 	now := time.Now()
-	if now.Sub(s.freshAsOf) > s.config.Params.Workers.Heartbeats(maxViewAgeHeartbeats) {
+	if now.Sub(s.freshAsOf) > s.config.Params.Workers.Heartbeats(statecache.MaxViewAgeHeartbeats) {
 		return
 	}
 	limit, wait := s.writeLimit(now)
--- a/internal/statecache/view.go
+++ b/internal/statecache/view.go
@@ -2,6 +2,10 @@
 
 import "lynxledge/wire"
 
+// MaxViewAgeHeartbeats is the age, in heartbeat intervals, beyond which a view is too old for an
+// actor to decide anything by it.
+const MaxViewAgeHeartbeats = 2
+
 // View is what an actor knows of the store's records. Every actor owns one and applies the
 // cache's updates to it.
 type View struct {
--- a/internal/zonecontrol/controller.go
+++ b/internal/zonecontrol/controller.go
@@ -159,7 +159,7 @@
 // leadership is the leadership of this process, if it is confirmed. A new leader goes on from
 // the record.
 func (c *Controller) leadership() (election.Leadership, bool) {
-	maxAge := c.config.Params.Workers.Heartbeats(maxViewAgeHeartbeats)
+	maxAge := c.config.Params.Workers.Heartbeats(statecache.MaxViewAgeHeartbeats)
 	lead, ok := election.ConfirmLeadership(c.view, c.incarnation, c.revision, c.freshAsOf, maxAge)
 	if ok && c.term != lead.Term() {
 		c.term, c.serial = lead.Term(), 0
@@ -168,9 +168,6 @@
 	return lead, ok
 }
 
-// maxViewAgeHeartbeats is how old a view may be to judge by it, in report intervals.
-const maxViewAgeHeartbeats = 2
-
 // evidence is what is known of every zone: of its machines, its controllers, and what
 // the cloud refuses there.
 func (c *Controller) evidence(now time.Time) map[wire.Zone]zonehealth.Evidence {
