--- a/internal/recovery/admission.go
+++ b/internal/recovery/admission.go
@@ -12,26 +12,28 @@
 	"lynxledge/wire"
 )
 
-// Admission is which machines of a recovering zone take new tasks. The machines are in a
-// fixed order that every controller works out for itself, and a share of them is
-// admitted from the front: a later step admits those of the earlier ones, and more.
+// Admission determines which machines of a recovering zone accept new tasks. Machines are
+// ordered by a hash of their names, so that every controller computes the same order, and a
+// share of them is admitted from the front: a later step admits a superset of an earlier one.
 type Admission struct {
 	Phase zonehealth.Phase
-	// maxServiceRank and maxArrayRank are up to which admission rank tasks are admitted.
+	// maxServiceRank and maxArrayRank are the highest admission ranks at which machines accept
+	// tasks of services and of arrays.
 	maxServiceRank, maxArrayRank uint64
-	// admitArraysWhileLost: the zone was lost so long ago that its reachable machines take
-	// arrays again, whatever became of the others.
+	// admitArraysWhileLost is set once the zone has been lost for longer than the policy's
+	// MaxHoldDown: its reachable machines then accept arrays, whatever the state of the others.
 	admitArraysWhileLost bool
 }
 
-// admissionRank is a machine's place in the order of admission.
+// admissionRank returns the hash by which machines are ordered for admission; the lowest is
+// admitted first.
 func admissionRank(machine wire.MachineID) uint64 {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(machine)) // never fails
-	return max(1, hash.Sum64())        // 0 admits none
+	return max(1, hash.Sum64())        // a threshold of 0 admits no machine
 }
 
-// admits tells whether a machine takes tasks of services, or of arrays.
+// admits reports whether a machine accepts tasks of services, or of arrays.
 func (a *Admission) admits(machine wire.MachineID, service bool) bool {
 	switch {
 	case a.Phase == zonehealth.Lost:
@@ -42,7 +44,7 @@
 	return admissionRank(machine) <= a.maxArrayRank
 }
 
-// admissionsOf works out the admission of every zone that is recovering.
+// admissionsOf computes the admission of every recovering zone.
 func admissionsOf(now time.Time, record *statecache.ZoneRecoveries, policy *zonehealth.Policy, nodes []*placement.Node) map[wire.Zone]*Admission {
 	admissions := map[wire.Zone]*Admission{}
 	for i := range record.Zones {
@@ -63,7 +65,7 @@
 	return admissions
 }
 
-// admissionRanks are those of a zone's schedulable machines, sorted.
+// admissionRanks returns the ranks of a zone's schedulable machines, sorted.
 func admissionRanks(zone wire.Zone, nodes []*placement.Node) []uint64 {
 	var ranks []uint64
 	for _, n := range nodes {
@@ -75,11 +77,12 @@
 	return ranks
 }
 
-// rankThreshold is the rank up to which a share of the machines lies, rounded up.
+// rankThreshold returns the highest rank among the given share of the machines, rounded up to
+// whole machines.
 func rankThreshold(ranks []uint64, share float64) uint64 {
 	switch count := int(math.Ceil(share * float64(len(ranks)))); {
 	case share >= 1:
-		return math.MaxUint64 // those that come up meanwhile too
+		return math.MaxUint64 // includes machines that are added later
 	case count == 0:
 		return 0
 	default:
--- a/internal/recovery/advice.go
+++ b/internal/recovery/advice.go
@@ -6,16 +6,16 @@
 	"lynxledge/wire"
 )
 
-// advice is what an Advisor tells. It does not change after it was given.
+// advice implements placement.Advice. It is immutable once Advise has returned it.
 type advice struct {
 	admissions map[wire.Zone]*Admission
 	preferred  map[wire.JobID][]*placement.Node
 	reserved   map[*placement.Node]resources.Vector
-	order      map[wire.JobID]int
+	order      map[wire.JobID]int // index in recovery order
 }
 
-// newAdvice returns advice on services, which are in recovery order, before their replicas are
-// planned.
+// newAdvice returns advice for services, which must be in recovery order. It has no preferred
+// nodes or reservations until a plan is applied.
 func newAdvice(admissions map[wire.Zone]*Admission, services []*Service) *advice {
 	a := &advice{
 		admissions: admissions,
@@ -29,9 +29,9 @@
 	return a
 }
 
-// follow prefers the nodes of a plan for pending replicas, and reserves capacity on them for
-// replicas at risk.
-func (a *advice) follow(plan Plan) {
+// applyPlan makes a plan's nodes preferred for pending replicas, and reserves capacity on them
+// for replicas at risk.
+func (a *advice) applyPlan(plan Plan) {
 	for _, p := range plan.Placements {
 		if p.AtRisk {
 			a.reserved[p.Node] = a.reserved[p.Node].Plus(resources.OfTask(p.Service.Job), 1)
@@ -42,7 +42,7 @@
 	}
 }
 
-// Admits tells whether a node may take a task of a job.
+// Admits reports whether a node accepts tasks of a job.
 func (a *advice) Admits(n *placement.Node, job *wire.Job) bool { return a.admits(n, job.IsService()) }
 
 func (a *advice) admits(n *placement.Node, service bool) bool {
@@ -50,16 +50,17 @@
 	return admission == nil || admission.admits(n.Name, service)
 }
 
-// IsFallback tells whether a node may take a replica that finds no capacity elsewhere: any
-// that is reachable, or the steps of a return would leave a service short.
+// IsFallback reports whether a node may take a replica that finds no capacity on admitted nodes.
+// Otherwise the admission steps of a returning zone could leave a service short of replicas.
 func (a *advice) IsFallback(n *placement.Node, job *wire.Job) bool {
 	return job.IsService() && !a.admits(n, true)
 }
 
-// PreferredNodes are nodes with capacity for the pending replicas of a service.
+// PreferredNodes returns nodes with capacity for the pending replicas of a service.
 func (a *advice) PreferredNodes(service wire.JobID) []*placement.Node { return a.preferred[service] }
 
-// RecoveryOrder is a service's place in the order; one that was not known yet comes last.
+// RecoveryOrder returns a service's index in recovery order; a service that became affected
+// after the advice was computed comes last.
 func (a *advice) RecoveryOrder(service wire.JobID) int {
 	if i, known := a.order[service]; known {
 		return i
@@ -67,5 +68,5 @@
 	return len(a.order)
 }
 
-// ReservedCapacity is the capacity kept for replicas that are about to be placed anew.
+// ReservedCapacity returns the capacity reserved for replicas at risk, by node.
 func (a *advice) ReservedCapacity() map[*placement.Node]resources.Vector { return a.reserved }
--- a/internal/recovery/advisor.go
+++ b/internal/recovery/advisor.go
@@ -8,28 +8,28 @@
 	"lynxledge/internal/zonehealth"
 )
 
-// Advisor advises a scheduler while zones recover. It belongs to the scheduler's actor.
+// Advisor advises a scheduler while zones recover. Only the scheduler's actor may use it.
 type Advisor struct {
 	policy          zonehealth.Policy
-	refreshInterval time.Duration // after which advice is computed anew
+	refreshInterval time.Duration // after which advice is recomputed
 
 	current        *advice
-	recordRevision uint64 // mod revision of the record that current follows
+	recordRevision uint64 // mod revision of the record that current is based on
 	computedAt     time.Time
 }
 
-// adviceHeartbeats is for how long advice holds, in heartbeat intervals.
-const adviceHeartbeats = 1.0 / 3
+// refreshHeartbeats is the refresh interval of advice, in heartbeat intervals.
+const refreshHeartbeats = 1.0 / 3
 
-// NewAdvisor returns an advisor that follows a policy.
+// NewAdvisor returns an advisor that admits machines by a policy.
 func NewAdvisor(cfg *config.Config, policy zonehealth.Policy) *Advisor {
 	return &Advisor{
 		policy:          policy,
-		refreshInterval: cfg.Params.Workers.Heartbeats(adviceHeartbeats),
+		refreshInterval: cfg.Params.Workers.Heartbeats(refreshHeartbeats),
 	}
 }
 
-// Advise tells how to place while zones recover; nil when none does.
+// Advise returns advice on placement, or nil if no zone is recovering.
 func (a *Advisor) Advise(now time.Time, cluster placement.ClusterState) placement.Advice {
 	record := cluster.View.ZoneRecoveries
 	if !Recovering(record) {
@@ -43,14 +43,14 @@
 	return a.current
 }
 
-// advise computes advice by the cluster's state.
+// advise computes advice from the cluster's state.
 func (a *Advisor) advise(now time.Time, cluster placement.ClusterState) *advice {
 	services := AffectedServices(cluster.View, cluster.ActiveJobs)
 	advice := newAdvice(admissionsOf(now, cluster.View.ZoneRecoveries, &a.policy, cluster.Nodes), services)
 	if len(services) == 0 {
 		return advice
 	}
-	in := Input{
+	in := PlanInput{
 		Services:  services,
 		Usage:     cluster.Usage,
 		TeamQuota: cluster.TeamQuota,
@@ -64,6 +64,6 @@
 			in.Fallback = append(in.Fallback, n)
 		}
 	}
-	advice.follow(Compute(in))
+	advice.applyPlan(ComputePlan(in))
 	return advice
 }
--- a/internal/recovery/bin_packer.go
+++ b/internal/recovery/bin_packer.go
@@ -10,23 +10,24 @@
 	"lynxledge/wire"
 )
 
-// binPacker places replicas one by one.
+// binPacker computes a plan by placing replicas one at a time.
 type binPacker struct {
-	in         *Input
+	in         *PlanInput
 	capacity   *freeCapacity
 	fallback   *freeCapacity
 	usage      resources.Usage
-	allocation *allocation // of the solver; nil: none
-	replicas   int         // considered so far
+	allocation *allocation // of the solver; nil: first-fit only
+	considered int         // replicas considered so far
 
 	plan Plan
 	// value is the sum of the weights of the placed replicas.
 	value float64
-	// displaced counts replicas that had capacity only until others took it.
+	// displaced counts replicas without capacity whose service could have placed a replica
+	// before the plan placed others.
 	displaced int
 }
 
-func newBinPacker(in *Input, allocation *allocation) *binPacker {
+func newBinPacker(in *PlanInput, allocation *allocation) *binPacker {
 	p := &binPacker{
 		in:         in,
 		capacity:   newFreeCapacity(in.Nodes),
@@ -38,16 +39,17 @@
 	return p
 }
 
-// replicas are replicas of one service, which are placed one by one. The zones of the service's
-// other replicas are separate arguments: in here they would escape to the heap.
-type replicas struct {
+// replicaSpec describes the replicas of one service that are to be placed. The zone counts of
+// the service's other replicas are a separate argument: as a field they would escape to the heap.
+type replicaSpec struct {
 	service *Service
 	team    config.TeamQuota
-	need    resources.Vector // of each
+	need    resources.Vector // of one replica
 	atRisk  bool
 }
 
-// pack places the replicas that are certainly down, then those that may be.
+// pack places the pending replicas of all services, then those at risk, which may still be
+// running.
 func (p *binPacker) pack() {
 	for _, service := range p.in.Services {
 		bound := placement.ZoneCounts{}
@@ -59,9 +61,10 @@
 	}
 }
 
-// packReplicas places so many replicas of a service, given the zones of its others.
+// packReplicas places count replicas of a service; zones counts its other replicas by zone. After
+// the first that can't be placed, the remaining ones are a shortfall of the same cause.
 func (p *binPacker) packReplicas(service *Service, count int, zones placement.ZoneCounts, atRisk bool) {
-	r := replicas{
+	r := replicaSpec{
 		service: service,
 		team:    p.in.TeamQuota(service.Job.Team),
 		need:    resources.OfTask(service.Job),
@@ -80,13 +83,13 @@
 	}
 }
 
-// packOne places one replica, and counts it in zones, or returns why it can't.
-func (p *binPacker) packOne(r *replicas, zones placement.ZoneCounts) Cause {
-	if p.replicas == maxPlannedReplicas {
+// packOne places one replica and adds it to zones, or returns why it can't be placed.
+func (p *binPacker) packOne(r *replicaSpec, zones placement.ZoneCounts) Cause {
+	if p.considered == maxPlannedReplicas {
 		return CausePlanLimit
 	}
-	p.replicas++
-	// A replica at risk counts towards the limit already.
+	p.considered++
+	// A replica at risk is already part of the team's usage.
 	if !r.atRisk && !p.usage.WithinLimit(r.team, r.need) {
 		return CauseTeamQuota
 	}
@@ -104,14 +107,14 @@
 	return ""
 }
 
-// findNode finds a node in the best pool with capacity: one that the solver's allocation names,
-// if there is any, else any other, and a node of a lost zone last.
-func (p *binPacker) findNode(r *replicas, zones placement.ZoneCounts) *nodeUsage {
+// findNode returns a node in the best pool with capacity, or nil. Pools of the solver's
+// allocation come first, then any other pool, and fallback nodes last.
+func (p *binPacker) findNode(r *replicaSpec, zones placement.ZoneCounts) *nodeUsage {
 	if p.allocation != nil {
 		key := groupKeyOf(r.service, r.atRisk)
-		allocated := func(pool int) bool { return p.allocation.has(key, pool) }
+		allocated := func(pool int) bool { return p.allocation.hasRemaining(key, pool) }
 		if found, pool := p.capacity.bestNode(r, zones, allocated); found != nil {
-			p.allocation.take(key, pool)
+			p.allocation.consume(key, pool)
 			return found
 		}
 	}
@@ -122,16 +125,16 @@
 	return found
 }
 
-// Score penalties, in shares of a machine, as package placement has them.
+// Score penalties, in shares of a machine; the same as in package placement.
 const (
 	onDemandPenalty = 2
 	sameZonePenalty = 8
 )
 
-// bestNode finds a node in the best pool that may be used: for work that may run on
-// spot machines one of those, for a service that spreads the zone with the fewest of its
-// replicas, else the pool whose node is filled the most.
-func (c *freeCapacity) bestNode(r *replicas, zones placement.ZoneCounts, mayUse func(pool int) bool) (best *nodeUsage, bestPool int) {
+// bestNode returns the first-fit node of the pool with the lowest score, and the pool's index.
+// It prefers spot pools for services that allow spot, the zone with the fewest replicas for
+// services that spread, and otherwise the fullest node. mayUse, if not nil, filters pools.
+func (c *freeCapacity) bestNode(r *replicaSpec, zones placement.ZoneCounts, mayUse func(pool int) bool) (best *nodeUsage, bestPool int) {
 	job := r.service.Job
 	lowest := math.Inf(1)
 	for i, pool := range c.pools {
@@ -156,7 +159,7 @@
 	return best, bestPool
 }
 
-// shortfallCause tells why a replica finds no capacity.
+// shortfallCause returns why a replica of the job finds no node.
 func (p *binPacker) shortfallCause(job *wire.Job, zones placement.ZoneCounts) Cause {
 	cause := CauseNoMachine
 	for _, capacity := range []*freeCapacity{p.capacity, p.fallback} {
@@ -175,8 +178,9 @@
 	return cause
 }
 
-// hadCapacity tells whether a replica would have found capacity if it had come first.
-func (p *binPacker) hadCapacity(r *replicas, zones placement.ZoneCounts) bool {
+// hadCapacity reports whether a replica would have found a node, fallback nodes aside, before
+// the plan placed others.
+func (p *binPacker) hadCapacity(r *replicaSpec, zones placement.ZoneCounts) bool {
 	job := r.service.Job
 	for _, pool := range p.capacity.pools {
 		if !pool.allows(job) || !zones.Allows(job, pool.zone) {
@@ -192,9 +196,9 @@
 	return false
 }
 
-// priorityBase is by how much a replica is worth more than one of the next lower priority.
+// priorityBase is how many replicas of the next lower priority one replica is worth.
 const priorityBase = 10
 
-// priorityWeight is what placing a replica is worth: one of a higher priority is worth more than
-// any few of a lower one.
+// priorityWeight returns the weight of placing one replica, which grows exponentially with its
+// priority: one replica outweighs fewer than priorityBase of any lower priority.
 func priorityWeight(job *wire.Job) float64 { return math.Pow(priorityBase, float64(job.Priority)) }
--- a/internal/recovery/doc.go
+++ b/internal/recovery/doc.go
@@ -1,4 +1,4 @@
-// Package recovery decides how services are made whole again after the loss of a zone,
-// and how a zone that returns is taken back into use. It is pure: the scheduler asks it
-// for advice, and carries out what its preconditions allow.
+// Package recovery plans how services get their replicas back after the loss of a zone,
+// and how a returning zone is put back into use. It only computes: the scheduler asks it
+// for advice, and commits what its transactions' preconditions allow.
 package recovery
--- a/internal/recovery/free_capacity.go
+++ b/internal/recovery/free_capacity.go
@@ -11,25 +11,24 @@
 	"lynxledge/wire"
 )
 
-// freeCapacity is what is free on the nodes that may take replicas, as a plan uses it up.
-// The nodes of one pool are kept together, so that placing a replica looks at pools and not
-// at every node.
+// freeCapacity tracks the free capacity of nodes while a plan is computed. Nodes are grouped
+// by pool, so that placing a replica iterates over pools rather than over every node.
 type freeCapacity struct {
 	pools []*nodePool // sorted by zone, machine type and spot
 }
 
-// nodePool is the nodes of one machine pool, the fullest first.
+// nodePool holds the nodes of one machine pool that are not full, initially the fullest first.
 type nodePool struct {
 	machineType *wire.MachineType
 	zone        wire.Zone
 	spot        bool
 	nodes       []*nodeUsage
-	// firstFitIndex is, for a task's resources, the first node that may still have capacity for
-	// them. A plan only fills nodes, so one without capacity never gets it back.
+	// firstFitIndex maps a task's resource needs to the index of the first node that may have
+	// capacity for them. A plan only adds usage, so earlier nodes need not be checked again.
 	firstFitIndex map[resources.Vector]int
 }
 
-// nodeUsage is what is used of a node, by the plan too.
+// nodeUsage is what is used of a node, including the plan's placements.
 type nodeUsage struct {
 	node *placement.Node
 	used resources.Vector
@@ -46,7 +45,7 @@
 			byPool[key] = pool
 			c.pools = append(c.pools, pool)
 		}
-		if n.HasCapacity() { // a full node still says that there are nodes in its pool
+		if n.HasCapacity() { // a pool of full nodes is kept: it makes the cause "no capacity", not "no machine"
 			pool.nodes = append(pool.nodes, &nodeUsage{n, n.Used})
 		}
 	}
@@ -87,12 +86,12 @@
 	})
 }
 
-// allows tells whether a job may use the pool's nodes at all.
+// allows reports whether the job's constraints permit the pool's nodes.
 func (p *nodePool) allows(job *wire.Job) bool {
 	return placement.Allowed(job, p.machineType.Name, p.zone, p.spot)
 }
 
-// firstFit finds the first node with capacity for a task, or nil.
+// firstFit returns the first node with capacity for a task, or nil.
 func (p *nodePool) firstFit(need resources.Vector) *nodeUsage {
 	limit := resources.OfMachineType(p.machineType)
 	i := p.firstFitIndex[need]
@@ -106,7 +105,7 @@
 	return p.nodes[i]
 }
 
-// freeFor is the sum of what is free on nodes that have capacity for a task at all.
+// freeFor returns the total free capacity of the nodes that can fit at least one such task.
 func (p *nodePool) freeFor(need resources.Vector) resources.Vector {
 	limit := resources.OfMachineType(p.machineType)
 	var sum resources.Vector
@@ -118,10 +117,10 @@
 	return sum
 }
 
-// replicaRoundingTolerance makes up for sums of decimal amounts.
+// replicaRoundingTolerance compensates for floating-point errors in sums of decimal amounts.
 const replicaRoundingTolerance = 1e-6
 
-// replicaCapacity is for how many replicas that need so much each the pool has capacity.
+// replicaCapacity returns how many replicas with the given needs fit into the pool.
 func (p *nodePool) replicaCapacity(need resources.Vector) int {
 	limit := resources.OfMachineType(p.machineType)
 	count := 0
--- a/internal/recovery/linear_program.go
+++ b/internal/recovery/linear_program.go
@@ -10,36 +10,36 @@
 	"lynxledge/wire"
 )
 
-// linearProgram distributes replica groups over node pools: how many of each group go to each
-// pool so that the weight of those that find capacity is the largest.
+// linearProgram determines how many replicas of each group go to each node pool, so that the
+// total weight of the placed replicas is maximal.
 type linearProgram struct {
 	constraints []constraint
 	variables   []variable
 }
 
-// variable is the number of a group's replicas that go to a pool.
+// variable is the number of a group's replicas that are assigned to a pool.
 type variable struct {
 	group  *replicaGroup
 	pool   int // index
 	weight float64
 }
 
-// constraint says that the sum of the variables, each times its coefficient, is at most the
-// bound.
+// constraint requires the sum of the variables, each times its coefficient, to be at most
+// upperBound.
 type constraint struct {
 	coefficients map[int]float64 // by variable
-	bound        float64
+	upperBound   float64
 }
 
-// Bounds of a program's size, and so of the solver's work. Groups beyond them are left
-// to first-fit alone.
+// Limits on a program's size, and so on the solver's work. Groups beyond them are placed by
+// first-fit only.
 const (
 	maxConstraints = 64
 	maxVariables   = 96
 )
 
-// buildProgram makes the program of as many groups as its bounds allow.
-func buildProgram(in *Input, capacity *freeCapacity) *linearProgram {
+// buildProgram builds the program of as many groups, in their order, as the limits allow.
+func buildProgram(in *PlanInput, capacity *freeCapacity) *linearProgram {
 	groups := groupReplicas(in.Services)
 	addZoneLimits(groups, in.Services, capacity.zones())
 	program := &linearProgram{}
@@ -53,7 +53,7 @@
 	return program
 }
 
-func programFor(in *Input, capacity *freeCapacity, groups []*replicaGroup) *linearProgram {
+func programFor(in *PlanInput, capacity *freeCapacity, groups []*replicaGroup) *linearProgram {
 	p := &linearProgram{}
 	for _, group := range groups {
 		p.addGroup(group, capacity)
@@ -66,7 +66,7 @@
 // addGroup adds a variable for each pool that a group may use, and the constraints that
 // concern the group alone.
 func (p *linearProgram) addGroup(group *replicaGroup, capacity *freeCapacity) {
-	total := constraint{coefficients: map[int]float64{}, bound: float64(group.count)}
+	total := constraint{coefficients: map[int]float64{}, upperBound: float64(group.count)}
 	byZone := map[wire.Zone]constraint{}
 	for i, pool := range capacity.pools {
 		if !group.mayUse(pool) {
@@ -78,7 +78,7 @@
 		if group.key.spread {
 			inZone, ok := byZone[pool.zone]
 			if !ok {
-				inZone = constraint{coefficients: map[int]float64{}, bound: float64(group.zoneLimits[pool.zone])}
+				inZone = constraint{coefficients: map[int]float64{}, upperBound: float64(group.zoneLimits[pool.zone])}
 				byZone[pool.zone] = inZone
 			}
 			inZone.coefficients[v] = 1
@@ -95,15 +95,17 @@
 	}
 }
 
-// mayUse tells whether the group's replicas may go to a pool that has capacity for any.
+// mayUse reports whether a pool is allowed for the group's replicas and has capacity for at
+// least one.
 func (g *replicaGroup) mayUse(pool *nodePool) bool {
 	return pool.allows(g.job) && (g.key.boundZone == "" || g.key.boundZone == pool.zone) && pool.replicaCapacity(g.key.need) > 0
 }
 
-// onDemandDiscount is by how much a pool that suits a job less is worth less.
+// onDemandDiscount is the share by which an on-demand pool weighs less for jobs that allow spot.
 const onDemandDiscount = 0.05
 
-// poolPreference makes a pool that suits a job better worth a little more.
+// poolPreference returns the factor on a job's weight that makes the solver prefer spot pools
+// where the job allows spot.
 func poolPreference(job *wire.Job, pool *nodePool) float64 {
 	if job.AllowSpot && !pool.spot {
 		return 1 - onDemandDiscount
@@ -111,14 +113,15 @@
 	return 1
 }
 
-// resourceAmounts are the resources that pools are constrained by, in the constraints' order.
+// resourceAmounts returns each resource that pools are constrained by, in the order of the
+// constraints.
 var resourceAmounts = [...]func(resources.Vector) float64{
 	func(v resources.Vector) float64 { return v.CPUs },
 	func(v resources.Vector) float64 { return v.MemoryGB },
 	func(v resources.Vector) float64 { return v.GPUs },
 }
 
-// constrainPools bounds what goes to each pool by what is free there.
+// constrainPools limits what is assigned to each pool by the pool's free capacity.
 func (p *linearProgram) constrainPools(capacity *freeCapacity) {
 	for i, pool := range capacity.pools {
 		for _, amount := range resourceAmounts {
@@ -129,7 +132,7 @@
 			for v, variable := range p.variables {
 				if need := amount(variable.group.key.need); variable.pool == i && need > 0 {
 					c.coefficients[v] = need
-					c.bound = math.Max(c.bound, amount(pool.freeFor(variable.group.key.need)))
+					c.upperBound = math.Max(c.upperBound, amount(pool.freeFor(variable.group.key.need)))
 				}
 			}
 			if len(c.coefficients) > 0 {
@@ -139,9 +142,9 @@
 	}
 }
 
-// constrainTeams bounds what pending replicas of a team take by its limit. Those at risk
-// count towards it already.
-func (p *linearProgram) constrainTeams(in *Input) {
+// constrainTeams limits the CPUs of a team's pending replicas by what its quota leaves. Replicas
+// at risk are already part of the team's usage.
+func (p *linearProgram) constrainTeams(in *PlanInput) {
 	done := map[wire.TeamName]bool{}
 	for _, variable := range p.variables {
 		name := variable.group.key.team
@@ -150,7 +153,7 @@
 			continue
 		}
 		done[name] = true
-		c := constraint{coefficients: map[int]float64{}, bound: math.Max(0, team.MaxCPUs-in.Usage[name].CPUs)}
+		c := constraint{coefficients: map[int]float64{}, upperBound: math.Max(0, team.MaxCPUs-in.Usage[name].CPUs)}
 		for v, other := range p.variables {
 			if other.group.key.team == name && !other.group.key.atRisk {
 				c.coefficients[v] = other.group.key.need.CPUs
@@ -164,8 +167,9 @@
 
 const solverTolerance = 1e-9
 
-// maximize solves the program with the simplex method, and returns the variables' values. Every
-// constraint has a slack variable, and these are a feasible start, since no bound is negative.
+// maximize solves the program with the simplex method, and returns the variables' values. Each
+// constraint gets a slack variable. The slack variables are a feasible initial basis, since no
+// upper bound is negative.
 func (p *linearProgram) maximize() ([]float64, error) {
 	rows, columns := len(p.constraints), len(p.variables)
 	costs := make([]float64, columns+rows)
@@ -173,16 +177,16 @@
 		costs[i] = -variable.weight
 	}
 	matrix := mat.NewDense(rows, columns+rows, nil)
-	bounds := make([]float64, rows)
+	upperBounds := make([]float64, rows)
 	basis := make([]int, rows)
 	for i, c := range p.constraints {
 		for v, coefficient := range c.coefficients {
 			matrix.Set(i, v, coefficient)
 		}
 		matrix.Set(i, columns+i, 1)
-		bounds[i], basis[i] = c.bound, columns+i
+		upperBounds[i], basis[i] = c.upperBound, columns+i
 	}
-	_, values, err := lp.Simplex(costs, matrix, bounds, solverTolerance, basis)
+	_, values, err := lp.Simplex(costs, matrix, upperBounds, solverTolerance, basis)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/recovery/phase.go
+++ b/internal/recovery/phase.go
@@ -6,7 +6,7 @@
 	"lynxledge/wire"
 )
 
-// Recovering tells whether any zone is lost or returning.
+// Recovering reports whether any zone is lost or returning.
 func Recovering(record *statecache.ZoneRecoveries) bool {
 	if record == nil || record.Unreadable {
 		return false
@@ -19,7 +19,7 @@
 	return false
 }
 
-// phaseOf is the recorded phase of a zone.
+// phaseOf returns the recorded phase of a zone; Healthy if there is none, or it is unknown.
 func phaseOf(record *statecache.ZoneRecoveries, zone wire.Zone) zonehealth.Phase {
 	zoneRecord := record.Find(zone)
 	if zoneRecord == nil {
--- a/internal/recovery/plan.go
+++ b/internal/recovery/plan.go
@@ -7,38 +7,38 @@
 	"lynxledge/wire"
 )
 
-// Input is what a plan is computed from.
-type Input struct {
+// PlanInput is the input of ComputePlan.
+type PlanInput struct {
 	Services []*Service // in recovery order
-	// Nodes are the nodes that may take replicas.
+	// Nodes are the nodes that accept replicas.
 	Nodes []*placement.Node
-	// Fallback are nodes of lost zones that are still reachable. They take only what
-	// finds no capacity on Nodes.
+	// Fallback are schedulable nodes of recovering zones that are not admitted. They take only
+	// replicas that find no capacity on Nodes.
 	Fallback  []*placement.Node
 	Usage     resources.Usage
 	TeamQuota func(name wire.TeamName) config.TeamQuota
 }
 
-// Placement is one replica and a node with capacity for it.
+// Placement assigns one replica to a node with capacity for it.
 type Placement struct {
 	Service *Service
 	Node    *placement.Node
-	// AtRisk: the replica is bound to an unreachable machine; the capacity is for the
-	// time at which it is proved terminated.
+	// AtRisk: the replica is still bound to an unreachable machine; the capacity is for its
+	// replacement, once it is proved terminated.
 	AtRisk bool
 }
 
-// Shortfall is the replicas of a service for which a plan finds no capacity.
+// Shortfall counts the replicas of a service for which a plan finds no capacity.
 type Shortfall struct {
 	Service *Service
 	Count   int
 	Cause   Cause
 }
 
-// Cause is why a replica finds no capacity, as the status page shows it.
+// Cause is the reason why a replica finds no capacity. The zone status shows it as it is.
 type Cause string
 
-// Causes, the least specific last.
+// Causes of a shortfall, the most specific first.
 const (
 	CauseNoMachine      Cause = "no machine of an allowed kind is up"
 	CauseZoneConstraint Cause = "the zones that its other replicas leave it have no machine up"
@@ -47,22 +47,22 @@
 	CausePlanLimit      Cause = "others come first; it follows in the next plan"
 )
 
-// Plan is an order and a preference, no more: the scheduler decides by its preconditions.
+// Plan is only a recommendation: the scheduler decides, under its own preconditions.
 type Plan struct {
 	Placements []Placement
 	Shortfalls []Shortfall
-	// Solved tells that first-fit in recovery order left replicas without capacity, for which
-	// the solver then found some.
-	Solved bool
+	// ImprovedBySolver: first-fit in recovery order left replicas without capacity, and the plan
+	// from the solver's allocation has a higher total weight.
+	ImprovedBySolver bool
 }
 
-// maxPlannedReplicas bounds the replicas of one plan. Those beyond follow in the next.
+// maxPlannedReplicas bounds the replicas considered by one plan. The rest follow in later plans.
 const maxPlannedReplicas = 2048
 
-// Compute finds capacity for the replicas of services. It takes them in their order, each
-// where it fits first; only if that leaves some without capacity does the solver look for
-// a better distribution.
-func Compute(in Input) Plan {
+// ComputePlan finds capacity for the pending and at-risk replicas of services. It places them by
+// first-fit in recovery order, and uses the solver only if replicas placed earlier have taken
+// the capacity that a later one needs.
+func ComputePlan(in PlanInput) Plan {
 	firstFit := newBinPacker(&in, nil)
 	firstFit.pack()
 	if firstFit.displaced == 0 {
@@ -72,11 +72,11 @@
 	if allocation == nil {
 		return firstFit.plan
 	}
-	guided := newBinPacker(&in, allocation)
-	guided.pack()
-	if guided.value <= firstFit.value {
+	solverGuided := newBinPacker(&in, allocation)
+	solverGuided.pack()
+	if solverGuided.value <= firstFit.value {
 		return firstFit.plan
 	}
-	guided.plan.Solved = true
-	return guided.plan
+	solverGuided.plan.ImprovedBySolver = true
+	return solverGuided.plan
 }
--- a/internal/recovery/plan_test.go
+++ b/internal/recovery/plan_test.go
@@ -55,8 +55,8 @@
 	return s
 }
 
-func generateInput(t *rapid.T) Input {
-	in := Input{Usage: resources.Usage{}, TeamQuota: func(name wire.TeamName) config.TeamQuota {
+func generateInput(t *rapid.T) PlanInput {
+	in := PlanInput{Usage: resources.Usage{}, TeamQuota: func(name wire.TeamName) config.TeamQuota {
 		if name == "red" {
 			return config.TeamQuota{Name: name, MaxCPUs: 24}
 		}
@@ -81,9 +81,8 @@
 	return in
 }
 
-// checkPlan checks a plan against the protocol's rules, machine by machine, and that it accounts
-// for every replica.
-func checkPlan(t *rapid.T, in *Input, plan Plan) {
+// checkPlan checks that a plan's placements are valid and that it accounts for every replica.
+func checkPlan(t *rapid.T, in *PlanInput, plan Plan) {
 	accounted := checkPlacements(t, in, plan.Placements)
 	for _, shortfall := range plan.Shortfalls {
 		accounted[shortfall.Service] += shortfall.Count
@@ -98,9 +97,9 @@
 	}
 }
 
-// checkPlacements checks placements against the protocol's rules, machine by machine, and counts
-// them by service.
-func checkPlacements(t *rapid.T, in *Input, placements []Placement) map[*Service]int {
+// checkPlacements checks placements against job constraints, machine capacities and the team's
+// CPU limit, and counts them by service.
+func checkPlacements(t *rapid.T, in *PlanInput, placements []Placement) map[*Service]int {
 	used := map[*placement.Node]resources.Vector{}
 	teams := resources.Usage{}
 	zones := zoneCountsByRisk(in)
@@ -130,9 +129,9 @@
 	return placed
 }
 
-// zoneCountsByRisk counts the bound replicas of each service by zone: all of them (false), and
-// those that are left once those at risk are terminated (true).
-func zoneCountsByRisk(in *Input) map[*Service]map[bool]placement.ZoneCounts {
+// zoneCountsByRisk counts the bound replicas of each service by zone, keyed by whether those at
+// risk are left out.
+func zoneCountsByRisk(in *PlanInput) map[*Service]map[bool]placement.ZoneCounts {
 	zones := map[*Service]map[bool]placement.ZoneCounts{}
 	for _, s := range in.Services {
 		bound := placement.ZoneCounts{}
@@ -142,13 +141,13 @@
 	return zones
 }
 
-// Every plan keeps the protocol's rules and accounts for every replica; it is worth at
-// least what first-fit finds; and the same input gives the same plan.
+// Every plan respects job constraints, capacities and team limits and accounts for every replica;
+// its total weight is at least that of first-fit; and planning is deterministic.
 func TestPlansKeepProtocolRules(t *testing.T) {
 	solved := 0
 	rapid.Check(t, func(t *rapid.T) {
 		in := generateInput(t)
-		plan := Compute(in)
+		plan := ComputePlan(in)
 		checkPlan(t, &in, plan)
 		firstFit := newBinPacker(&in, nil)
 		firstFit.pack()
@@ -159,10 +158,10 @@
 		if value < firstFit.value {
 			t.Fatalf("worth %v, first-fit alone %v", value, firstFit.value)
 		}
-		if plan.Solved {
+		if plan.ImprovedBySolver {
 			solved++
 		}
-		if again := Compute(in); !reflect.DeepEqual(again, plan) {
+		if again := ComputePlan(in); !reflect.DeepEqual(again, plan) {
 			t.Fatal("another plan of the same input")
 		}
 	})
@@ -171,8 +170,8 @@
 	}
 }
 
-// A service that may be anywhere leaves the only zone that another allows to it: the
-// order alone would not.
+// First-fit in recovery order gives the only node of zone b to a service that may run in any
+// zone, which leaves none for one restricted to b. The solver must place both.
 func TestSolverLeavesOnlyAllowedZone(t *testing.T) {
 	node := func(name wire.MachineID, zone wire.Zone) *placement.Node {
 		return &placement.Node{Name: name, MachineType: testTypes[0], Zone: zone, Schedulable: true}
@@ -181,19 +180,19 @@
 		j := &wire.Job{ID: id, Team: "blue", Kind: wire.KindService, Priority: wire.PriorityProduction, TaskCount: 1, CPUs: 4, MemoryGB: 1, Zone: zone}
 		return &Service{Job: j, Pending: 1, AtRisk: map[wire.Zone]int{}, BoundByZone: placement.ZoneCounts{}}
 	}
-	in := Input{
+	in := PlanInput{
 		Services:  []*Service{service("req-000001", ""), service("req-000002", "b")},
 		Nodes:     []*placement.Node{node("i-1", "b"), node("i-2", "c")},
 		TeamQuota: func(wire.TeamName) config.TeamQuota { return config.TeamQuota{} },
 	}
-	if plan := Compute(in); !plan.Solved || len(plan.Placements) != 2 {
+	if plan := ComputePlan(in); !plan.ImprovedBySolver || len(plan.Placements) != 2 {
 		t.Errorf("%+v", plan)
 	}
 }
 
-// More services than the solver's bounds allow are placed all the same.
+// Services beyond the limits of the linear program are still placed.
 func TestSolverIsBounded(t *testing.T) {
-	in := Input{TeamQuota: func(wire.TeamName) config.TeamQuota { return config.TeamQuota{} }}
+	in := PlanInput{TeamQuota: func(wire.TeamName) config.TeamQuota { return config.TeamQuota{} }}
 	for i := range 40 {
 		in.Nodes = append(in.Nodes, &placement.Node{Name: wire.MachineID(fmt.Sprintf("i-%02d", i)), MachineType: testTypes[i%2], Zone: []wire.Zone{"b", "c", "d"}[i%3], Spot: i%4 == 0, Schedulable: true})
 	}
@@ -205,13 +204,13 @@
 	if len(program.constraints) == 0 || len(program.constraints) > maxConstraints || len(program.variables) > maxVariables {
 		t.Errorf("%d constraints, %d variables", len(program.constraints), len(program.variables))
 	}
-	if plan := Compute(in); len(plan.Placements) == 0 {
+	if plan := ComputePlan(in); len(plan.Placements) == 0 {
 		t.Error("nothing is placed")
 	}
 }
 
-// An admission of a larger share holds all machines of a smaller one; each admits its
-// share, rounded up.
+// A larger share never admits fewer machines than a smaller one; each share is rounded up to
+// whole machines.
 func TestAdmissionGrowsWithShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var nodes []*placement.Node
@@ -236,10 +235,10 @@
 	})
 }
 
-// BenchmarkPlan is the work of one plan after a zone with a third of the machines is lost.
+// BenchmarkPlan measures one plan after the loss of a zone with a third of the machines.
 func BenchmarkPlan(b *testing.B) {
 	for _, machines := range []int{48, 400, 4000} {
-		in := Input{TeamQuota: func(wire.TeamName) config.TeamQuota { return config.TeamQuota{} }}
+		in := PlanInput{TeamQuota: func(wire.TeamName) config.TeamQuota { return config.TeamQuota{} }}
 		for i := range machines * 2 / 3 {
 			n := &placement.Node{Name: wire.MachineID(fmt.Sprintf("i-%06d", i)), MachineType: testTypes[i%2], Zone: []wire.Zone{"b", "c"}[i/2%2], Spot: i%5 == 0, Schedulable: true}
 			n.Used = resources.Vector{CPUs: float64(i % 4), MemoryGB: float64(i % 9)}
@@ -255,7 +254,7 @@
 		b.Run(fmt.Sprint(machines), func(b *testing.B) {
 			b.ReportAllocs()
 			for range b.N {
-				Compute(in)
+				ComputePlan(in)
 			}
 		})
 	}
--- a/internal/recovery/replica_groups.go
+++ b/internal/recovery/replica_groups.go
@@ -7,8 +7,8 @@
 	"lynxledge/wire"
 )
 
-// replicaGroupKey is all that decides where a replica may go. Replicas that share it are one
-// group of the linear program.
+// replicaGroupKey holds all that determines where a replica may be placed, and its weight.
+// Replicas with equal keys form one group of the linear program.
 type replicaGroupKey struct {
 	team         wire.TeamName
 	machineTypes string
@@ -16,7 +16,7 @@
 	need         resources.Vector
 	priority     wire.Priority
 	spot, spread bool
-	boundZone    wire.Zone // the only zone that its other replicas leave it
+	boundZone    wire.Zone // of a single-zone service: the zone of its other replicas
 	atRisk       bool
 }
 
@@ -39,15 +39,16 @@
 	return key
 }
 
-// replicaGroup is replicas of any services that may go to the same pools.
+// replicaGroup is a set of replicas, of one or more services, with the same key.
 type replicaGroup struct {
 	key        replicaGroupKey
-	job        *wire.Job // any of its services
+	job        *wire.Job // of any of its services
 	count      int
-	zoneLimits map[wire.Zone]int // of services that spread: replicas that a zone may still have
+	zoneLimits map[wire.Zone]int // for services that spread: how many more replicas a zone may take
 }
 
-// groupReplicas gathers the replicas of services into groups, in the services' order.
+// groupReplicas groups the replicas of services: the pending ones in the services' order, then
+// those at risk.
 func groupReplicas(services []*Service) []*replicaGroup {
 	var groups []*replicaGroup
 	byKey := map[replicaGroupKey]*replicaGroup{}
@@ -73,7 +74,7 @@
 	return groups
 }
 
-// addZoneLimits counts how many replicas of the groups' services each zone may still have.
+// addZoneLimits sets how many more replicas of each group's services each zone may take.
 func addZoneLimits(groups []*replicaGroup, services []*Service, zones []wire.Zone) {
 	byKey := map[replicaGroupKey]*replicaGroup{}
 	for _, group := range groups {
--- a/internal/recovery/scaling_policy.go
+++ b/internal/recovery/scaling_policy.go
@@ -10,16 +10,16 @@
 	"lynxledge/wire"
 )
 
-// ScalingPolicy tells the autoscaler what recovering zones mean for scaling: nothing is
-// provisioned in a lost zone, and machines that are not admitted yet count from when they will
-// be. The demand itself goes through the planner's load vectors like any other. The nil
-// ScalingPolicy treats zones that recover like any other.
+// ScalingPolicy tells the autoscaler how recovering zones affect scaling: nothing is
+// provisioned in a lost zone, and machines that are not admitted yet count as capacity from
+// the time they will be. The demand itself goes through the planner's load vectors like any
+// other. A nil ScalingPolicy treats recovering zones like any other.
 type ScalingPolicy struct {
 	policy        zonehealth.Policy
 	evacuateAfter time.Duration
 }
 
-// NewScalingPolicy returns a scaling policy; the settings' ZoneRecovery section must be set.
+// NewScalingPolicy returns a scaling policy; cfg.Operator.ZoneRecovery must be set.
 func NewScalingPolicy(cfg *config.Config, policy zonehealth.Policy) *ScalingPolicy {
 	return &ScalingPolicy{
 		policy:        policy,
@@ -27,20 +27,20 @@
 	}
 }
 
-// IsRecovering tells whether a zone is lost or returning.
+// IsRecovering reports whether a zone is lost or returning.
 func (p *ScalingPolicy) IsRecovering(record *statecache.ZoneRecoveries, zone wire.Zone) bool {
 	return p != nil && phaseOf(record, zone).Recovering()
 }
 
-// IsLost tells whether a zone is lost, so that nothing should be provisioned in it.
+// IsLost reports whether a zone is lost, so that nothing should be provisioned in it.
 func (p *ScalingPolicy) IsLost(record *statecache.ZoneRecoveries, zone wire.Zone) bool {
 	return p != nil && phaseOf(record, zone) == zonehealth.Lost
 }
 
-// ShouldEvacuate tells whether a machine of a lost zone should be scaled in, so that its
-// replicas are proved terminated and can be placed elsewhere. Its lease must have expired for
-// certain: until then they may run, and after that nothing on it does. A machine that
-// holds arrays alone is left: its zone may be back, and then it has its images still.
+// ShouldEvacuate reports whether a machine of a lost zone should be scaled in, so that its
+// replicas are proved terminated and can be placed elsewhere. Its lease must certainly have
+// expired: its replicas may run until then, but not after. A machine that has only array tasks
+// is kept: if the zone returns, the machine still has its images cached.
 func (p *ScalingPolicy) ShouldEvacuate(view *statecache.View, machine *statecache.Machine, unreachableFor time.Duration) bool {
 	if !p.IsLost(view.ZoneRecoveries, machine.Zone) || unreachableFor < p.evacuateAfter {
 		return false
@@ -51,8 +51,8 @@
 	})
 }
 
-// WithheldSeconds tells in how many seconds schedulable machines will be admitted, for those
-// that aren't yet.
+// WithheldSeconds returns the seconds until each schedulable machine is admitted, for machines
+// that are not admitted yet.
 func (p *ScalingPolicy) WithheldSeconds(now time.Time, view *statecache.View) map[wire.MachineID]float64 {
 	if p == nil || !Recovering(view.ZoneRecoveries) {
 		return nil
@@ -71,7 +71,7 @@
 	return withheld
 }
 
-// admissionSchedules returns when the machines of the recorded zones will be admitted.
+// admissionSchedules returns the schedules of the zones that are in the recovery record.
 func (p *ScalingPolicy) admissionSchedules(now time.Time, view *statecache.View) map[wire.Zone]admissionSchedule {
 	ranks := map[wire.Zone][]uint64{}
 	for name, machine := range view.Machines {
@@ -89,15 +89,15 @@
 	return schedules
 }
 
-// admissionSchedule is when services are admitted to the machines of a zone.
+// admissionSchedule is when the machines of a zone are admitted for services.
 type admissionSchedule struct {
-	thresholds  []uint64 // ranks admitted now, after one more step, ...
-	stepSeconds float64
-	lastSeconds float64 // seconds until the machines beyond all thresholds are admitted
+	thresholds           []uint64 // highest ranks admitted now, after one more step, and so on
+	stepSeconds          float64
+	fullAdmissionSeconds float64 // seconds until the machines beyond all thresholds are admitted
 }
 
-// admissionSchedule returns a zone's schedule: the machines of a lost one are admitted when its
-// reachable machines are used in any case.
+// admissionSchedule returns a zone's schedule. The machines of a lost zone count as admitted once
+// MaxHoldDown has passed, when its reachable machines accept arrays in any case.
 func (p *ScalingPolicy) admissionSchedule(now time.Time, record *statecache.ZoneRecovery, ranks []uint64) admissionSchedule {
 	phase, err := zonehealth.ParsePhase(record.Phase)
 	if err != nil {
@@ -105,25 +105,25 @@
 	}
 	switch phase {
 	case zonehealth.Lost:
-		return admissionSchedule{lastSeconds: max(0, (p.policy.MaxHoldDown - now.Sub(record.Since.Time())).Seconds())}
+		return admissionSchedule{fullAdmissionSeconds: max(0, (p.policy.MaxHoldDown - now.Sub(record.Since.Time())).Seconds())}
 	case zonehealth.Returning:
 		steps := p.policy.AdmissionSteps
 		schedule := admissionSchedule{stepSeconds: p.policy.StepDuration.Seconds()}
 		for step := record.Step; step < len(steps); step++ {
 			schedule.thresholds = append(schedule.thresholds, rankThreshold(ranks, steps[step]))
 		}
-		schedule.lastSeconds = float64(len(steps)-record.Step) * schedule.stepSeconds
+		schedule.fullAdmissionSeconds = float64(len(steps)-record.Step) * schedule.stepSeconds
 		return schedule
 	}
 	return admissionSchedule{}
 }
 
-// secondsUntilAdmitted is in how many seconds a machine with a rank is admitted.
+// secondsUntilAdmitted returns the seconds until a machine with the given rank is admitted.
 func (s *admissionSchedule) secondsUntilAdmitted(rank uint64) float64 {
-	for ahead, threshold := range s.thresholds {
+	for stepsAhead, threshold := range s.thresholds {
 		if rank <= threshold {
-			return float64(ahead) * s.stepSeconds
+			return float64(stepsAhead) * s.stepSeconds
 		}
 	}
-	return s.lastSeconds
+	return s.fullAdmissionSeconds
 }
--- a/internal/recovery/scaling_policy_test.go
+++ b/internal/recovery/scaling_policy_test.go
@@ -12,8 +12,8 @@
 
 var scalingTestPolicy = zonehealth.Policy{AdmissionSteps: []float64{0.25, 0.5, 1}, StepDuration: 5 * time.Second, MaxHoldDown: time.Minute}
 
-// withheld returns how many of twelve machines of a zone in a phase and step are withheld, by
-// seconds.
+// withheld returns how many of a zone's twelve machines are not admitted yet, by the seconds
+// until they are.
 func withheld(now time.Time, zone statecache.ZoneRecovery) map[float64]int {
 	view := statecache.NewUnfinishedView(8)
 	zone.Zone = "a"
@@ -30,8 +30,8 @@
 	return counts
 }
 
-// The machines of a returning zone are withheld until the step that admits them, those of a lost
-// one until the longest hold-down has passed, and those of other zones not at all.
+// Machines of a returning zone are withheld until the step that admits them, those of a lost
+// zone until MaxHoldDown has passed, and those of other zones not at all.
 func TestWithheldSeconds(t *testing.T) {
 	now := time.Unix(1000, 0)
 	lost := statecache.TimestampOf(now.Add(-20 * time.Second))
--- a/internal/recovery/service.go
+++ b/internal/recovery/service.go
@@ -11,21 +11,21 @@
 	"lynxledge/wire"
 )
 
-// Service is a service that lacks replicas, or is about to.
+// Service is a service with pending replicas or replicas at risk.
 type Service struct {
 	Job *wire.Job
-	// Pending counts replicas that are bound to no machine.
+	// Pending counts replicas that are not bound to a machine.
 	Pending int
 	// AtRisk counts replicas, by zone, that are bound to unreachable machines of lost zones.
-	// They count until they are proved terminated, and may still run.
+	// They may still be running, and count until they are proved terminated.
 	AtRisk map[wire.Zone]int
 	// BoundByZone counts all bound replicas by zone, those at risk included.
 	BoundByZone placement.ZoneCounts
-	// RunnableSince is the time from which the service could run.
+	// RunnableSince is when the service became runnable.
 	RunnableSince statecache.Timestamp
 }
 
-// AtRiskCount is the number of replicas at risk.
+// AtRiskCount returns the number of replicas at risk in all zones.
 func (s *Service) AtRiskCount() int {
 	total := 0
 	for _, count := range s.AtRisk {
@@ -34,12 +34,13 @@
 	return total
 }
 
-// runningShare is the share of the replicas that certainly run somewhere else.
+// runningShare returns the share of the replicas that are neither pending nor at risk.
 func (s *Service) runningShare() float64 {
 	return 1 - float64(s.Pending+s.AtRiskCount())/float64(s.Job.TaskCount)
 }
 
-// boundAfterLoss counts the replicas that are left once those at risk are terminated.
+// boundAfterLoss counts, by zone, the bound replicas that are left once those at risk are
+// terminated.
 func (s *Service) boundAfterLoss() placement.ZoneCounts {
 	left := placement.ZoneCounts{}
 	for zone, bound := range s.BoundByZone {
@@ -48,8 +49,8 @@
 	return left
 }
 
-// SortByRecoveryOrder sorts services in the order in which they are made whole: the higher
-// priority first, then those of which the least is left, then those that wait the longest.
+// SortByRecoveryOrder sorts services into the order in which their replicas are restored: by
+// priority, highest first, then the smallest running share, then the longest wait.
 func SortByRecoveryOrder(services []*Service) {
 	slices.SortFunc(services, func(a, b *Service) int {
 		return cmp.Or(
@@ -61,7 +62,7 @@
 	})
 }
 
-// AffectedServices finds the services that lack replicas, or are about to, in recovery order.
+// AffectedServices returns the services with pending or at-risk replicas, in recovery order.
 func AffectedServices(view *statecache.View, active map[wire.JobID]*statecache.Job) []*Service {
 	affected := affectedServices{view: view, active: active, services: map[wire.JobID]*Service{}}
 	affected.addPending()
@@ -74,14 +75,14 @@
 	return services
 }
 
-// affectedServices gathers the services that lack replicas, or are about to.
+// affectedServices collects the result of AffectedServices.
 type affectedServices struct {
 	view     *statecache.View
 	active   map[wire.JobID]*statecache.Job
 	services map[wire.JobID]*Service
 }
 
-// get returns an active service, added when it is first asked for.
+// get returns an active service, which it adds on the first call.
 func (a *affectedServices) get(id wire.JobID) *Service {
 	service := a.services[id]
 	if service == nil {
@@ -122,7 +123,7 @@
 	}
 }
 
-// unreachableInLostZone tells whether a machine is unreachable and in a lost zone.
+// unreachableInLostZone reports whether a machine of a lost zone is suspected or terminating.
 func unreachableInLostZone(view *statecache.View, machine *statecache.Machine) bool {
 	return (machine.Suspected || machine.Terminating) && phaseOf(view.ZoneRecoveries, machine.Zone) == zonehealth.Lost
 }
--- a/internal/recovery/solver.go
+++ b/internal/recovery/solver.go
@@ -2,33 +2,34 @@
 
 import "log/slog"
 
-// allocation is how many replicas of each group the solver gives to each pool. The solver works
-// on sums, so these are fractions, which the bin packer rounds, and checks node by node.
+// allocation is how many replicas of each group the solver assigns to each pool. The solver
+// works on pool totals, so these are fractions; the bin packer rounds them, and checks capacity
+// node by node.
 type allocation struct {
-	remaining map[replicaGroupKey][]float64 // by pool
+	remaining map[replicaGroupKey][]float64 // replicas not placed yet, by pool index
 }
 
-// minRemainingReplicas is the part of a replica from which on an allocation is rounded up.
-const minRemainingReplicas = 0.5
+// roundUpThreshold is the smallest fraction of a replica that counts as a whole one.
+const roundUpThreshold = 0.5
 
-// has tells whether any of a group's allocation to a pool remains.
-func (a *allocation) has(key replicaGroupKey, pool int) bool {
+// hasRemaining reports whether the group has replicas left to place in the pool.
+func (a *allocation) hasRemaining(key replicaGroupKey, pool int) bool {
 	remaining := a.remaining[key]
-	return remaining != nil && remaining[pool] >= minRemainingReplicas
+	return remaining != nil && remaining[pool] >= roundUpThreshold
 }
 
-func (a *allocation) take(key replicaGroupKey, pool int) { a.remaining[key][pool]-- }
+func (a *allocation) consume(key replicaGroupKey, pool int) { a.remaining[key][pool]-- }
 
-// solve distributes the replicas; nil if there is nothing to distribute, or the solver
-// finds no solution.
-func solve(in *Input) *allocation {
+// solve distributes the replicas over pools. It returns nil if there is nothing to distribute or
+// the solver fails.
+func solve(in *PlanInput) *allocation {
 	capacity := newFreeCapacity(in.Nodes)
 	program := buildProgram(in, capacity)
 	if len(program.variables) == 0 {
 		return nil
 	}
 	values, err := program.maximize()
-	if err != nil { // the services are placed in recovery order
+	if err != nil { // ComputePlan keeps the first-fit plan
 		slog.Debug("recovery plan unsolved", "error", err, "constraints", len(program.constraints), "variables", len(program.variables))
 		return nil
 	}
--- a/internal/zonecontrol/service_status.go
+++ b/internal/zonecontrol/service_status.go
@@ -12,7 +12,7 @@
 // serviceStatuses returns, of each service that lacks replicas, what it waits for.
 func serviceStatuses(cluster placement.ClusterState) []ServiceStatus {
 	services := recovery.AffectedServices(cluster.View, cluster.ActiveJobs)
-	plan := recovery.Compute(recovery.Input{
+	plan := recovery.ComputePlan(recovery.PlanInput{
 		Services:  services,
 		Nodes:     schedulableNodes(cluster.Nodes),
 		Usage:     cluster.Usage,
