--- a/internal/zonecontrol/controller.go
+++ b/internal/zonecontrol/controller.go
@@ -1,5 +1,5 @@
-// Package zonecontrol is the actor that controls the recovery of zones: every controller gathers
-// evidence, and the leader evaluates it and records each zone's progress.
+// Package zonecontrol has the actor that controls the recovery of zones: every controller collects
+// evidence, and the leader evaluates it and writes the state of each zone to the recovery record.
 package zonecontrol
 
 import (
@@ -17,7 +17,7 @@
 	"lynxledge/wire"
 )
 
-// Controller is the actor.
+// Controller is the actor that controls the recovery of zones.
 type Controller struct {
 	*actor.Actor
 	config        *config.Config
@@ -27,29 +27,30 @@
 	policy        zonehealth.Policy
 	checkInterval time.Duration
 
-	view         *statecache.View // of machines, members and the recovery; it has no jobs
+	view         *statecache.View // without jobs and completion chunks
 	revision     uint64
 	freshAsOf    time.Time
 	machineTypes []wire.MachineType
 
 	reachability   *zonehealth.ReachabilityTracker
 	phases         *zonehealth.PhaseTracker
-	exhaustedPools map[resources.Pool]time.Time // until when the cloud is not asked again
+	exhaustedPools map[resources.Pool]time.Time // until when the cloud is not asked for machines again
 	lastCheck      time.Time
 
-	term             uint64 // of the leadership that the phases belong to
-	recordSerial     uint64 // of the record that was written last
+	term             uint64 // of the leadership in which phases is evaluated
+	recordSerial     uint64 // of the last record that this process wrote in this term
 	writeInFlight    bool
-	recordUnreadable bool // the record can't be read, which was logged
+	recordUnreadable bool // another version's layout; logged once, and nothing is evaluated
 }
 
-// ClusterStateProvider runs a function that looks at all that is placed; false if it is too
-// busy.
+// ClusterStateProvider gives read access to the scheduler's state.
 type ClusterStateProvider interface {
+	// WithClusterState has f called with the state, possibly later. It returns false, without
+	// calling f, if the provider is too busy.
 	WithClusterState(f func(placement.ClusterState)) bool
 }
 
-// Options are what a Controller works with.
+// Options are the configuration and dependencies of a Controller.
 type Options struct {
 	Config      *config.Config
 	Incarnation uint64 // of this process
@@ -58,10 +59,10 @@
 	Policy      zonehealth.Policy
 }
 
-// mailboxSize is how many messages may wait for the actor before senders do.
+// mailboxSize is the number of queued messages at which Send blocks and Post drops its message.
 const mailboxSize = 256
 
-// checksPerHeartbeat is how often per heartbeat interval the evidence is checked.
+// checksPerHeartbeat is how many times per heartbeat interval the evidence is evaluated.
 const checksPerHeartbeat = 4
 
 // Start runs the actor until ctx ends.
@@ -91,23 +92,24 @@
 	c.Send(func() { c.machineTypes = types })
 }
 
-// MachinesReachable tells of machines whose heartbeats a controller has received.
+// MachinesReachable records that a controller has received heartbeats from machines.
 func (c *Controller) MachinesReachable(controller string, machines []wire.MachineID) {
 	c.Post(func() { c.reachability.MachinesReachable(controller, machines) })
 }
 
-// PoolExhausted tells that the cloud has no machines of a pool for now.
+// PoolExhausted records that the cloud has no machines in a pool; it is not asked again before
+// until.
 func (c *Controller) PoolExhausted(pool resources.Pool, until time.Time) {
 	c.Post(func() { c.exhaustedPools[pool] = until })
 }
 
-// apply follows an update of the cache.
+// apply applies an update of the cache.
 func (c *Controller) apply(update statecache.Update) {
 	c.revision, c.freshAsOf = update.Revision, update.FreshAsOf
 	for _, change := range update.Changes {
 		switch change.Kind {
 		case statecache.KindJob, statecache.KindCompletionChunk:
-			continue // nothing here depends on them
+			continue // not needed for zone recovery
 		}
 		for _, machine := range c.view.Apply(change) {
 			c.applyMachineChange(machine)
@@ -118,8 +120,8 @@
 	}
 }
 
-// applyMachineChange follows a machine's new record. A machine that is drained for another
-// reason than that it failed or is unreachable is no evidence.
+// applyMachineChange updates the expected machines. A drained or terminating machine is no longer
+// expected; it counts as down only if it was drained as failed or unreachable.
 func (c *Controller) applyMachineChange(change statecache.MachineChange) {
 	machine := change.New
 	switch {
@@ -134,7 +136,7 @@
 	}
 }
 
-// applyRecord takes over what another process has recorded.
+// applyRecord adopts a record that another process has written.
 func (c *Controller) applyRecord() {
 	record := c.view.ZoneRecoveries
 	switch {
@@ -145,7 +147,7 @@
 		c.recordUnreadable = true
 		return
 	case record != nil && record.Term == c.term && record.Serial == c.recordSerial:
-		return // our own
+		return // written by this process
 	}
 	c.recordUnreadable = false
 	c.restorePhases()
@@ -155,7 +157,8 @@
 	c.phases.Restore(time.Now(), statusesOf(c.view.ZoneRecoveries))
 }
 
-// check evaluates the evidence, if this process leads, and records what follows.
+// check evaluates the evidence if this process is the leader, and records the result. Without
+// complete evidence it resets the timers instead.
 func (c *Controller) check() {
 	now := time.Now()
 	c.reachability.Advance(now, c.checkInterval, now.Sub(c.lastCheck))
@@ -166,15 +169,15 @@
 	}
 	evidence := c.evidence(now)
 	if !c.reachability.Complete(now) || zonehealth.NoneReachable(evidence) {
-		c.phases.Suspend(now)
+		c.phases.ResetTimers(now)
 		return
 	}
 	transitions := c.phases.Evaluate(now, evidence)
 	c.writeRecord(leadership, transitions)
 }
 
-// confirmLeadership returns the leadership of this process, if it is confirmed. A new leader
-// continues from the record.
+// confirmLeadership returns this process's leadership, if the view confirms it. In a new term, the
+// phases are restored from the record first.
 func (c *Controller) confirmLeadership() (election.Leadership, bool) {
 	maxAge := c.config.Params.Workers.Heartbeats(statecache.MaxViewAgeHeartbeats)
 	leadership, ok := election.ConfirmLeadership(c.view, c.incarnation, c.revision, c.freshAsOf, maxAge)
--- a/internal/zonecontrol/controller_test.go
+++ b/internal/zonecontrol/controller_test.go
@@ -16,7 +16,7 @@
 	"lynxledge/wire"
 )
 
-// emptyCluster has nothing placed.
+// emptyCluster is a ClusterStateProvider without jobs and nodes.
 type emptyCluster struct{}
 
 func (emptyCluster) WithClusterState(f func(placement.ClusterState)) bool {
@@ -24,7 +24,7 @@
 	return true
 }
 
-// member is one controller in a test: its cache and its zone controller.
+// member is one cluster member in a test, with its cache and its zone controller.
 type member struct {
 	name        string
 	incarnation uint64
@@ -32,7 +32,7 @@
 	zones       *Controller
 }
 
-// cluster is a key-value store with members, and machines in two zones.
+// cluster is a simulated key-value store with members.
 type cluster struct {
 	t       *testing.T
 	ctx     context.Context
@@ -50,7 +50,7 @@
 	return &cluster{t: t, ctx: ctx, store: simulation.NewStore(), network: simulation.NewNetwork(1, time.Millisecond), config: cfg}
 }
 
-func (c *cluster) member(name string, incarnation uint64) *member {
+func (c *cluster) startMember(name string, incarnation uint64) *member {
 	conn := &simulation.StoreConn{Store: c.store, Network: c.network, Member: name, Timeout: time.Second}
 	m := &member{name: name, incarnation: incarnation}
 	m.cache = statecache.Start(c.ctx, conn, statecache.Options{ChunkTasks: 8, WatchHold: time.Second, MaxViewAge: time.Second, Backoff: 100 * time.Millisecond})
@@ -62,7 +62,7 @@
 	return m
 }
 
-// write writes records as they are.
+// write writes records without preconditions.
 func (m *member) write(puts ...statecache.Put) {
 	m.cache.Commit(statecache.Commit{Puts: puts}, func(statecache.Outcome) {})
 	time.Sleep(500 * time.Millisecond)
@@ -87,7 +87,8 @@
 	return statecache.Put{Key: statecache.Key(statecache.KindMachineGroup, group.Name), Record: group}, names
 }
 
-// receiveHeartbeats lets seconds pass in which a member receives heartbeats of machines.
+// receiveHeartbeats has a member receive heartbeats from machines every second, for a number of
+// seconds.
 func receiveHeartbeats(seconds int, m *member, reachable []wire.MachineID) {
 	for range seconds {
 		m.zones.MachinesReachable(m.name, reachable)
@@ -95,7 +96,7 @@
 	}
 }
 
-// record is the record as it stands, or nil.
+// record returns the stored recovery record, or nil.
 func (c *cluster) record() *statecache.ZoneRecoveries {
 	raw := c.store.Value(statecache.ZoneRecoveryKey)
 	if raw == nil {
@@ -115,7 +116,7 @@
 	return "none"
 }
 
-// inSimulatedTime runs a test of members in simulated time.
+// inSimulatedTime runs a test with a cluster on simulated time.
 func inSimulatedTime(t *testing.T, f func(c *cluster)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -125,11 +126,11 @@
 	})
 }
 
-// The record is written only while every member announces that it knows it, and goes when
-// one comes that doesn't: the version in production never finds one beside it for long.
+// The record is written only while every member announces support for it, and is deleted when a
+// member joins that doesn't, so that an older version never runs beside a record for long.
 func TestRecordWaitsForEveryMember(t *testing.T) {
 	inSimulatedTime(t, func(c *cluster) {
-		m := c.member("n0", 1)
+		m := c.startMember("n0", 1)
 		groupA, _ := machines("a", 8)
 		groupB, reachable := machines("b", 8)
 		m.write(groupA, groupB, announce("n0", 1, statecache.CapabilityZoneRecovery), announce("n1", 2))
@@ -157,13 +158,13 @@
 	value map[string]any
 }
 
-// MarshalJSON writes the value.
+// MarshalJSON encodes only the value.
 func (r recordOfLaterVersion) MarshalJSON() ([]byte, error) { return json.Marshal(r.value) }
 
-// A record of another layout is left alone, and nothing follows from it.
+// A record in the layout of another version is not overwritten, and has no effect.
 func TestUnreadableRecordIsLeftAlone(t *testing.T) {
 	inSimulatedTime(t, func(c *cluster) {
-		m := c.member("n0", 1)
+		m := c.startMember("n0", 1)
 		groupA, _ := machines("a", 8)
 		groupB, reachable := machines("b", 8)
 		later := map[string]any{"v": 2, "zones": map[string]string{"a": "lost"}}
@@ -180,32 +181,32 @@
 	})
 }
 
-// A new leader continues from the record; one that has lost its leadership writes nothing.
+// A new leader continues a zone's return from the record; the previous leader no longer writes it.
 func TestNewLeaderContinuesFromRecord(t *testing.T) {
 	inSimulatedTime(t, func(c *cluster) {
-		first, second := c.member("n0", 1), c.member("n1", 2)
+		first, second := c.startMember("n0", 1), c.startMember("n1", 2)
 		groupA, lost := machines("a", 8)
 		groupB, reachable := machines("b", 8)
 		first.write(groupA, groupB, announce("n0", 1, statecache.CapabilityZoneRecovery), announce("n1", 2, statecache.CapabilityZoneRecovery))
 		first.makeLeader(1)
-		both := func(seconds int, reachable []wire.MachineID) {
+		receiveOnBoth := func(seconds int, reachable []wire.MachineID) {
 			for range seconds {
 				first.zones.MachinesReachable("n0", reachable)
 				receiveHeartbeats(1, second, reachable)
 			}
 		}
-		both(25, reachable)
+		receiveOnBoth(25, reachable)
 		all := append(reachable, lost...)
 		for n := 0; n < 60 && (c.record().Find("a") == nil || c.record().Find("a").Step == 0); n++ {
-			both(1, all)
+			receiveOnBoth(1, all)
 		}
 		before := c.record().Find("a")
 		second.makeLeader(2)
-		both(2, all)
+		receiveOnBoth(2, all)
 		if after := c.record().Find("a"); before == nil || after == nil || after.Step < before.Step || after.Phase != "returning" {
 			t.Errorf("%+v after %+v", after, before)
 		}
-		both(40, all)
+		receiveOnBoth(40, all)
 		if p := c.phase("a"); p != "healthy" {
 			t.Errorf("zone a is %s", p)
 		}
@@ -215,11 +216,11 @@
 	})
 }
 
-// A process that began after a zone had lost its last machine knows it from the record
-// alone. Such zones were not evaluated, and stayed lost for ever.
+// A process that started after a zone had lost its last machine knows the zone only from the
+// record. Such zones were not evaluated, and so stayed lost forever.
 func TestZoneKnownFromTheRecordAlone(t *testing.T) {
 	inSimulatedTime(t, func(c *cluster) {
-		m := c.member("n0", 1)
+		m := c.startMember("n0", 1)
 		groupB, reachable := machines("b", 8)
 		lost := &statecache.ZoneRecoveries{LayoutVersion: statecache.ZoneRecoveryLayoutVersion, Term: 1, Serial: 4, Zones: []statecache.ZoneRecovery{
 			{Zone: "a", Phase: "lost", Since: statecache.TimestampOf(time.Now()), Losses: 1},
@@ -233,10 +234,11 @@
 	})
 }
 
-// A leader that can reach no machine of any zone concludes nothing.
+// A leader that receives no heartbeats from any zone's machines concludes nothing, and so writes no
+// record.
 func TestPartitionedLeaderConcludesNothing(t *testing.T) {
 	inSimulatedTime(t, func(c *cluster) {
-		m := c.member("n0", 1)
+		m := c.startMember("n0", 1)
 		groupA, a := machines("a", 8)
 		groupB, reachable := machines("b", 8)
 		m.write(groupA, groupB, announce("n0", 1, statecache.CapabilityZoneRecovery))
@@ -249,7 +251,7 @@
 	})
 }
 
-// The record fits the smallest value that is accepted, whatever the zones are named.
+// The record fits into the smallest allowed value size, even if zone names are long.
 func TestRecordFitsValueSize(t *testing.T) {
 	var zones []statecache.ZoneRecovery
 	for i := range 8 {
--- a/internal/zonecontrol/evidence.go
+++ b/internal/zonecontrol/evidence.go
@@ -8,12 +8,12 @@
 	"lynxledge/wire"
 )
 
-// evidence returns what is known of every zone: of its machines, its controllers, and the pools
-// that the cloud has exhausted there.
+// evidence returns the evidence on every known zone: on its machines, its controllers, and its
+// exhausted machine pools.
 func (c *Controller) evidence(now time.Time) map[wire.Zone]zonehealth.Evidence {
 	evidence := c.reachability.Evidence()
-	// A process that began after a zone had lost its last machine knows the zone from the
-	// record alone: it has to be evaluated all the same, or it would stay lost for ever.
+	// A process that started after a zone had lost its last machine knows the zone only from
+	// the record. Without evidence the zone would not be evaluated, and would stay lost forever.
 	for name := range statusesOf(c.view.ZoneRecoveries) {
 		if _, known := evidence[name]; !known {
 			evidence[name] = zonehealth.Evidence{}
@@ -27,7 +27,7 @@
 	return evidence
 }
 
-// countControllers counts the zone's controllers, and those that are not members.
+// countControllers counts the zone's controllers, and those of them that are not members.
 func (c *Controller) countControllers(zone wire.Zone, e *zonehealth.Evidence) {
 	count := func(member string, memberZone wire.Zone) {
 		if memberZone != zone {
@@ -44,7 +44,7 @@
 	}
 }
 
-// countPools counts the zone's machine pools, and those that are exhausted.
+// countPools counts the zone's machine pools, and those of them that are exhausted.
 func (c *Controller) countPools(zone wire.Zone, now time.Time, e *zonehealth.Evidence) {
 	for i := range c.machineTypes {
 		machineType := &c.machineTypes[i]
--- a/internal/zonecontrol/record.go
+++ b/internal/zonecontrol/record.go
@@ -11,7 +11,7 @@
 	"lynxledge/wire"
 )
 
-// writeRecord records the zones' progress, if that differs from what is recorded.
+// writeRecord writes the state of the zones, if it differs from the record.
 func (c *Controller) writeRecord(leadership election.Leadership, transitions []zonehealth.Transition) {
 	commit, needed := c.nextRecord(leadership)
 	if !needed {
@@ -23,9 +23,9 @@
 	})
 }
 
-// nextRecord returns the commit that records the zones' progress, if one is needed. It is
-// conditional on leadership and on the record as it was seen: of two leaders, or two writes
-// of one, only one can succeed.
+// nextRecord returns the commit that updates the record, if one is needed. Its preconditions are
+// leadership and the record's last seen revision, so that of concurrent writes, by two leaders
+// or by one, only one can succeed.
 func (c *Controller) nextRecord(leadership election.Leadership) (commit statecache.Commit, needed bool) {
 	zones := c.zoneRecords()
 	recorded := c.view.ZoneRecoveries
@@ -39,7 +39,7 @@
 	}
 	switch {
 	case !c.view.AllMembersSupport(statecache.CapabilityZoneRecovery) || len(zones) == 0:
-		// A version that doesn't know the record is a member, or nothing is left to record.
+		// A member's version can't read the record, or there is nothing to record.
 		if recorded == nil {
 			return commit, false
 		}
@@ -55,12 +55,12 @@
 	return commit, true
 }
 
-// recordWritten takes the outcome of a write. What was not committed is evaluated again
-// from what is recorded.
+// recordWritten handles the outcome of a write. If it was not committed, evaluation starts over
+// from the record.
 func (c *Controller) recordWritten(outcome statecache.Outcome, transitions []zonehealth.Transition) {
 	c.writeInFlight = false
 	if outcome != statecache.Committed {
-		c.recordSerial++ // should the write succeed all the same, it isn't taken for our own
+		c.recordSerial++ // if it is committed after all, applyRecord must adopt it
 		c.restorePhases()
 		return
 	}
@@ -69,7 +69,8 @@
 	}
 }
 
-// zoneRecords returns the zones that are not just healthy, as many as fit into a value.
+// zoneRecords returns the states of the zones that aren't healthy, or have losses that are not
+// forgotten yet, as far as they fit into a value.
 func (c *Controller) zoneRecords() []statecache.ZoneRecovery {
 	statuses := c.phases.Statuses()
 	var zones []statecache.ZoneRecovery
@@ -83,11 +84,11 @@
 	return fitToValueSize(zones, c.config.Params.Store.ValueSizeLimit())
 }
 
-// recordOverheadBytes is for the record's own fields, which are not known yet.
+// recordOverheadBytes is reserved for the record's other fields, whose values are not known yet.
 const recordOverheadBytes = 64
 
-// fitToValueSize drops what matters least until the zones fit into a value: evidence first, then
-// zones that aren't recovering.
+// fitToValueSize drops the least important data until the zones fit into a value: first all
+// evidence, then the zones that aren't recovering.
 func fitToValueSize(zones []statecache.ZoneRecovery, maxBytes int) []statecache.ZoneRecovery {
 	fits := func() bool {
 		encoded, err := json.Marshal(statecache.ZoneRecoveries{Zones: zones})
--- a/internal/zonecontrol/record_codec.go
+++ b/internal/zonecontrol/record_codec.go
@@ -16,7 +16,7 @@
 	return record.ModRevision
 }
 
-// zoneRecordOf converts a zone's status to its record.
+// zoneRecordOf converts a zone's status to its entry in the record.
 func zoneRecordOf(name wire.Zone, status zonehealth.Status) statecache.ZoneRecovery {
 	return statecache.ZoneRecovery{
 		Zone:      name,
@@ -29,7 +29,7 @@
 	}
 }
 
-// statusesOf converts a record to statuses; zones in a phase that is not known are left out.
+// statusesOf converts a record to statuses. Zones in an unknown phase are left out.
 func statusesOf(record *statecache.ZoneRecoveries) map[wire.Zone]zonehealth.Status {
 	statuses := map[wire.Zone]zonehealth.Status{}
 	if record == nil {
@@ -53,14 +53,15 @@
 	return statuses
 }
 
-// equalExceptEvidence compares all but the evidence, which changes all the time.
+// equalExceptEvidence reports whether two entries are equal apart from their evidence: a change of
+// evidence alone is not worth a write.
 func equalExceptEvidence(a, b statecache.ZoneRecovery) bool {
 	a.Evidence, b.Evidence = nil, nil
 	return a.Zone == b.Zone && a.Phase == b.Phase && a.Since == b.Since && a.Losses == b.Losses &&
 		a.HoldUntil == b.HoldUntil && a.Step == b.Step
 }
 
-// timestampOf converts a time, of which the zero time is recorded as 0.
+// timestampOf converts a time to its stored form; the zero time is stored as 0.
 func timestampOf(t time.Time) statecache.Timestamp {
 	if t.IsZero() {
 		return 0
--- a/internal/zonecontrol/service_status.go
+++ b/internal/zonecontrol/service_status.go
@@ -5,11 +5,11 @@
 	"lynxledge/internal/recovery"
 )
 
-// reasonNotTerminated is why the replicas of a service wait that are still bound to machines of a
-// lost zone.
+// reasonNotTerminated is what a service waits for whose replicas are still bound to unreachable
+// machines of a lost zone.
 const reasonNotTerminated = "proof that its replicas in the lost zone are gone"
 
-// serviceStatuses returns, of each service that lacks replicas, what it waits for.
+// serviceStatuses returns the status of each service with pending or at-risk replicas.
 func serviceStatuses(cluster placement.ClusterState) []ServiceStatus {
 	services := recovery.AffectedServices(cluster.View, cluster.ActiveJobs)
 	plan := recovery.ComputePlan(recovery.PlanInput{
@@ -45,7 +45,7 @@
 }
 
 // serviceStatus returns the status of a service, given how many of its replicas are placeable,
-// and why the others are not.
+// and the cause why the others are not.
 func serviceStatus(service *recovery.Service, placeable int, cause recovery.Cause) ServiceStatus {
 	status := ServiceStatus{
 		Service:       service.Job.ID,
--- a/internal/zonecontrol/status.go
+++ b/internal/zonecontrol/status.go
@@ -15,15 +15,16 @@
 	"lynxledge/wire"
 )
 
-// StatusPath is where a controller answers with its Status, on its peer address.
+// StatusPath is the HTTP path of a controller's Status, on its peer address.
 const StatusPath = "/status/zones"
 
-// Status is what a controller knows of the zones, and of the services that wait for their
+// Status describes, as one controller sees them, the zones and the services that wait for their
 // recovery.
 type Status struct {
 	Member string `json:"member"`
 	Leader string `json:"leader,omitempty"`
-	// RecordSupported: all members know the record, so that what is evaluated is also followed.
+	// RecordSupported: all members support the recovery record, and this one can read it. Only
+	// then does evaluation have any effect.
 	RecordSupported bool            `json:"recorded"`
 	Zones           []ZoneStatus    `json:"zones"`
 	Services        []ServiceStatus `json:"services"`
@@ -34,34 +35,34 @@
 	Zone  wire.Zone `json:"zone"`
 	Phase string    `json:"phase"`
 	Since time.Time `json:"since,omitzero"`
-	// TransitionEvidence is that of the last transition; CurrentEvidence is what this controller
-	// sees now.
+	// TransitionEvidence is the evidence that caused the last transition, and CurrentEvidence
+	// what this controller sees now.
 	TransitionEvidence string    `json:"evidence,omitempty"`
 	CurrentEvidence    string    `json:"now"`
 	Losses             int       `json:"losses,omitempty"`
 	HoldUntil          time.Time `json:"holdUntil,omitzero"`
-	// AdmittedServices and AdmittedArrays are the shares of the zone's machines that take new
-	// tasks.
+	// AdmittedServices and AdmittedArrays are the shares of the zone's machines that accept new
+	// tasks of services and of arrays.
 	AdmittedServices float64 `json:"admittedServices"`
 	AdmittedArrays   float64 `json:"admittedArrays"`
 }
 
-// ServiceStatus is a service that lacks replicas, or is about to.
+// ServiceStatus describes a service with pending or at-risk replicas.
 type ServiceStatus struct {
 	Service wire.JobID `json:"service"`
 	Class   string     `json:"class"`
 	Pending int        `json:"waiting"`
 	AtRisk  int        `json:"atRisk"`
-	// Placeable is how many of both find capacity now.
+	// Placeable counts the pending and at-risk replicas for which there is capacity now.
 	Placeable int `json:"placeable"`
-	// PendingReason says what the others wait for.
+	// PendingReason says why the others find no capacity or, if all do, what those at risk wait for.
 	PendingReason string `json:"waitsFor,omitempty"`
 }
 
-// statusTimeout bounds for how long a status waits for the actors.
+// statusTimeout bounds how long a status request waits for the actors.
 const statusTimeout = 2 * time.Second
 
-// ServeHTTP answers with the Status.
+// ServeHTTP responds with the Status as JSON.
 func (c *Controller) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), statusTimeout)
 	defer cancel()
@@ -71,19 +72,19 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(status) // the client may have gone
+	_ = json.NewEncoder(w).Encode(status) // an error means that the client has disconnected
 }
 
-// ErrBusy is the error of a status that the actors don't answer in time.
+// ErrBusy is returned by Status if the actors don't answer in time.
 var ErrBusy = errors.New("the controller is too busy to tell")
 
-// Status asks the actors for what they know.
+// Status collects the status from this actor and the scheduler's.
 func (c *Controller) Status(ctx context.Context) (*Status, error) {
 	zones := make(chan *Status, 1)
 	services := make(chan []ServiceStatus, 1)
-	asked := c.Post(func() { zones <- c.zoneStatus(time.Now()) }) &&
+	queued := c.Post(func() { zones <- c.statusWithoutServices(time.Now()) }) &&
 		c.scheduler.WithClusterState(func(cluster placement.ClusterState) { services <- serviceStatuses(cluster) })
-	if !asked {
+	if !queued {
 		return nil, ErrBusy
 	}
 	var status *Status
@@ -100,8 +101,8 @@
 	return status, nil
 }
 
-// zoneStatus returns the status without the services.
-func (c *Controller) zoneStatus(now time.Time) *Status {
+// statusWithoutServices returns the Status with Services left empty.
+func (c *Controller) statusWithoutServices(now time.Time) *Status {
 	status := &Status{
 		Member:          c.config.MemberName,
 		RecordSupported: c.view.AllMembersSupport(statecache.CapabilityZoneRecovery) && !c.recordUnreadable,
@@ -109,16 +110,16 @@
 	if c.view.Leader != nil {
 		status.Leader = c.view.Leader.Member
 	}
-	evidence := c.evidence(now) // of the recorded zones too
+	evidence := c.evidence(now) // includes every recorded zone
 	recorded := statusesOf(c.view.ZoneRecoveries)
 	for _, name := range slices.Sorted(maps.Keys(evidence)) {
-		status.Zones = append(status.Zones, c.statusOfZone(name, recorded[name], evidence[name]))
+		status.Zones = append(status.Zones, c.zoneStatus(name, recorded[name], evidence[name]))
 	}
 	return status
 }
 
-// statusOfZone returns a zone's status, given what is recorded and what is seen now.
-func (c *Controller) statusOfZone(name wire.Zone, recorded zonehealth.Status, current zonehealth.Evidence) ZoneStatus {
+// zoneStatus returns a zone's status, given its recorded status and the current evidence.
+func (c *Controller) zoneStatus(name wire.Zone, recorded zonehealth.Status, current zonehealth.Evidence) ZoneStatus {
 	zone := ZoneStatus{
 		Zone:             name,
 		Phase:            recorded.Phase.String(),
--- a/internal/zonecontrol/transition_log.go
+++ b/internal/zonecontrol/transition_log.go
@@ -20,7 +20,7 @@
 		slog.Info("zone return started", attributes...)
 	case to.Phase == zonehealth.Returning:
 		slog.Info("zone return advanced", append(attributes, "step", to.Step+1)...)
-	case to.Phase == from.Phase: // losses are forgotten
+	case to.Phase == from.Phase: // only the losses were forgotten
 	case to.Phase == zonehealth.Degraded:
 		slog.Info("zone degraded", attributes...)
 	default:
--- a/internal/zonehealth/evidence.go
+++ b/internal/zonehealth/evidence.go
@@ -7,25 +7,25 @@
 	"lynxledge/wire"
 )
 
-// Evidence is what is known of a zone at one time.
+// Evidence is what is known of a zone at one time. Recent means within about the policy's
+// UnreachableAfter.
 type Evidence struct {
 	Expected        int // machines that should send heartbeats
-	Unreachable     int // of these, without a heartbeat to any controller lately
-	Failed          int // machines that failed, or were drained as unreachable, lately
-	ReachableFrom   int // controllers that received heartbeats of any of its machines lately
+	Unreachable     int // of these, without a recent heartbeat to any controller
+	Failed          int // machines that recently failed or were drained as unreachable
+	ReachableFrom   int // controllers with recent heartbeats from any of its machines
 	Controllers     int // of the deployment that are in this zone
-	ControllersDown int // of these, not members
-	Pools           int // machine pools that the cloud offers there
-	PoolsExhausted  int // of these, without machines lately
+	ControllersDown int // of these, not members of the cluster
+	Pools           int // machine pools that the cloud offers in the zone
+	PoolsExhausted  int // of these, in which the cloud has no machines for now
 }
 
-// Counts returns the fields in their order, as records hold them.
+// Counts returns the fields in declaration order, the format of the recovery record.
 func (e Evidence) Counts() []int {
 	return []int{e.Expected, e.Unreachable, e.Failed, e.ReachableFrom, e.Controllers, e.ControllersDown, e.Pools, e.PoolsExhausted}
 }
 
-// EvidenceFromCounts is the inverse of Counts; missing counts are 0, and surplus ones are
-// ignored.
+// EvidenceFromCounts is the inverse of Counts. Missing counts are 0, and extra ones are ignored.
 func EvidenceFromCounts(counts []int) Evidence {
 	var c [8]int
 	copy(c[:], counts)
@@ -35,16 +35,16 @@
 	}
 }
 
-// Machines is how many machines the evidence is about.
+// Machines returns the number of expected and failed machines.
 func (e Evidence) Machines() int { return e.Expected + e.Failed }
 
-// Down is how many of them are down.
+// Down returns how many of Machines are unreachable or failed.
 func (e Evidence) Down() int { return e.Unreachable + e.Failed }
 
-// Reachable is how many machines had heartbeats lately.
+// Reachable returns how many expected machines are reachable; new ones count as such.
 func (e Evidence) Reachable() int { return e.Expected - e.Unreachable }
 
-// DownShare is the share of the machines that are down; 0 when there are none.
+// DownShare returns the share of the machines that are down; 0 if there are no machines.
 func (e Evidence) DownShare() float64 {
 	if e.Machines() == 0 {
 		return 0
@@ -52,15 +52,15 @@
 	return float64(e.Down()) / float64(e.Machines())
 }
 
-// allControllersDown tells whether the zone has controllers, and none is a member.
+// allControllersDown reports whether the zone has controllers, and none is a member.
 func (e Evidence) allControllersDown() bool {
 	return e.Controllers > 0 && e.ControllersDown == e.Controllers
 }
 
-// allPoolsExhausted tells whether the cloud has no machines in the zone.
+// allPoolsExhausted reports whether the zone has pools, and the cloud has no machines in any.
 func (e Evidence) allPoolsExhausted() bool { return e.Pools > 0 && e.PoolsExhausted == e.Pools }
 
-// String describes the evidence to operators, on the status page and in log lines.
+// String describes the evidence for operators, in the zone status and in log lines.
 func (e Evidence) String() string {
 	parts := []string{
 		fmt.Sprintf("%d of %d machines down (%d silent, %d failed)", e.Down(), e.Machines(), e.Unreachable, e.Failed),
@@ -75,9 +75,9 @@
 	return strings.Join(parts, ", ")
 }
 
-// NoneReachable tells whether no machine of any zone is reachable, though there are machines.
-// Then nothing can be concluded: it is more likely that this controller is partitioned from all
-// machines than that all zones are lost, and if they are, there is nowhere else to go.
+// NoneReachable reports whether there are machines, but none is reachable in any zone. Nothing
+// can be concluded from such evidence: this controller is more likely partitioned from all
+// machines than all zones lost, and if they are, no zone is left to place replicas in.
 func NoneReachable(evidence map[wire.Zone]Evidence) bool {
 	machines := 0
 	for _, e := range evidence {
--- a/internal/zonehealth/phase.go
+++ b/internal/zonehealth/phase.go
@@ -8,25 +8,25 @@
 // Phase is the state of a zone.
 type Phase int
 
-// The phases. A zone goes from Healthy, perhaps through Degraded, to Lost; from there
-// through Returning back to Healthy, or to Lost again.
+// The phases. A zone goes from Healthy to Lost, directly or through Degraded, and from Lost to
+// Returning. From there it goes back to Healthy, or to Lost again.
 const (
 	// Healthy: the zone is used like any other.
 	Healthy Phase = iota
-	// Degraded: a notable share of its machines is down. Nothing follows from it.
+	// Degraded: a notable share of its machines is down. It is used like a healthy zone.
 	Degraded
 	// Lost: most of its machines are down. Its services are placed elsewhere.
 	Lost
-	// Returning: its machines are reachable again, and admitted step by step.
+	// Returning: its machines are reachable again, and are admitted in steps.
 	Returning
 )
 
 var phaseNames = [...]string{"healthy", "degraded", "lost", "returning"}
 
-// ErrUnknownPhase is the error of a phase's name that this version does not know.
+// ErrUnknownPhase is returned for the name of a phase that this version does not know.
 var ErrUnknownPhase = errors.New("unknown phase")
 
-// String returns the phase's name, as records hold it.
+// String returns the phase's name, as stored in the recovery record.
 func (p Phase) String() string { return phaseNames[p] }
 
 // ParsePhase parses a phase's name.
@@ -39,5 +39,5 @@
 	return Healthy, fmt.Errorf("%w %q", ErrUnknownPhase, name)
 }
 
-// Recovering tells whether scheduling must take care of the zone.
+// Recovering reports whether the zone is lost or returning, so that scheduling restricts its use.
 func (p Phase) Recovering() bool { return p == Lost || p == Returning }
--- a/internal/zonehealth/phase_tracker.go
+++ b/internal/zonehealth/phase_tracker.go
@@ -6,13 +6,13 @@
 	"lynxledge/wire"
 )
 
-// Transition is a change of a zone's phase, step or losses.
+// Transition is a change of a zone's phase, admission step or number of losses.
 type Transition struct {
 	Zone     wire.Zone
 	From, To Status
 }
 
-// PhaseTracker runs the state machines of all zones.
+// PhaseTracker runs one state machine per zone.
 type PhaseTracker struct {
 	policy Policy
 	zones  map[wire.Zone]*zoneState
@@ -21,27 +21,27 @@
 // zoneState is the state machine of one zone.
 type zoneState struct {
 	Status
-	heldSince map[timedCondition]time.Time
+	heldSince map[timedCondition]time.Time // since when each condition has held without a break
 }
 
-// timedCondition is something that has to hold for a while before anything follows from it.
+// timedCondition is a condition that causes a transition only once it has held for some time.
 type timedCondition int
 
 const (
 	conditionLost timedCondition = iota
 	conditionRecovered
-	conditionEmpty
+	conditionEmpty // no machines, and not all pools exhausted
 )
 
-// NewPhaseTracker returns a tracker with all zones healthy.
+// NewPhaseTracker returns a tracker in which all zones are healthy.
 func NewPhaseTracker(policy Policy) *PhaseTracker {
 	return &PhaseTracker{policy: policy, zones: map[wire.Zone]*zoneState{}}
 }
 
-// Status returns the state of a zone.
+// Status returns the status of a zone.
 func (t *PhaseTracker) Status(zone wire.Zone) Status { return t.zone(zone).Status }
 
-// Statuses returns the states of all zones known.
+// Statuses returns the statuses of all known zones.
 func (t *PhaseTracker) Statuses() map[wire.Zone]Status {
 	statuses := make(map[wire.Zone]Status, len(t.zones))
 	for name, zone := range t.zones {
@@ -50,18 +50,18 @@
 	return statuses
 }
 
-// Restore takes recorded states over. What has to hold for a while begins anew.
+// Restore replaces all statuses with recorded ones, and resets the timers.
 func (t *PhaseTracker) Restore(now time.Time, recorded map[wire.Zone]Status) {
 	clear(t.zones)
 	for name, status := range recorded {
 		t.zone(name).Status = status
 	}
-	t.Suspend(now)
+	t.ResetTimers(now)
 }
 
-// Suspend is called when there is no evidence: what has to hold for a while begins anew, and so
-// does the duration of a step.
-func (t *PhaseTracker) Suspend(now time.Time) {
+// ResetTimers restarts the timers of conditions and of admission steps. It is called while there
+// is no reliable evidence.
+func (t *PhaseTracker) ResetTimers(now time.Time) {
 	for _, zone := range t.zones {
 		clear(zone.heldSince)
 		if zone.Phase == Returning {
@@ -79,7 +79,7 @@
 	return zone
 }
 
-// Evaluate advances the state machine of every zone by its evidence, and returns the
+// Evaluate updates the state machine of every zone for which there is evidence, and returns the
 // transitions.
 func (t *PhaseTracker) Evaluate(now time.Time, evidence map[wire.Zone]Evidence) []Transition {
 	var transitions []Transition
@@ -108,8 +108,8 @@
 		t.updateDegraded(zone, now, e)
 		t.forgetLosses(zone, now)
 	case Lost:
-		// A zone without any machine is tried again, or it would stay lost for ever:
-		// no machines are provisioned in it while it is.
+		// A zone without any machine returns too. No machines are provisioned in a lost
+		// zone, so it would otherwise stay lost forever.
 		if (recovered || empty) && !now.Before(zone.HoldUntil) {
 			zone.enter(Returning, now)
 			zone.Step, zone.StepStartedAt = 0, now
@@ -119,19 +119,20 @@
 	}
 }
 
-// evaluateReturn advances a returning zone, or undoes its return.
+// evaluateReturn advances a returning zone to its next step, or marks it lost again.
 func (t *PhaseTracker) evaluateReturn(zone *zoneState, now time.Time, e Evidence, lost bool) {
 	switch {
 	case lost:
 		t.markLost(zone, now)
 	case !t.indicatesRecovery(e) && e.Machines() > 0:
-		zone.StepStartedAt = now // held: the duration of the step begins anew
+		zone.StepStartedAt = now // the step's duration starts over
 	case now.Sub(zone.StepStartedAt) >= t.policy.StepDuration:
 		t.advanceStep(zone, now)
 	}
 }
 
-// hasHeldFor tells whether a condition, which holds now or doesn't, has held for a duration.
+// hasHeldFor updates a condition by whether it holds now, and reports whether it has held for a
+// duration.
 func (z *zoneState) hasHeldFor(duration time.Duration, condition timedCondition, holds bool, now time.Time) bool {
 	if !holds {
 		delete(z.heldSince, condition)
@@ -148,8 +149,8 @@
 	clear(z.heldSince)
 }
 
-// indicatesLoss tells whether the evidence is that of a lost zone. Where all controllers of
-// the zone are down too, the lower share is enough: two kinds of evidence agree.
+// indicatesLoss reports whether the evidence indicates that the zone is lost. If all controllers
+// of the zone are down too, DegradedShare is enough, since two kinds of evidence agree.
 func (t *PhaseTracker) indicatesLoss(e Evidence) bool {
 	if e.Machines() < t.policy.MinMachines {
 		return false
@@ -161,12 +162,12 @@
 	return e.DownShare() >= share
 }
 
-// indicatesRecovery tells whether the evidence is that of a zone that is back.
+// indicatesRecovery reports whether the evidence indicates that a lost zone is usable again.
 func (t *PhaseTracker) indicatesRecovery(e Evidence) bool {
 	return e.Reachable() > 0 && e.DownShare() <= t.policy.ReturnShare && !t.indicatesLoss(e)
 }
 
-// markLost takes the zone for lost. Losses that follow each other closely are held down longer.
+// markLost enters phase Lost. Each loss that is not forgotten yet lengthens the hold-down.
 func (t *PhaseTracker) markLost(zone *zoneState, now time.Time) {
 	zone.enter(Lost, now)
 	zone.Losses++
@@ -174,8 +175,8 @@
 	zone.Step, zone.StepStartedAt = 0, time.Time{}
 }
 
-// updateDegraded tells degraded from healthy. Timers run on: a zone that is degraded may be on
-// its way to being lost.
+// updateDegraded moves the zone between Healthy and Degraded. Unlike enter it keeps the timers
+// of conditions, since a degraded zone may be about to be lost.
 func (t *PhaseTracker) updateDegraded(zone *zoneState, now time.Time, e Evidence) {
 	share := e.DownShare()
 	enoughMachines := e.Machines() >= t.policy.MinMachines
@@ -187,7 +188,8 @@
 	}
 }
 
-// forgetLosses drops losses that are older than the flap window.
+// forgetLosses resets the number of losses once the flap window has passed since the end of the
+// last hold-down.
 func (t *PhaseTracker) forgetLosses(zone *zoneState, now time.Time) {
 	if zone.Losses > 0 && now.Sub(zone.HoldUntil) >= t.policy.FlapWindow {
 		zone.Losses = 0
@@ -195,7 +197,7 @@
 	}
 }
 
-// advanceStep admits more of a returning zone, or all of it.
+// advanceStep moves a returning zone to its next admission step, or to Healthy after the last.
 func (t *PhaseTracker) advanceStep(zone *zoneState, now time.Time) {
 	if zone.Step+1 < len(t.policy.AdmissionSteps) {
 		zone.Step++
--- a/internal/zonehealth/phase_tracker_test.go
+++ b/internal/zonehealth/phase_tracker_test.go
@@ -20,7 +20,7 @@
 	HoldDown: 7 * tick, MaxHoldDown: 24 * tick, FlapWindow: 60 * tick,
 }
 
-// evaluate evaluates the evidence of one zone for so many ticks.
+// evaluate evaluates the same evidence on zone a for a number of ticks, and returns its status.
 func evaluate(t *PhaseTracker, now *time.Time, ticks int, e Evidence) Status {
 	for range ticks {
 		*now = now.Add(tick)
@@ -33,8 +33,8 @@
 	return Evidence{Expected: of, Unreachable: unreachable, ReachableFrom: 1}
 }
 
-// A zone goes through its phases in order, each once its evidence has held for long
-// enough.
+// A zone goes through its phases in order. Losses and returns need evidence that has held for the
+// confirmation time.
 func TestPhases(t *testing.T) {
 	tracker, now := NewPhaseTracker(testPolicy), time.Unix(1000, 0)
 	for i, step := range []struct {
@@ -46,17 +46,17 @@
 		{5, down(0, 10), Healthy, 1},
 		{5, down(2, 10), Healthy, 1},
 		{1, down(3, 10), Degraded, 1},
-		{5, down(2, 10), Degraded, 1}, // until half of the share
+		{5, down(2, 10), Degraded, 1}, // remains until less than half of DegradedShare is down
 		{1, down(1, 10), Healthy, 1},
-		{2, down(10, 10), Degraded, 1}, // not confirmed yet
-		{1, down(0, 10), Healthy, 1},   // it was a moment
+		{2, down(10, 10), Degraded, 1}, // loss not confirmed yet
+		{1, down(0, 10), Healthy, 1},   // the loss was never confirmed
 		{3, down(6, 10), Lost, 0},
-		{4, down(0, 10), Lost, 0}, // reachable, but not confirmed
-		{2, down(6, 10), Lost, 0}, // the confirmation begins anew
+		{4, down(0, 10), Lost, 0}, // reachable, but recovery not confirmed yet
+		{2, down(6, 10), Lost, 0}, // the confirmation starts over
 		{6, down(5, 10), Lost, 0},
-		{1, down(5, 10), Returning, 0.25}, // half of the machines is enough
+		{1, down(5, 10), Returning, 0.25}, // ReturnShare may be down
 		{5, down(5, 10), Returning, 0.5},
-		{20, Evidence{Expected: 10, Unreachable: 6, ReachableFrom: 1}, Lost, 0}, // undone
+		{20, Evidence{Expected: 10, Unreachable: 6, ReachableFrom: 1}, Lost, 0}, // the return is undone
 	} {
 		s := evaluate(tracker, &now, step.ticks, step.e)
 		if share := s.AdmittedShare(testPolicy.AdmissionSteps, true); s.Phase != step.want || share != step.share {
@@ -68,7 +68,8 @@
 	}
 }
 
-// A zone that flaps is held down longer each time, up to a bound, and its losses are forgotten.
+// The hold-down of a flapping zone doubles with each loss up to MaxHoldDown. Losses are forgotten
+// after a long healthy time.
 func TestHoldDownGrows(t *testing.T) {
 	tracker, now := NewPhaseTracker(testPolicy), time.Unix(1000, 0)
 	var holdDowns []time.Duration
@@ -87,9 +88,9 @@
 	}
 }
 
-// Evidence that falls back holdDowns a step; a zone with few machines is never lost; where
-// its controllers are down too, a smaller share is enough; one without any machine is
-// tried again.
+// A zone with few machines is never lost. If its controllers are down too, a smaller share of
+// machines is enough for a loss. A lost zone without any machine returns, unless its pools are
+// exhausted. A returning zone stays at its step while too many machines are down.
 func TestEvidenceOfControllersAndPools(t *testing.T) {
 	tracker, now := NewPhaseTracker(testPolicy), time.Unix(1000, 0)
 	if s := evaluate(tracker, &now, 50, down(3, 3)); s.Phase != Healthy {
@@ -110,10 +111,10 @@
 	}
 }
 
-// Whatever the evidence: no zone returns before its hold-down, none goes from healthy to
-// returning, arrays are never admitted where services are not, and all is healthy and
-// forgotten after a long healthy time. A tracker that takes over in the middle continues from
-// there.
+// For any evidence: no zone starts to return before its hold-down ends or from a phase other than
+// Lost, arrays are never admitted on more machines than services, and after a long healthy time
+// the zone is healthy and its losses are forgotten. A tracker restored in between continues in
+// the same phase and step.
 func TestPhasesWithAnyEvidence(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tracker, now := NewPhaseTracker(testPolicy), time.Unix(1000, 0)
--- a/internal/zonehealth/policy.go
+++ b/internal/zonehealth/policy.go
@@ -6,24 +6,24 @@
 	"lynxledge/internal/config"
 )
 
-// Policy sets when a zone goes from one phase to another. Shares are parts of a zone's
+// Policy sets when a zone goes from one phase to another. Shares are fractions of a zone's
 // machines, from 0 to 1.
 type Policy struct {
-	DegradedShare      float64       // down: degraded
-	LostShare          float64       // down: lost
-	ReturnShare        float64       // at most this down: may return
-	MinMachines        int           // with fewer, a zone is never lost
-	UnreachableAfter   time.Duration // without a heartbeat
-	LossConfirmation   time.Duration // for which a loss needs its evidence
-	ReturnConfirmation time.Duration // for which a return needs its evidence
-	AdmissionSteps     []float64     // shares admitted while returning
+	DegradedShare      float64       // a zone is degraded if at least this share is down
+	LostShare          float64       // a zone is lost if at least this share is down
+	ReturnShare        float64       // a lost zone may return if at most this share is down
+	MinMachines        int           // a zone with fewer machines is never degraded or lost
+	UnreachableAfter   time.Duration // time without a heartbeat until a machine is unreachable
+	LossConfirmation   time.Duration // how long the evidence of a loss must hold
+	ReturnConfirmation time.Duration // how long the evidence of a return must hold
+	AdmissionSteps     []float64     // shares of a returning zone's machines that are admitted
 	StepDuration       time.Duration
-	HoldDown           time.Duration // from a loss to the return; doubles with each flap
+	HoldDown           time.Duration // minimum time from a loss to the return; doubles with each loss in a row
 	MaxHoldDown        time.Duration
-	FlapWindow         time.Duration // after a hold-down, for which a loss is remembered
+	FlapWindow         time.Duration // time after a hold-down until losses are forgotten
 }
 
-// PolicyOf returns the policy of the settings, whose ZoneRecovery section must be set.
+// PolicyOf returns the policy of the settings; cfg.Operator.ZoneRecovery must be set.
 func PolicyOf(cfg *config.Config) Policy {
 	section, workers := cfg.Operator.ZoneRecovery, cfg.Params.Workers
 	return Policy{
@@ -42,7 +42,7 @@
 	}
 }
 
-// holdDownAfter is the time from the n-th loss in a row until a return may begin.
+// holdDownAfter returns the hold-down after a number of losses in a row.
 func (p *Policy) holdDownAfter(losses int) time.Duration {
 	holdDown := p.HoldDown
 	for range losses - 1 {
--- a/internal/zonehealth/reachability.go
+++ b/internal/zonehealth/reachability.go
@@ -8,18 +8,18 @@
 	"github.com/RoaringBitmap/roaring/v2"
 )
 
-// ReachabilityTracker knows which machines each zone should have, and which controllers lately
-// received heartbeats of which machines. Machines are numbered, so that sets of them are
-// compressed bitmaps: those of several controllers are merged without looking at single
-// machines, and what a heartbeat costs does not depend on the size of the fleet.
+// ReachabilityTracker tracks which machines are expected in each zone, and which controllers
+// recently received heartbeats from which machines. Machines are numbered, so that sets of them
+// are compressed bitmaps: the sets of several controllers are merged without iterating over
+// machines, and the cost of a heartbeat does not depend on the size of the fleet.
 type ReachabilityTracker struct {
 	unreachableAfter time.Duration
 	machines         map[wire.MachineID]trackedMachine
-	nextNumber       uint32 // numbers are not reused: a late heartbeat may still name an old one
+	nextNumber       uint32 // numbers are not reused: windows may still hold those of removed machines
 	zones            map[wire.Zone]*zoneMachines
-	reachable        map[string]*window // by controller
+	reachable        map[string]*window // machines with recent heartbeats, by controller
 	lastRotation     time.Time
-	completeSince    time.Time // from when on no heartbeat was missed
+	completeSince    time.Time // since when this process can't have missed heartbeats
 }
 
 type trackedMachine struct {
@@ -27,14 +27,14 @@
 	zone   wire.Zone
 }
 
-// zoneMachines are the machines of one zone, by their numbers.
+// zoneMachines holds the numbers of one zone's machines.
 type zoneMachines struct {
 	expected *roaring.Bitmap
-	failed   *window
+	failed   *window // failed or drained as unreachable
 }
 
-// NewReachabilityTracker returns a tracker that begins at a time. A machine counts as
-// unreachable when no controller has received a heartbeat of it for unreachableAfter.
+// NewReachabilityTracker returns a tracker that starts at now. A machine counts as unreachable
+// once no controller has received a heartbeat from it for unreachableAfter.
 func NewReachabilityTracker(now time.Time, unreachableAfter time.Duration) *ReachabilityTracker {
 	return &ReachabilityTracker{
 		unreachableAfter: unreachableAfter,
@@ -46,11 +46,11 @@
 	}
 }
 
-// noController is in place of a controller for machines that have not sent a heartbeat yet.
+// noController is the key in reachable for new machines, which may not have sent a heartbeat yet.
 const noController = ""
 
-// AddMachine adds a machine that should send heartbeats from now on. It is not unreachable
-// before unreachableAfter has passed.
+// AddMachine adds a machine that is expected to send heartbeats from now on. A new machine counts
+// as reachable until unreachableAfter has passed.
 func (t *ReachabilityTracker) AddMachine(name wire.MachineID, zone wire.Zone) {
 	machine, known := t.machines[name]
 	if !known {
@@ -62,9 +62,9 @@
 	t.zone(zone).expected.Add(machine.number)
 }
 
-// RemoveMachine removes a machine that is not expected to send heartbeats any more. One that
-// failed, or was given up, counts as down for a while: a zone whose machines are all gone at
-// once is lost.
+// RemoveMachine removes a machine that is no longer expected to send heartbeats. One that failed,
+// or was drained as unreachable, counts as down for at least unreachableAfter, so that a zone whose
+// machines all disappear at once is recognized as lost.
 func (t *ReachabilityTracker) RemoveMachine(name wire.MachineID, failed bool) {
 	machine, known := t.machines[name]
 	if !known {
@@ -78,7 +78,8 @@
 	}
 }
 
-// MachinesReachable tells of machines whose heartbeats a controller has received.
+// MachinesReachable records that a controller has received heartbeats from machines. Unknown
+// machines are ignored.
 func (t *ReachabilityTracker) MachinesReachable(controller string, names []wire.MachineID) {
 	reachable := t.reachableFrom(controller)
 	for _, name := range names {
@@ -88,7 +89,7 @@
 	}
 }
 
-// reachableFrom returns the machines that lately were reachable from a controller.
+// reachableFrom returns the window of machines that were recently reachable from a controller.
 func (t *ReachabilityTracker) reachableFrom(controller string) *window {
 	reachable := t.reachable[controller]
 	if reachable == nil {
@@ -107,19 +108,20 @@
 	return zone
 }
 
-// maxGapMultiple is how many times the expected gap between two calls of Advance may be.
+// maxGapMultiple is the multiple of the expected gap between two calls of Advance above which the
+// process is taken to have stalled.
 const maxGapMultiple = 3
 
-// Advance takes note that time has passed. A gap since the last call that is much longer than
-// expected means that this process stood still, and heartbeats may have been missed meanwhile:
-// nothing is complete until unreachableAfter has passed again.
+// Advance rotates the windows up to now. A gap since the last call that is much longer than
+// expected means that this process stalled and may have missed heartbeats: the evidence is not
+// complete until unreachableAfter has passed again.
 func (t *ReachabilityTracker) Advance(now time.Time, expectedGap, gap time.Duration) {
 	if gap > maxGapMultiple*expectedGap {
 		t.completeSince = now
 	}
 	interval := t.unreachableAfter / (windowBuckets - 1)
 	for ; now.Sub(t.lastRotation) >= interval; t.lastRotation = t.lastRotation.Add(interval) {
-		if now.Sub(t.lastRotation) > windowBuckets*interval { // nothing older is left
+		if now.Sub(t.lastRotation) > windowBuckets*interval { // all buckets have expired
 			t.lastRotation = now.Add(-windowBuckets * interval)
 		}
 		t.rotateWindows()
@@ -135,12 +137,13 @@
 	}
 }
 
-// Complete tells whether no heartbeat was missed for as long as unreachableAfter.
+// Complete reports whether this process can't have missed heartbeats during the last
+// unreachableAfter.
 func (t *ReachabilityTracker) Complete(now time.Time) bool {
 	return now.Sub(t.completeSince) >= t.unreachableAfter
 }
 
-// Evidence returns what is known of the machines of each zone.
+// Evidence returns the evidence on the machines of each zone.
 func (t *ReachabilityTracker) Evidence() map[wire.Zone]Evidence {
 	var all []*roaring.Bitmap
 	var byController []*roaring.Bitmap
@@ -159,8 +162,8 @@
 	return evidence
 }
 
-// evidence returns what is known of the zone's machines, given those that are reachable at all
-// and by controller.
+// evidence returns the evidence on the zone's machines, given the machines that are reachable
+// from any controller, and those of each.
 func (z *zoneMachines) evidence(reachable *roaring.Bitmap, byController []*roaring.Bitmap) Evidence {
 	e := Evidence{
 		Expected: int(z.expected.GetCardinality()),
--- a/internal/zonehealth/reachability_test.go
+++ b/internal/zonehealth/reachability_test.go
@@ -8,7 +8,7 @@
 	"lynxledge/wire"
 )
 
-// machineNames makes machine names of a zone.
+// machineNames returns n machine names for a zone.
 func machineNames(zone wire.Zone, n int) []wire.MachineID {
 	var out []wire.MachineID
 	for i := range n {
@@ -23,7 +23,7 @@
 	}
 }
 
-// advance lets time pass in ticks, and calls each after every one.
+// advance advances the time by a number of ticks, and calls each after every tick.
 func advance(tracker *ReachabilityTracker, now *time.Time, ticks int, each func()) {
 	for range ticks {
 		*now = now.Add(tick)
@@ -32,8 +32,8 @@
 	}
 }
 
-// A machine is unreachable when no controller has received a heartbeat of it for
-// unreachableAfter; what several controllers receive counts together.
+// A machine is unreachable only once no controller has received a heartbeat from it for
+// unreachableAfter.
 func TestReachabilityFromSeveralControllers(t *testing.T) {
 	now := time.Unix(1000, 0)
 	tracker := NewReachabilityTracker(now, 9*tick)
@@ -64,8 +64,8 @@
 	}
 }
 
-// Machines that failed count as down for a while; those that were drained for another reason
-// don't. A new machine is not unreachable at once.
+// Failed machines count as down until they leave the window; those removed for another reason
+// don't. A new machine counts as reachable at first.
 func TestReachabilityOfAddedAndRemovedMachines(t *testing.T) {
 	now := time.Unix(1000, 0)
 	tracker := NewReachabilityTracker(now, 9*tick)
@@ -87,7 +87,7 @@
 	}
 }
 
-// A process that stood still has missed heartbeats meanwhile, and trusts nothing until
+// A process that stalled may have missed heartbeats, so its evidence is incomplete until
 // unreachableAfter has passed.
 func TestReachabilityIsIncompleteAfterStall(t *testing.T) {
 	now := time.Unix(1000, 0)
@@ -110,7 +110,7 @@
 	}
 }
 
-// What a heartbeat costs does not depend on the size of the fleet; what the evidence costs does
+// The cost of a heartbeat should not depend on the size of the fleet, that of Evidence only a
 // little.
 func BenchmarkReachability(b *testing.B) {
 	for _, machines := range []int{50, 500, 4000} {
--- a/internal/zonehealth/status.go
+++ b/internal/zonehealth/status.go
@@ -2,25 +2,26 @@
 
 import "time"
 
-// Status is the state of one zone. All of it except StepStartedAt is recorded, so that another
+// Status is the state of one zone. All of it except StepStartedAt is recorded, so that a new
 // leader continues from it.
 type Status struct {
 	Phase Phase
 	Since time.Time
-	// Losses counts the losses that followed each other within the policy's FlapWindow.
+	// Losses counts the losses in a row. It is reset in a healthy or degraded zone once the
+	// policy's FlapWindow has passed since HoldUntil.
 	Losses int
-	// HoldUntil is when a return may begin at the earliest.
+	// HoldUntil is the end of the last hold-down, before which no return starts.
 	HoldUntil time.Time
-	// Step is the index of the policy's admission step that a returning zone is at.
+	// Step is the index of a returning zone's current step in the policy's AdmissionSteps.
 	Step int
-	// StepStartedAt is from when the step's duration counts.
+	// StepStartedAt is when the duration of the current step started, or last started over.
 	StepStartedAt time.Time
-	// Evidence is that of the last transition.
+	// Evidence is the evidence that caused the last transition.
 	Evidence Evidence
 }
 
-// AdmittedShare is the share of the zone's machines that take tasks: those of services,
-// or of arrays, which follow one step behind.
+// AdmittedShare returns the share of the zone's machines that accept new tasks of services, or of
+// arrays, which are admitted one step later.
 func (s *Status) AdmittedShare(steps []float64, service bool) float64 {
 	switch {
 	case s.Phase == Lost:
