--- a/internal/recovery/free_capacity.go
+++ b/internal/recovery/free_capacity.go
@@ -45,7 +45,7 @@
 			byPool[key] = pool
 			c.pools = append(c.pools, pool)
 		}
-		if n.HasCapacity() { // a pool of full nodes is kept: it makes the cause "no capacity", not "no machine"
+		if n.HasCapacity() { // shortfallCause needs the pool even if all its nodes are full
 			pool.nodes = append(pool.nodes, &nodeUsage{n, n.Used})
 		}
 	}
--- a/internal/recovery/plan_test.go
+++ b/internal/recovery/plan_test.go
@@ -124,7 +124,7 @@
 		placed[p.Service]++
 	}
 	if u := teams["red"].CPUs; u > 24 {
-		t.Fatalf("red uses %v", u)
+		t.Fatalf("team red uses %v CPUs", u)
 	}
 	return placed
 }
@@ -156,13 +156,13 @@
 			value += priorityWeight(p.Service.Job)
 		}
 		if value < firstFit.value {
-			t.Fatalf("worth %v, first-fit alone %v", value, firstFit.value)
+			t.Fatalf("total weight %v, of first-fit %v", value, firstFit.value)
 		}
 		if plan.ImprovedBySolver {
 			solved++
 		}
 		if again := ComputePlan(in); !reflect.DeepEqual(again, plan) {
-			t.Fatal("another plan of the same input")
+			t.Fatal("the same input gave a different plan")
 		}
 	})
 	if solved == 0 {
--- a/internal/zonecontrol/controller_test.go
+++ b/internal/zonecontrol/controller_test.go
@@ -137,7 +137,7 @@
 		m.makeLeader(1)
 		receiveHeartbeats(30, m, reachable)
 		if r := c.record(); r != nil {
-			t.Errorf("written beside a member that doesn't support it: %+v", r)
+			t.Errorf("record written although a member doesn't support it: %+v", r)
 		}
 		m.write(announce("n1", 3, statecache.CapabilityZoneRecovery))
 		receiveHeartbeats(5, m, reachable)
@@ -147,7 +147,7 @@
 		m.write(announce("n1", 4))
 		receiveHeartbeats(5, m, reachable)
 		if r := c.record(); r != nil {
-			t.Errorf("stands beside a member that doesn't support it: %+v", r)
+			t.Errorf("record kept although a member doesn't support it: %+v", r)
 		}
 	})
 }
@@ -172,7 +172,7 @@
 		m.makeLeader(1)
 		receiveHeartbeats(30, m, reachable)
 		if got, _ := json.Marshal(later); string(c.store.Value(statecache.ZoneRecoveryKey)) != string(got) {
-			t.Errorf("rewritten: %s", c.store.Value(statecache.ZoneRecoveryKey))
+			t.Errorf("record overwritten: %s", c.store.Value(statecache.ZoneRecoveryKey))
 		}
 		status, err := m.zones.Status(c.ctx)
 		if err != nil || status.RecordSupported {
@@ -211,7 +211,7 @@
 			t.Errorf("zone a is %s", p)
 		}
 		if r := c.record(); r == nil || r.Term != 2 {
-			t.Errorf("the record is of %+v", r)
+			t.Errorf("record %+v is not of term 2", r)
 		}
 	})
 }
--- a/internal/zonehealth/phase_tracker_test.go
+++ b/internal/zonehealth/phase_tracker_test.go
@@ -107,7 +107,7 @@
 		t.Errorf("empty: %v", s.Phase)
 	}
 	if s := evaluate(tracker, &now, 50, Evidence{Expected: 20, Unreachable: 11, ReachableFrom: 1}); s.Phase != Returning || s.Step != 0 {
-		t.Errorf("held: %v at step %d", s.Phase, s.Step)
+		t.Errorf("too many machines down: %v at step %d", s.Phase, s.Step)
 	}
 }
 
@@ -130,7 +130,7 @@
 				t.Fatalf("returning since %v from %+v", s.Since, before)
 			}
 			if s.AdmittedShare(testPolicy.AdmissionSteps, false) > s.AdmittedShare(testPolicy.AdmissionSteps, true) {
-				t.Fatalf("arrays before services: %+v", s)
+				t.Fatalf("arrays admitted on more machines than services: %+v", s)
 			}
 			if rapid.IntRange(0, 9).Draw(t, "takeover") == 0 {
 				next := NewPhaseTracker(testPolicy)
