--- a/internal/recovery/advice.go
+++ b/internal/recovery/advice.go
@@ -50,8 +50,9 @@
 	return admission == nil || admission.admits(n.Name, service)
 }
 
-// IsFallback reports whether a node may take a replica that finds no capacity on admitted nodes.
-// Otherwise the admission steps of a returning zone could leave a service short of replicas.
+// IsFallback reports whether a node may take a replica that finds no capacity on admitted nodes:
+// any node that is not admitted may, if it is reachable. Otherwise the admission steps of a
+// returning zone could leave a service short of replicas.
 func (a *advice) IsFallback(n *placement.Node, job *wire.Job) bool {
 	return job.IsService() && !a.admits(n, true)
 }
--- a/internal/recovery/linear_program.go
+++ b/internal/recovery/linear_program.go
@@ -113,8 +113,8 @@
 	return 1
 }
 
-// resourceAmounts returns each resource that pools are constrained by, in the order of the
-// constraints.
+// resourceAmounts are accessors of the resources that pools are constrained by, in the order of
+// the constraints.
 var resourceAmounts = [...]func(resources.Vector) float64{
 	func(v resources.Vector) float64 { return v.CPUs },
 	func(v resources.Vector) float64 { return v.MemoryGB },
--- a/internal/recovery/plan.go
+++ b/internal/recovery/plan.go
@@ -23,8 +23,8 @@
 type Placement struct {
 	Service *Service
 	Node    *placement.Node
-	// AtRisk: the replica is still bound to an unreachable machine; the capacity is for its
-	// replacement, once it is proved terminated.
+	// AtRisk: the replica is still bound to another machine, as Service.AtRisk says; the capacity
+	// is for its replacement, once it is proved terminated.
 	AtRisk bool
 }
 
@@ -38,7 +38,7 @@
 // Cause is the reason why a replica finds no capacity. The zone status shows it as it is.
 type Cause string
 
-// Causes of a shortfall, the most specific first.
+// Causes of a shortfall, the least specific last.
 const (
 	CauseNoMachine      Cause = "no machine of an allowed kind is up"
 	CauseZoneConstraint Cause = "the zones that its other replicas leave it have no machine up"
--- a/internal/recovery/service.go
+++ b/internal/recovery/service.go
@@ -16,7 +16,7 @@
 	Job *wire.Job
 	// Pending counts replicas that are not bound to a machine.
 	Pending int
-	// AtRisk counts replicas, by zone, that are bound to unreachable machines of lost zones.
+	// AtRisk counts replicas, by zone, that are bound to suspected or terminating machines of lost zones.
 	// They may still be running, and count until they are proved terminated.
 	AtRisk map[wire.Zone]int
 	// BoundByZone counts all bound replicas by zone, those at risk included.
