--- a/internal/cloud/catalog.go
+++ b/internal/cloud/catalog.go
@@ -9,28 +9,29 @@
 	"lynxledge/wire"
 )
 
-// MachineTypeLister reads the machine types.
+// MachineTypeLister lists the machine types that the cloud offers.
 type MachineTypeLister interface {
 	MachineTypes(ctx context.Context) ([]wire.MachineType, error)
 }
 
-// Catalog is the actor that keeps the machine types and their prices.
+// Catalog is the actor that periodically reads the machine types and their prices and passes them
+// to its subscribers.
 type Catalog struct {
 	*actor.Actor
 	client      MachineTypeLister
 	subscribers []func([]wire.MachineType)
 }
 
-// NewCatalog starts a catalog's actor until the context ends. Subscribe before Run.
+// NewCatalog starts a catalog's actor, which runs until ctx ends. Call Subscribe only before Run.
 func NewCatalog(ctx context.Context, client MachineTypeLister) *Catalog {
 	return &Catalog{Actor: actor.Start(ctx, "catalog", 16), client: client}
 }
 
-// Subscribe registers a receiver of the machine types. All receivers share the slice.
+// Subscribe registers a function that receives the machine types. All subscribers share the slice.
 func (c *Catalog) Subscribe(f func([]wire.MachineType)) { c.subscribers = append(c.subscribers, f) }
 
-// Run reads the machine types every period, and after a failure every retry, until the actor
-// ends.
+// Run reads the machine types now, and again after each period, or after retry if that failed, until
+// the actor ends.
 func (c *Catalog) Run(ctx context.Context, period, retry time.Duration) {
 	next := period
 	if types, err := c.client.MachineTypes(ctx); err != nil || len(types) == 0 {
@@ -48,8 +49,8 @@
 	}
 }
 
-// validTypes returns the valid types in a slice of their own: the lister may keep the one that it
-// returned, and return it again.
+// validTypes returns the valid types in a new slice: the lister may keep the slice that it returned
+// and return it again.
 func validTypes(types []wire.MachineType) []wire.MachineType {
 	valid := make([]wire.MachineType, 0, len(types))
 	for _, t := range types {
--- a/internal/cloud/catalog_test.go
+++ b/internal/cloud/catalog_test.go
@@ -9,14 +9,14 @@
 	"lynxledge/wire"
 )
 
-// cachedTypes is a client that hands out the same slice at each call.
+// cachedTypes is a lister that returns the same slice at each call.
 type cachedTypes []wire.MachineType
 
 func (c cachedTypes) MachineTypes(context.Context) ([]wire.MachineType, error) { return c, nil }
 
-// Machine types that can't be used are left out of what subscribers get; the slice that the
-// client returned stays as it was, since others may read it.
-func TestCatalogLeavesTheClientsSliceAlone(t *testing.T) {
+// Subscribers don't get invalid machine types, and the slice that the client returned is not
+// modified, since others may read it.
+func TestCatalogDoesNotModifyClientsSlice(t *testing.T) {
 	usable := func(name string) wire.MachineType {
 		return wire.MachineType{Name: name, CPUs: 4, MemoryGB: 16, HourlyPrice: 1, Zones: []wire.Zone{"a"}}
 	}
--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -14,22 +14,23 @@
 // idleConns is the number of idle connections to the cloud that are kept open.
 const idleConns = 2
 
-// Client is the client of the cloud.
+// Client calls the cloud's API.
 type Client struct {
 	service *httpjson.Service
 	timeout time.Duration
 }
 
-// New returns a client that uses at most a share of the cloud's rate.
+// New returns a client of the cloud at addr that makes at most a share of the cloud's requestRate,
+// in requests per second.
 func New(addr string, requestRate, share float64, timeout time.Duration) *Client {
 	return &Client{service: httpjson.NewService(addr, requestRate*share, timeout, idleConns), timeout: timeout}
 }
 
 func (c *Client) call(ctx context.Context, method, path string, in, out any) error {
-	return translate(c.service.Call(ctx, c.timeout, method, path, in, out))
+	return translateError(c.service.Call(ctx, c.timeout, method, path, in, out))
 }
 
-// MachineTypes returns the machine types and their prices.
+// MachineTypes returns the machine types that the cloud offers, with their prices.
 func (c *Client) MachineTypes(ctx context.Context) ([]wire.MachineType, error) {
 	var out wire.MachineTypeList
 	err := c.call(ctx, http.MethodGet, "/machine_types", nil, &out)
@@ -43,12 +44,12 @@
 	return out.Names, err
 }
 
-// Delete terminates machines; once it succeeds, they no longer exist.
+// Delete terminates machines. Once it has succeeded, they no longer exist.
 func (c *Client) Delete(ctx context.Context, names []wire.MachineID) error {
 	return c.call(ctx, http.MethodPost, "/hosts/delete", wire.MachineNames{Names: names}, nil)
 }
 
-// List returns all instances. It reads them page by page.
+// List returns all instances, which it reads page by page.
 func (c *Client) List(ctx context.Context) ([]wire.Instance, error) {
 	var all []wire.Instance
 	after := wire.MachineID("")
--- a/internal/cloud/client_test.go
+++ b/internal/cloud/client_test.go
@@ -15,7 +15,7 @@
 	"lynxledge/wire"
 )
 
-// newTestClient returns a client of a cloud that gives every request one response.
+// newTestClient returns a client of a cloud that gives the same response to every request.
 func newTestClient(t *testing.T, status int, body string) *Client {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -26,9 +26,9 @@
 	return New(strings.TrimPrefix(server.URL, "http://"), 100, 1, time.Second)
 }
 
-// Every status of the cloud means one error, and is none of the others; after an unknown one
-// the outcome is unknown.
-func TestErrorOfStatus(t *testing.T) {
+// Each status of the cloud is translated to exactly one of the errors, an unknown status to none: its
+// outcome is unknown.
+func TestErrorByStatus(t *testing.T) {
 	sentinels := []error{ErrNoCapacity, ErrRejected, ErrInvalidRequest}
 	for _, test := range []struct {
 		status int
@@ -59,8 +59,9 @@
 	}
 }
 
-// What was not sent, since the rate had no room for it, was certainly not executed.
-func TestNotSentIsRejected(t *testing.T) {
+// A request whose context ends before the rate limit admits it is not sent, so it was certainly not
+// executed.
+func TestUnsentRequestIsRejected(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	if err := newTestClient(t, http.StatusOK, `{}`).Delete(ctx, []wire.MachineID{"i-1"}); !errors.Is(err, ErrRejected) || !errors.Is(err, context.Canceled) {
@@ -68,7 +69,7 @@
 	}
 }
 
-// A response is decoded.
+// The response to a provision request is decoded.
 func TestProvision(t *testing.T) {
 	got, err := newTestClient(t, http.StatusOK, `{"nests":["i-1","i-2"]}`).Provision(t.Context(), wire.ProvisionRequest{})
 	if err != nil || !slices.Equal(got, []wire.MachineID{"i-1", "i-2"}) {
--- a/internal/cloud/doc.go
+++ b/internal/cloud/doc.go
@@ -1,3 +1,3 @@
-// Package cloud is the client of the cloud that provisions machines, and the catalog of its
-// machine types. It keeps to this controller's share of the cloud's rate.
+// Package cloud contains the client of the cloud that provisions machines, and the catalog of its
+// machine types. The client keeps to this controller's share of the cloud's request rate.
 package cloud
--- a/internal/cloud/errors.go
+++ b/internal/cloud/errors.go
@@ -10,27 +10,29 @@
 	"lynxledge/wire"
 )
 
-// Errors that callers tell apart: after each of them the call was certainly not executed, after
-// any other it may have been, or may be yet. Trying again helps with ErrRejected, and later with
-// ErrNoCapacity, but not with ErrInvalidRequest.
+// Errors that callers distinguish. Each of them means that the call was certainly not executed;
+// after any other error it may have been, or may still be. Retrying can succeed after ErrRejected,
+// and later after ErrNoCapacity, but not after ErrInvalidRequest.
 var (
 	ErrNoCapacity     = errors.New("no capacity")
 	ErrRejected       = errors.New("cloud rejected the call")
 	ErrInvalidRequest = errors.New("cloud rejected the call as invalid")
 )
 
-// errorOfStatus has what the statuses of the cloud mean, apart from those whose body tells.
-var errorOfStatus = map[int]error{
+// errorByStatus maps status codes of the cloud to errors. translateStatus handles the case in which
+// the body decides.
+var errorByStatus = map[int]error{
 	http.StatusBadRequest:         ErrInvalidRequest,
 	http.StatusTooManyRequests:    ErrRejected,
 	http.StatusServiceUnavailable: ErrRejected,
 }
 
-// noCapacityMessage is the cloud's message when it has no machines of a type left.
+// noCapacityMessage is the cloud's error message when it has no machines left for a request.
 const noCapacityMessage = "no capacity"
 
-// translate returns what the error of a call means for its caller.
-func translate(err error) error {
+// translateError adds to the error of a call the one of ErrNoCapacity, ErrRejected and
+// ErrInvalidRequest that it stands for, if any.
+func translateError(err error) error {
 	var status *httpjson.StatusError
 	switch {
 	case errors.Is(err, httpjson.ErrRateLimited):
@@ -42,15 +44,15 @@
 }
 
 func translateStatus(status *httpjson.StatusError) error {
-	meaning := errorOfStatus[status.StatusCode]
+	sentinel := errorByStatus[status.StatusCode]
 	if status.StatusCode == http.StatusServiceUnavailable {
 		var r wire.ErrorResponse
 		if json.Unmarshal(status.Body, &r) == nil && r.Message == noCapacityMessage {
-			meaning = ErrNoCapacity
+			sentinel = ErrNoCapacity
 		}
 	}
-	if meaning != nil {
-		return fmt.Errorf("%w: %w", meaning, status)
+	if sentinel != nil {
+		return fmt.Errorf("%w: %w", sentinel, status)
 	}
 	return status
 }
