--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -14,7 +14,7 @@
 	"lynxledge/wire"
 )
 
-// Cloud is what the autoscaler needs of the cloud.
+// Cloud is the part of the cloud's API that the autoscaler uses.
 type Cloud interface {
 	Provision(ctx context.Context, r wire.ProvisionRequest) ([]wire.MachineID, error)
 	Delete(ctx context.Context, names []wire.MachineID) error
@@ -22,15 +22,15 @@
 	MachineTypes(ctx context.Context) ([]wire.MachineType, error)
 }
 
-// Prober asks a machine directly for its status.
+// Prober requests a machine's status directly from its worker.
 type Prober interface {
 	Inspect(ctx context.Context, addr string) (*wire.Heartbeat, error)
 }
 
-// Autoscaler is the actor.
+// Autoscaler is the actor that provisions and terminates machines.
 type Autoscaler struct {
 	*actor.Actor
-	ctx             context.Context // of the calls to the cloud and the workers
+	ctx             context.Context // for calls to the cloud and the workers
 	config          *config.Config
 	incarnation     uint64
 	cache           *statecache.Cache
@@ -39,13 +39,13 @@
 	onProbeResponse func(*wire.Heartbeat)
 	overload        *overload.Gauge
 
-	zoneRecovery    *recovery.ScalingPolicy // nil: zones that recover are treated like any other
-	onPoolExhausted func(pool resources.Pool, until time.Time)
+	zoneRecoveryPolicy *recovery.ScalingPolicy // nil: recovering zones are treated like any other
+	onPoolExhausted    func(pool resources.Pool, until time.Time)
 
 	view      *statecache.View
 	revision  uint64
 	freshAsOf time.Time
-	term      uint64 // of the leadership that the state below belongs to
+	term      uint64 // of the leadership to which the state below belongs
 
 	writes       *writeBudget
 	machineTypes machineCatalog
@@ -56,28 +56,28 @@
 	updates      *updateQueue
 	terminations *terminationTracker
 	instances    instanceListing
-	lastPlanned  time.Time // start of the last planning cycle
+	lastPlanned  time.Time // when planning last started
 }
 
-// Options are what an Autoscaler works with.
+// Options configures an Autoscaler.
 type Options struct {
 	Config          *config.Config
-	Incarnation     uint64 // of this process
+	Incarnation     uint64 // incarnation of this process
 	Cache           *statecache.Cache
 	Cloud           Cloud
 	Prober          Prober
 	OnProbeResponse func(*wire.Heartbeat)
-	StoreLimits     *storelimits.Tracker // nil: the limits are as configured
-	Overload        *overload.Gauge      // nil: this process is never overloaded
+	StoreLimits     *storelimits.Tracker // nil: the configured limits are in force
+	Overload        *overload.Gauge      // nil: this process never counts as overloaded
 }
 
-// mailboxSize is how many messages may wait for the actor before senders do.
+// mailboxSize is how many messages the actor's mailbox holds before Send blocks.
 const mailboxSize = 256
 
-// Start runs the actor until ctx ends; it acts only while this process leads.
+// Start starts the actor, which runs until ctx ends. It acts only while this process is the leader.
 func Start(ctx context.Context, o Options) *Autoscaler {
 	cfg := o.Config
-	r := &Autoscaler{
+	a := &Autoscaler{
 		Actor:           actor.Start(ctx, "autoscaler", mailboxSize),
 		ctx:             ctx,
 		config:          cfg,
@@ -96,95 +96,95 @@
 		provisioning:    newProvisioningTracker(),
 		updates:         newUpdateQueue(),
 		terminations:    newTerminationTracker(),
-		instances:       instanceListing{startedAt: time.Now()},
+		instances:       instanceListing{processStartedAt: time.Now()},
 	}
-	o.Cache.Subscribe(func(u statecache.Update) { r.Send(func() { r.apply(u) }) })
-	r.Every(cfg.Operator.PlanningInterval, r.runCycle)
-	r.Every(cfg.Params.Workers.HeartbeatInterval/2, r.checkLiveness)
-	return r
+	o.Cache.Subscribe(func(u statecache.Update) { a.Send(func() { a.apply(u) }) })
+	a.Every(cfg.Operator.PlanningInterval, a.runCycle)
+	a.Every(cfg.Params.Workers.HeartbeatInterval/2, a.checkLiveness)
+	return a
 }
 
-// SetZoneRecovery has scaling follow the recovery of zones, and sets who is told of pools that
-// the cloud has no machines of. To be called before the cache runs.
-func (r *Autoscaler) SetZoneRecovery(zones *recovery.ScalingPolicy, onPoolExhausted func(pool resources.Pool, until time.Time)) {
-	r.zoneRecovery, r.onPoolExhausted = zones, onPoolExhausted
+// SetZoneRecovery sets the policy for scaling while zones recover, and the callback for pools in
+// which the cloud had too few machines. It must be called before the cache runs.
+func (a *Autoscaler) SetZoneRecovery(policy *recovery.ScalingPolicy, onPoolExhausted func(pool resources.Pool, until time.Time)) {
+	a.zoneRecoveryPolicy, a.onPoolExhausted = policy, onPoolExhausted
 }
 
 // SetMachineTypes sets the machine types that the cloud offers.
-func (r *Autoscaler) SetMachineTypes(types []wire.MachineType) {
-	r.Send(func() { r.machineTypes.types = types })
+func (a *Autoscaler) SetMachineTypes(types []wire.MachineType) {
+	a.Send(func() { a.machineTypes.types = types })
 }
 
-// MachinesReachable tells of machines whose heartbeats reached some controller.
-func (r *Autoscaler) MachinesReachable(machines []wire.MachineID) {
+// MachinesReachable reports machines whose heartbeats reached any controller.
+func (a *Autoscaler) MachinesReachable(machines []wire.MachineID) {
 	now := time.Now()
-	r.Post(func() { r.liveness.heartbeatsReceived(machines, now) })
+	a.Post(func() { a.liveness.heartbeatsReceived(machines, now) })
 }
 
-// apply follows an update of the cache.
-func (r *Autoscaler) apply(u statecache.Update) {
-	r.revision, r.freshAsOf = u.Revision, u.FreshAsOf
+// apply applies an update of the cache to the view and to what is derived from it.
+func (a *Autoscaler) apply(u statecache.Update) {
+	a.revision, a.freshAsOf = u.Revision, u.FreshAsOf
 	now := time.Now()
 	for _, change := range u.Changes {
-		for _, machineChange := range r.view.Apply(change) {
-			r.applyMachineChange(machineChange, now)
+		for _, machineChange := range a.view.Apply(change) {
+			a.applyMachineChange(machineChange, now)
 		}
 		switch change.Kind {
 		case statecache.KindMachineGroup:
 			if group, _ := change.Record.(*statecache.MachineGroup); group != nil {
-				r.detectFaultyMachines(group.Terminations)
-				r.jobs.observeTerminations(group.Terminations, r.view.Jobs)
+				a.detectFaultyMachines(group.Terminations)
+				a.jobs.observeTerminations(group.Terminations, a.view.Jobs)
 			}
 		case statecache.KindJob:
 			job, _ := change.Record.(*statecache.Job)
-			r.applyJob(wire.JobID(change.Name), job)
+			a.applyJob(wire.JobID(change.Name), job)
 		}
 	}
 }
 
-// applyJob follows a job's new record, nil if there is none any more.
-func (r *Autoscaler) applyJob(id wire.JobID, job *statecache.Job) {
-	if ended := r.jobs.update(id, job); ended {
-		r.risks.forget(id)
+// applyJob handles a job's new record; nil if the record was deleted.
+func (a *Autoscaler) applyJob(id wire.JobID, job *statecache.Job) {
+	if ended := a.jobs.update(id, job); ended {
+		a.risks.forget(id)
 	}
 }
 
-// applyMachineChange follows a machine's new record.
-func (r *Autoscaler) applyMachineChange(change statecache.MachineChange, now time.Time) {
-	r.jobs.applyMachineChange(change, now)
+// applyMachineChange handles a machine's new record, or the removal of the record.
+func (a *Autoscaler) applyMachineChange(change statecache.MachineChange, now time.Time) {
+	a.jobs.applyMachineChange(change, now)
 	if change.New == nil {
-		r.liveness.forget(change.Machine)
-		r.updates.forget(change.Machine)
-		r.terminations.observe(change.Machine, now)
-		r.provisioning.clearExhausted(machinePool(change.Old))
+		a.liveness.forget(change.Machine)
+		a.updates.forget(change.Machine)
+		a.terminations.markTerminated(change.Machine, now)
+		a.provisioning.clearExhausted(machinePool(change.Old))
 		return
 	}
-	r.liveness.of(change.Machine).applyRecord(change.Old, change.New, now)
-	if r.hasRejoined(change.Old, change.New) {
-		r.liveness.of(change.Machine).lastReachable = now
+	a.liveness.of(change.Machine).applyRecord(change.Old, change.New, now)
+	if a.hasRejoined(change.Old, change.New) {
+		a.liveness.of(change.Machine).lastReachable = now
 	}
 }
 
-// hasRejoined tells whether a record shows a machine to be back: only a heartbeat of its own
-// begins a new incarnation. When a zone returns, the controller that receives it may not have
-// its streams to the leader open yet, and the leader would scale in machines that have just
-// come back.
-func (r *Autoscaler) hasRejoined(old, next *statecache.Machine) bool {
-	return r.zoneRecovery != nil && old != nil && next.Incarnation > old.Incarnation
+// hasRejoined reports whether a new record shows that a machine is back: only a heartbeat of the
+// machine raises its recorded incarnation. When a zone returns, the controller that receives the
+// heartbeat may not have its streams to the leader open yet; without this check the leader would
+// scale in machines that have just come back.
+func (a *Autoscaler) hasRejoined(old, next *statecache.Machine) bool {
+	return a.zoneRecoveryPolicy != nil && old != nil && next.Incarnation > old.Incarnation
 }
 
-// commit makes a change within the leader's part of the writes; reply runs in the actor.
-func (r *Autoscaler) commit(c statecache.Commit, reply func(statecache.Outcome)) {
-	r.After(r.writes.reserve(c.Ops()), func() {
-		r.cache.Commit(c, func(outcome statecache.Outcome) { r.Send(func() { reply(outcome) }) })
+// commit commits c once the write budget allows it. reply runs in the actor.
+func (a *Autoscaler) commit(c statecache.Commit, reply func(statecache.Outcome)) {
+	a.After(a.writes.reserve(c.Ops()), func() {
+		a.cache.Commit(c, func(outcome statecache.Outcome) { a.Send(func() { reply(outcome) }) })
 	})
 }
 
-// callOutside makes a call that takes its time, to the cloud or a worker, outside the actor,
-// and has its result handled inside. The call ends with the actor's context.
-func callOutside[T any](r *Autoscaler, call func(ctx context.Context) (T, error), handle func(T, error)) {
+// callAsync runs a blocking call to the cloud or a worker in a goroutine, so that the actor doesn't
+// wait for it, and runs handle in the actor. The call ends with the actor's context.
+func callAsync[T any](a *Autoscaler, call func(ctx context.Context) (T, error), handle func(T, error)) {
 	go func() {
-		result, err := call(r.ctx)
-		r.Send(func() { handle(result, err) })
+		result, err := call(a.ctx)
+		a.Send(func() { handle(result, err) })
 	}()
 }
--- a/internal/autoscaler/autoscaler_test.go
+++ b/internal/autoscaler/autoscaler_test.go
@@ -13,15 +13,15 @@
 	"lynxledge/wire"
 )
 
-// withLeader runs f with an autoscaler that leads, over a cloud that has limit machines of each
-// type, with a service that waits for one.
-func withLeader(t *testing.T, limit int, f func(cache *statecache.Cache, c *simulation.Cloud, r *Autoscaler), more ...wire.MachineType) {
+// withLeader runs f with the autoscaler of a leader, a simulated cloud that has limit machines of
+// each type, and a service with one pending replica.
+func withLeader(t *testing.T, limit int, f func(cache *statecache.Cache, c *simulation.Cloud, a *Autoscaler), extraTypes ...wire.MachineType) {
 	t.Helper()
-	withLeaderOn(t, simulation.NewNetwork(1, time.Millisecond), limit, f, more...)
+	withLeaderOn(t, simulation.NewNetwork(1, time.Millisecond), limit, f, extraTypes...)
 }
 
-// withLeaderOn does the same over a given network.
-func withLeaderOn(t *testing.T, net *simulation.Network, limit int, f func(cache *statecache.Cache, c *simulation.Cloud, r *Autoscaler), more ...wire.MachineType) {
+// withLeaderOn is like withLeader, over the given network.
+func withLeaderOn(t *testing.T, net *simulation.Network, limit int, f func(cache *statecache.Cache, c *simulation.Cloud, a *Autoscaler), extraTypes ...wire.MachineType) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -33,7 +33,7 @@
 		cfg.Params.Cloud = config.CloudLimits{RequestRate: 3, ListLag: 10 * time.Second}
 		cfg.Params.Teams = []config.TeamQuota{{Name: "red"}}
 		types := []wire.MachineType{{Name: "s", CPUs: 4, MemoryGB: 16, HourlyPrice: 1, BootTime: 25, Zones: []wire.Zone{"a"}}}
-		types = append(types, more...)
+		types = append(types, extraTypes...)
 		conn := &simulation.StoreConn{Store: simulation.NewStore(), Network: net, Member: "n0", Timeout: time.Second}
 		chunk := statecache.ChunkTasks(8)
 		cache := statecache.Start(ctx, conn, statecache.Options{ChunkTasks: chunk, WatchHold: time.Second, MaxViewAge: time.Second, Backoff: 100 * time.Millisecond})
@@ -43,9 +43,9 @@
 				PostHeartbeat: func(string) simulation.HeartbeatPoster { return nil },
 			}, 0)
 		})
-		r := Start(ctx, Options{Config: cfg, Incarnation: 7, Cache: cache, Cloud: &simulation.CloudConn{Cloud: cloud, Network: net, Member: "n0", Timeout: 4 * time.Second, MachineContext: ctx},
+		a := Start(ctx, Options{Config: cfg, Incarnation: 7, Cache: cache, Cloud: &simulation.CloudConn{Cloud: cloud, Network: net, Member: "n0", Timeout: 4 * time.Second, MachineContext: ctx},
 			Prober: &simulation.WorkerConn{Cloud: cloud, Network: net, Member: "n0", Timeout: time.Second}, OnProbeResponse: func(*wire.Heartbeat) {}})
-		r.SetMachineTypes(types)
+		a.SetMachineTypes(types)
 		cache.Run()
 		time.Sleep(time.Second)
 		cache.Commit(statecache.Commit{Puts: []statecache.Put{
@@ -55,26 +55,25 @@
 				ID: "req-000001", Team: "red", Kind: wire.KindService, Priority: wire.PriorityProduction, TaskCount: 1, CPUs: 4, MemoryGB: 1,
 			}}},
 		}}, func(statecache.Outcome) {})
-		f(cache, cloud, r)
+		f(cache, cloud, a)
 		cancel()
 		time.Sleep(time.Minute)
 	})
 }
 
-// The only machine of a pool that never comes up must not block the pool: it
-// did for three boot times, with every replica of the zone waiting.
+// Guards against a stuck boot of a pool's only machine blocking the pool: it used to do so for three
+// boot times, while every replica of the zone was pending.
 func TestStuckBootFreesItsPool(t *testing.T) {
 	withLeader(t, 1, func(_ *statecache.Cache, c *simulation.Cloud, _ *Autoscaler) {
 		c.StallBoots(1)
-		time.Sleep(75 * time.Second) // 1.6 boots, a planning cycle, and another boot
+		time.Sleep(75 * time.Second) // 1.6 boot times, a planning cycle, and another boot time
 		if len(c.RunningMachines()) != 1 {
 			t.Errorf("%d machines up", len(c.RunningMachines()))
 		}
 	})
 }
 
-// For one waiting replica one machine is provisioned, however many planning cycles its boot
-// takes.
+// One machine is provisioned for one pending replica, however many planning cycles its boot takes.
 func TestProvisionsOnce(t *testing.T) {
 	withLeader(t, 5, func(_ *statecache.Cache, c *simulation.Cloud, _ *Autoscaler) {
 		time.Sleep(24 * time.Second)
@@ -84,11 +83,11 @@
 	})
 }
 
-// An unreachable machine whose replicas did not fit on others was scaled in when half of them
-// did, though the cloud had no other: it is kept for two leases, since it may only be cut off.
-// One that runs arrays alone is scaled in soon.
+// Guards against scaling in an unreachable machine when only half of its replicas fit on others and
+// the cloud has no machine left: it may only be partitioned, so it is kept for two leases. One that
+// runs only arrays is scaled in soon.
 func TestIrreplaceableMachineIsKept(t *testing.T) {
-	withLeader(t, 0, func(cache *statecache.Cache, _ *simulation.Cloud, r *Autoscaler) {
+	withLeader(t, 0, func(cache *statecache.Cache, _ *simulation.Cloud, a *Autoscaler) {
 		group := func(m wire.MachineID, tasks ...statecache.TaskBinding) statecache.Put {
 			return statecache.Put{Key: statecache.Key(statecache.KindMachineGroup, "g."+string(m)), Record: &statecache.MachineGroup{
 				MachineType: "s", Zone: "a", ProvisionedAt: statecache.TimestampOf(time.Now()),
@@ -104,27 +103,27 @@
 		}}
 		reachable := []wire.MachineID{"i-1", "i-2", "i-3"}
 		for _, m := range reachable {
-			c.Puts = append(c.Puts, group(m, statecache.TaskBinding{Job: "req-000001", TaskIndex: len(c.Puts), Attempt: 1})) // no capacity left here
+			c.Puts = append(c.Puts, group(m, statecache.TaskBinding{Job: "req-000001", TaskIndex: len(c.Puts), Attempt: 1})) // leaves no capacity on m
 		}
 		cache.Commit(c, func(statecache.Outcome) {})
-		exist := func() (batch, replica bool) {
+		exist := func() (array, replica bool) {
 			ch := make(chan bool, 2)
-			r.Send(func() { ch <- r.view.Machines["i-8"] != nil; ch <- r.view.Machines["i-9"] != nil })
+			a.Send(func() { ch <- a.view.Machines["i-8"] != nil; ch <- a.view.Machines["i-9"] != nil })
 			return <-ch, <-ch
 		}
 		wait := func(s int) {
 			for range s {
-				r.MachinesReachable(reachable)
+				a.MachinesReachable(reachable)
 				time.Sleep(time.Second)
 			}
 		}
 		wait(5)
-		if batch, replica := exist(); !batch || !replica {
-			t.Errorf("scaled in after 5 s: batch %v, replica %v", !batch, !replica)
+		if array, replica := exist(); !array || !replica {
+			t.Errorf("scaled in after 5 s: array %v, replica %v", !array, !replica)
 		}
 		wait(20)
-		if batch, replica := exist(); batch || !replica {
-			t.Errorf("after 25 s: batch kept %v, replica kept %v", batch, replica)
+		if array, replica := exist(); array || !replica {
+			t.Errorf("after 25 s: array kept %v, replica kept %v", array, replica)
 		}
 		wait(60)
 		if _, replica := exist(); replica {
@@ -133,23 +132,23 @@
 	})
 }
 
-// When a pool is exhausted, the rest is provisioned elsewhere at once, and counted anew: while
-// the intent of the exhausted pool stood, its machines counted as provisioned, and waiting work
-// got none until the next planning cycle or the one after.
-func TestExhaustedPoolIsPlannedWithoutAtOnce(t *testing.T) {
+// After a shortfall of a pool, the remaining demand is planned again at once and provisioned from
+// other pools. If that is planned before the intent of the exhausted pool is deleted, its machines
+// count as provisioned, and pending work gets none until the next planning cycle or the one after.
+func TestReplansWithoutExhaustedPoolAtOnce(t *testing.T) {
 	expensive := wire.MachineType{Name: "l", CPUs: 16, MemoryGB: 64, HourlyPrice: 5, BootTime: 25, Zones: []wire.Zone{"a"}}
-	withLeader(t, 2, func(cache *statecache.Cache, c *simulation.Cloud, r *Autoscaler) {
+	withLeader(t, 2, func(cache *statecache.Cache, c *simulation.Cloud, a *Autoscaler) {
 		job := func(id wire.JobID, tasks int, types ...string) statecache.Put {
 			return statecache.Put{Key: statecache.Key(statecache.KindJob, string(id)), Record: &statecache.Job{TaskCount: tasks, SubmittedAt: statecache.TimestampOf(time.Now()), Spec: &wire.Job{
 				ID: id, Team: "red", Kind: wire.KindService, Priority: wire.PriorityProduction, TaskCount: tasks, CPUs: 4, MemoryGB: 1, MachineTypes: types,
 			}}}
 		}
 		cache.Commit(statecache.Commit{Puts: []statecache.Put{job("req-000002", 5), job("req-000003", 1, "l")}}, func(statecache.Outcome) {})
-		time.Sleep(6 * time.Second) // one planning cycle, and what follows from its shortfalls
+		time.Sleep(6 * time.Second) // one planning cycle, and the plans that follow its shortfalls
 		ch := make(chan map[string]int)
-		r.Send(func() {
+		a.Send(func() {
 			counts := map[string]int{}
-			for _, m := range r.view.Machines {
+			for _, m := range a.view.Machines {
 				counts[m.MachineType]++
 			}
 			ch <- counts
@@ -160,11 +159,11 @@
 	}, expensive)
 }
 
-// An update of a group whose record is full was taken for written when updates of other groups
-// were in the same transaction: a machine that was to be scaled in stayed. It waits until the
-// record is smaller.
+// An update of a group whose record is full stays pending until the record is smaller. It used to
+// count as written if updates of other groups were in the same transaction, so that a machine to be
+// scaled in was kept.
 func TestUpdateOfFullRecordWaits(t *testing.T) {
-	withLeader(t, 0, func(cache *statecache.Cache, _ *simulation.Cloud, r *Autoscaler) {
+	withLeader(t, 0, func(cache *statecache.Cache, _ *simulation.Cloud, a *Autoscaler) {
 		machine := func(name wire.MachineID, tasks int) *statecache.Machine {
 			m := &statecache.Machine{Name: name, Address: "x:1", Incarnation: 1, FencingToken: 1 << 33}
 			for n := range tasks {
@@ -175,46 +174,46 @@
 		put := func(group string, m *statecache.Machine) statecache.Put {
 			return statecache.Put{Key: statecache.Key(statecache.KindMachineGroup, group), Record: &statecache.MachineGroup{Name: group, MachineType: "s", Zone: "a", Machines: []*statecache.Machine{m}}}
 		}
-		limit := int(r.config.Params.Store.MaxValueKB * 1024)
+		limit := int(a.config.Params.Store.MaxValueKB * 1024)
 		full := machine("i-8", 1)
 		for n := 2; (&statecache.MachineGroup{MachineType: "s", Zone: "a", Machines: []*statecache.Machine{full}}).EncodedSize() < limit; n++ {
 			full = machine("i-8", n)
 		}
 		cache.Commit(statecache.Commit{Puts: []statecache.Put{put("full", full), put("small", machine("i-9", 0))}}, func(statecache.Outcome) {})
 		time.Sleep(time.Second)
-		drains := func(m wire.MachineID) (written, waits string) {
+		drainReasons := func(m wire.MachineID) (written, pending string) {
 			ch := make(chan string, 2)
-			r.Send(func() { ch <- r.view.Machines[m].DrainReason; ch <- r.updates.pending[m].drainReason })
+			a.Send(func() { ch <- a.view.Machines[m].DrainReason; ch <- a.updates.pending[m].drainReason })
 			return <-ch, <-ch
 		}
-		r.Send(func() {
-			r.enqueueUpdate("i-8", machineUpdate{drainReason: "faulty"})
-			r.enqueueUpdate("i-9", machineUpdate{drainReason: "faulty"})
+		a.Send(func() {
+			a.enqueueUpdate("i-8", machineUpdate{drainReason: "faulty"})
+			a.enqueueUpdate("i-9", machineUpdate{drainReason: "faulty"})
 		})
 		time.Sleep(time.Second)
-		if written, waits := drains("i-9"); written != "faulty" || waits != "" {
-			t.Errorf("the small record: %q written, %q waits", written, waits)
+		if written, pending := drainReasons("i-9"); written != "faulty" || pending != "" {
+			t.Errorf("the small record: %q written, %q pending", written, pending)
 		}
-		if written, waits := drains("i-8"); written != "" || waits != "faulty" {
-			t.Errorf("the full record: %q written, %q waits", written, waits)
+		if written, pending := drainReasons("i-8"); written != "" || pending != "faulty" {
+			t.Errorf("the full record: %q written, %q pending", written, pending)
 		}
 	})
 }
 
-// The commits of a provisioning arrive once more, up to a minute and a half late. By then the
-// group that they made has been merged into another: the copy must not bring its machine back
-// as one with nothing bound to it, or its task would be placed once more.
+// The commits that record a provisioned machine are duplicated, with a delay of up to a minute and a
+// half. By then their group has been merged into another: a duplicate must not restore the machine
+// with nothing bound to it, or its task would be placed a second time.
 func TestLateCommitDoesNotUndoAMerge(t *testing.T) {
 	net := simulation.NewNetwork(1, time.Millisecond)
-	withLeaderOn(t, net, 1, func(cache *statecache.Cache, _ *simulation.Cloud, r *Autoscaler) {
+	withLeaderOn(t, net, 1, func(cache *statecache.Cache, _ *simulation.Cloud, a *Autoscaler) {
 		time.Sleep(time.Second)
 		net.SetLossAndDuplication(0, 1)
 		time.Sleep(8 * time.Second)
 		net.SetLossAndDuplication(0, 0)
 		onlyMachine := func() (only statecache.Machine) {
 			ch := make(chan bool)
-			r.Send(func() {
-				for _, m := range r.view.Machines {
+			a.Send(func() {
+				for _, m := range a.view.Machines {
 					only = *m
 				}
 				ch <- true
@@ -232,7 +231,7 @@
 			Deletes: []string{statecache.Key(statecache.KindMachineGroup, m.Group)},
 		}, func(statecache.Outcome) {})
 		for range 100 {
-			r.MachinesReachable([]wire.MachineID{m.Name})
+			a.MachinesReachable([]wire.MachineID{m.Name})
 			time.Sleep(time.Second)
 		}
 		if m := onlyMachine(); m.Group != "other" || len(m.Bindings) != 1 {
@@ -241,13 +240,13 @@
 	})
 }
 
-// The updates of many machines of one group may make its record too large, though it is far
-// from full: in a later term each machine record that is rewritten grows. They have to be
-// written all the same, or unreachable machines are never scaled in.
+// The updates of many machines of one group may make its record too large, though it was far from
+// full: each machine entry that is rewritten in a later term grows. They must be written
+// nevertheless, or unreachable machines are never scaled in.
 func TestUpdatesThatFillARecordAreWritten(t *testing.T) {
-	withLeader(t, 0, func(cache *statecache.Cache, _ *simulation.Cloud, r *Autoscaler) {
-		time.Sleep(time.Second) // the first term is written, and this one comes after it
-		limit := r.config.Params.Store.ValueSizeLimit()
+	withLeader(t, 0, func(cache *statecache.Cache, _ *simulation.Cloud, a *Autoscaler) {
+		time.Sleep(time.Second) // term 1 is recorded; the test goes on in term 2
+		limit := a.config.Params.Store.ValueSizeLimit()
 		g := &statecache.MachineGroup{Name: "g", MachineType: "s", Zone: "a"}
 		for i := 0; g.EncodedSize() < limit*17/20; i++ {
 			m := &statecache.Machine{Name: wire.MachineID(fmt.Sprintf("i-%06d", 100+i)), Address: "x:1", Incarnation: 1, FencingToken: statecache.FirstToken(1) + 9}
@@ -261,17 +260,17 @@
 			{Key: statecache.Key(statecache.KindMachineGroup, "g"), Record: g},
 		}}, func(statecache.Outcome) {})
 		time.Sleep(time.Second)
-		r.Send(func() {
+		a.Send(func() {
 			for _, m := range g.Machines {
-				r.enqueueUpdate(m.Name, machineUpdate{suspected: true})
+				a.enqueueUpdate(m.Name, machineUpdate{suspected: true})
 			}
 		})
 		time.Sleep(10 * time.Second)
 		suspected := make(chan int)
-		r.Send(func() {
+		a.Send(func() {
 			count := 0
 			for _, m := range g.Machines {
-				if r.view.Machines[m.Name] != nil && r.view.Machines[m.Name].Suspected {
+				if a.view.Machines[m.Name] != nil && a.view.Machines[m.Name].Suspected {
 					count++
 				}
 			}
--- a/internal/autoscaler/cycle.go
+++ b/internal/autoscaler/cycle.go
@@ -8,50 +8,52 @@
 	"lynxledge/internal/planner"
 )
 
-// maxSkippedCycles bounds for how many planning cycles planning waits for processor time.
+// maxSkippedCycles is the maximum time, in planning cycles, that planning is put off while processor
+// time is short.
 const maxSkippedCycles = 4
 
-// runCycle is one cycle of the design's loop.
-func (r *Autoscaler) runCycle() {
-	if !r.isLeader() || len(r.machineTypes.types) == 0 {
+// runCycle runs one planning cycle: it lists the cloud's instances, calls the cloud for stored
+// intents, and plans.
+func (a *Autoscaler) runCycle() {
+	if !a.isLeader() || len(a.machineTypes.types) == 0 {
 		return
 	}
-	r.listInstances()
-	for name, intent := range r.view.ProvisioningIntents {
-		r.provision(name, intent) // repeats a lost call, of this leader or of an earlier one
+	a.listInstances()
+	for name, intent := range a.view.ProvisioningIntents {
+		a.provision(name, intent) // repeats a call whose outcome is unknown, of this leader or an earlier one
 	}
-	r.planAndApply()
+	a.planAndApply()
 }
 
-// planAndApply plans and acts on the plan.
-func (r *Autoscaler) planAndApply() {
-	if !r.isLeader() || len(r.machineTypes.types) == 0 || r.deferPlanning() {
+// planAndApply computes a plan and carries it out.
+func (a *Autoscaler) planAndApply() {
+	if !a.isLeader() || len(a.machineTypes.types) == 0 || a.deferPlanning() {
 		return
 	}
 	now := time.Now()
-	r.lastPlanned = now
-	waits := r.jobs.dependencyWaits(r.view, now)
-	r.logDeadlineRisks(waits, now)
-	in := r.planningInput(now, waits)
+	a.lastPlanned = now
+	waits := a.jobs.dependencyWaits(a.view, now)
+	a.logDeadlineRisks(waits, now)
+	in := a.planningInput(now, waits)
 	plan := planner.Compute(in)
-	r.logPlanningCycle(&in, &plan)
-	r.scaleOut(plan.ScaleOut)
+	a.logPlanningCycle(&in, &plan)
+	a.scaleOut(plan.ScaleOut)
 	for _, machine := range plan.ScaleIn {
-		r.scaleIn(machine, drainReasonIdle)
+		a.scaleIn(machine, drainReasonIdle)
 	}
-	r.scaleInDrained()
+	a.scaleInDrained()
 }
 
-// deferPlanning tells whether planning should wait, because the processor has more urgent
-// work to do.
-func (r *Autoscaler) deferPlanning() bool {
-	longest := r.config.Operator.PlanningIntervals(maxSkippedCycles)
-	return r.overload.Level() >= overload.Behind && time.Since(r.lastPlanned) < longest
+// deferPlanning reports whether to put planning off, because processor time is short and other
+// work is more urgent.
+func (a *Autoscaler) deferPlanning() bool {
+	maxDelay := a.config.Operator.PlanningIntervals(maxSkippedCycles)
+	return a.overload.Level() >= overload.Behind && time.Since(a.lastPlanned) < maxDelay
 }
 
-// logPlanningCycle logs what a planning cycle saw and decided.
-func (r *Autoscaler) logPlanningCycle(in *planner.Input, plan *planner.Plan) {
-	if !slog.Default().Enabled(r.ctx, slog.LevelDebug) {
+// logPlanningCycle logs the input and the result of a planning cycle.
+func (a *Autoscaler) logPlanningCycle(in *planner.Input, plan *planner.Plan) {
+	if !slog.Default().Enabled(a.ctx, slog.LevelDebug) {
 		return
 	}
 	booting, idle, tasks := 0, 0, 0
--- a/internal/autoscaler/deadline_risk.go
+++ b/internal/autoscaler/deadline_risk.go
@@ -10,10 +10,10 @@
 	"lynxledge/wire"
 )
 
-// deadlineRisks logs early that a pipeline will miss its deadline, and which stage makes it
-// late: once for each change.
+// deadlineRisks predicts which pipelines will miss their deadline, and which stage delays them. It
+// logs each change of the prediction once.
 type deadlineRisks struct {
-	blockedBy map[wire.JobID]wire.JobID // by last job of the late pipelines: the stage that makes them late
+	blockedBy map[wire.JobID]wire.JobID // by last job of the late pipelines: the stage that delays them
 }
 
 func newDeadlineRisks() *deadlineRisks {
@@ -23,8 +23,8 @@
 // forget drops a job that has ended.
 func (d *deadlineRisks) forget(id wire.JobID) { delete(d.blockedBy, id) }
 
-// check logs whether the pipeline that ends with a blocked job is at risk, if that has changed.
-// runtimeSeconds is the expected runtime of the job.
+// check updates the prediction for the pipeline that ends with a blocked job, and logs it if it has
+// changed. runtimeSeconds is the expected runtime of the job.
 func (d *deadlineRisks) check(id wire.JobID, job *statecache.Job, wait estimate.DependencyWait, runtimeSeconds float64, now time.Time) {
 	if job.Spec.Deadline == nil {
 		return
@@ -52,9 +52,9 @@
 }
 
 // logDeadlineRisks checks the pipelines that end with one of the blocked jobs.
-func (r *Autoscaler) logDeadlineRisks(waits map[wire.JobID]estimate.DependencyWait, now time.Time) {
+func (a *Autoscaler) logDeadlineRisks(waits map[wire.JobID]estimate.DependencyWait, now time.Time) {
 	for id, wait := range waits {
-		job := r.jobs.blocked[id]
-		r.risks.check(id, job, wait, r.jobs.runtimeSeconds(job.Spec), now)
+		job := a.jobs.blocked[id]
+		a.risks.check(id, job, wait, a.jobs.runtimeSeconds(job.Spec), now)
 	}
 }
--- a/internal/autoscaler/deadline_risk_test.go
+++ b/internal/autoscaler/deadline_risk_test.go
@@ -12,7 +12,7 @@
 	"lynxledge/wire"
 )
 
-// A predicted deadline miss of a pipeline and the stage that blocks it are logged once for each
+// A predicted deadline miss of a pipeline and the stage that delays it are logged once for each
 // change, and so is the end of the risk.
 func TestDeadlineRisksAreLoggedOnce(t *testing.T) {
 	var log bytes.Buffer
@@ -27,11 +27,11 @@
 		SubmittedAt: statecache.TimestampOf(now),
 		Blocked:     true,
 	}
-	r := &Autoscaler{jobs: newJobTracker(), risks: newDeadlineRisks()}
-	r.jobs.update("req-000009", last)
+	a := &Autoscaler{jobs: newJobTracker(), risks: newDeadlineRisks()}
+	a.jobs.update("req-000009", last)
 	for _, step := range []struct {
 		wait estimate.DependencyWait
-		want string // in what is logged; nothing if empty
+		want string // substring of the log output; empty: no output
 	}{
 		{estimate.DependencyWait{WaitSeconds: 60, BlockedBy: "req-000001"}, ""},
 		{estimate.DependencyWait{WaitSeconds: 120, BlockedBy: "req-000001"}, "blocked_by=req-000001"},
@@ -41,7 +41,7 @@
 		{estimate.DependencyWait{WaitSeconds: 50, BlockedBy: "req-000002"}, ""},
 	} {
 		log.Reset()
-		r.logDeadlineRisks(map[wire.JobID]estimate.DependencyWait{"req-000009": step.wait}, now)
+		a.logDeadlineRisks(map[wire.JobID]estimate.DependencyWait{"req-000009": step.wait}, now)
 		if got := log.String(); (step.want == "") != (got == "") || !strings.Contains(got, step.want) {
 			t.Errorf("%+v: logged %q, want %q", step.wait, got, step.want)
 		}
--- a/internal/autoscaler/empty_groups.go
+++ b/internal/autoscaler/empty_groups.go
@@ -5,23 +5,23 @@
 	"lynxledge/wire"
 )
 
-// deleteEmptyGroups deletes the records of groups of which nothing is left but completions of
+// deleteEmptyGroups deletes the records of groups that have no machines and no completions except of
 // jobs that have ended.
-func (r *Autoscaler) deleteEmptyGroups() {
-	lead, ok := r.leadership()
+func (a *Autoscaler) deleteEmptyGroups() {
+	lead, ok := a.leadership()
 	if !ok {
 		return
 	}
 	c := statecache.Commit{Preconditions: []wire.Precondition{lead.Precondition()}}
-	for name, group := range r.view.Groups {
-		if len(group.Machines) > 0 || len(c.Deletes) >= r.config.Params.Store.TxnOpsLimit() {
+	for name, group := range a.view.Groups {
+		if len(group.Machines) > 0 || len(c.Deletes) >= a.config.Params.Store.TxnOpsLimit() {
 			continue
 		}
-		if update := r.view.UpdateGroup(name); update.Empty() {
+		if update := a.view.UpdateGroup(name); update.Empty() {
 			update.AddTo(&c)
 		}
 	}
 	if c.Ops() > 0 {
-		r.commit(c, func(statecache.Outcome) {})
+		a.commit(c, func(statecache.Outcome) {})
 	}
 }
--- a/internal/autoscaler/instances_test.go
+++ b/internal/autoscaler/instances_test.go
@@ -6,8 +6,8 @@
 	"lynxledge/internal/config"
 )
 
-// Listing the instances of a large deployment leaves most of the cloud's calls for provisioning;
-// those of a small one are listed in every planning cycle.
+// Listing the instances of a large deployment leaves most of the rate of cloud calls for
+// provisioning; those of a small one are listed in every planning cycle.
 func TestListingLeavesCallsForProvisioning(t *testing.T) {
 	for _, requestRate := range []float64{3, 10} {
 		cfg := &config.Config{Operator: config.DefaultOperatorSettings()}
@@ -17,7 +17,7 @@
 		}
 		const pages = 9
 		calls := pages / listInterval(cfg, 4000).Seconds()
-		if most := requestRate * cfg.Operator.CloudRateShare / 3; calls > most {
+		if maxCalls := requestRate * cfg.Operator.CloudRateShare / 3; calls > maxCalls {
 			t.Errorf("%.2f of %v calls a second go to the list", calls, requestRate)
 		}
 	}
--- a/internal/autoscaler/job_tracker.go
+++ b/internal/autoscaler/job_tracker.go
@@ -9,12 +9,12 @@
 	"lynxledge/wire"
 )
 
-// jobTracker knows the jobs that have not ended, and how long their tasks run.
+// jobTracker tracks the jobs that have not ended, and how long their tasks run.
 type jobTracker struct {
 	active     map[wire.JobID]*statecache.Job // runnable now
 	blocked    map[wire.JobID]*statecache.Job // dependencies have not ended yet
 	runtimes   *estimate.RuntimeEstimator
-	boundSince map[wire.TaskID]time.Time // of the bound tasks
+	boundSince map[wire.TaskID]time.Time // when each bound task was first seen bound
 }
 
 func newJobTracker() *jobTracker {
@@ -26,8 +26,8 @@
 	}
 }
 
-// update follows a job's new record; nil if there is none any more. It tells whether the job
-// has ended.
+// update handles a job's new record; nil if the record was deleted. It reports whether the job has
+// ended.
 func (t *jobTracker) update(id wire.JobID, job *statecache.Job) (ended bool) {
 	delete(t.active, id)
 	delete(t.blocked, id)
@@ -43,7 +43,7 @@
 	return false
 }
 
-// applyMachineChange follows which tasks are bound.
+// applyMachineChange updates which tasks are bound.
 func (t *jobTracker) applyMachineChange(change statecache.MachineChange, now time.Time) {
 	for _, task := range statecache.UnboundTasks(change.Old, change.New) {
 		delete(t.boundSince, task.TaskID())
@@ -59,7 +59,7 @@
 	}
 }
 
-// observeTerminations learns from the runtimes of completed tasks.
+// observeTerminations updates the runtime estimates with the runtimes of completed tasks.
 func (t *jobTracker) observeTerminations(terminations []statecache.Termination, jobs map[wire.JobID]*statecache.Job) {
 	t.runtimes.Observe(terminations, jobs)
 }
@@ -72,7 +72,7 @@
 	return math.Max(0, runtimeSeconds-now.Sub(t.boundSince[task]).Seconds())
 }
 
-// dependencyWaits returns of each blocked job when its dependencies are expected to have ended.
+// dependencyWaits returns how long each blocked job is expected to wait for its dependencies.
 func (t *jobTracker) dependencyWaits(view *statecache.View, now time.Time) map[wire.JobID]estimate.DependencyWait {
 	if len(t.blocked) == 0 {
 		return nil
@@ -84,16 +84,16 @@
 		return 0
 	}
 	remainingSeconds := func(id wire.JobID) float64 {
-		job, whole := t.active[id], runtimeSeconds(id)
+		job, fullRuntime := t.active[id], runtimeSeconds(id)
 		if job == nil {
 			return 0
 		}
 		if view.PendingTasks(id, job) > 0 {
-			return whole
+			return fullRuntime
 		}
 		longest := 0.0
 		for index := range view.Bindings[id] {
-			longest = max(longest, t.remainingSeconds(wire.NewTaskID(id, index), whole, now))
+			longest = max(longest, t.remainingSeconds(wire.NewTaskID(id, index), fullRuntime, now))
 		}
 		return longest
 	}
--- a/internal/autoscaler/leadership.go
+++ b/internal/autoscaler/leadership.go
@@ -7,25 +7,26 @@
 	"lynxledge/internal/statecache"
 )
 
-// isLeader tells whether this process leads and its view can be trusted.
-func (r *Autoscaler) isLeader() bool {
-	_, ok := r.leadership()
+// isLeader reports whether this process is the leader and its view is fresh enough to act on.
+func (a *Autoscaler) isLeader() bool {
+	_, ok := a.leadership()
 	return ok
 }
 
-// leadership returns the leadership of this process, if it is confirmed.
-func (r *Autoscaler) leadership() (election.Leadership, bool) {
-	maxAge := r.config.Params.Workers.Heartbeats(statecache.MaxViewAgeHeartbeats)
-	lead, ok := election.ConfirmLeadership(r.view, r.incarnation, r.revision, r.freshAsOf, maxAge)
-	if ok && r.term != lead.Term() {
-		r.beginTerm(lead.Term())
+// leadership returns the leadership of this process, if its view confirms it. It begins the term if
+// that is new.
+func (a *Autoscaler) leadership() (election.Leadership, bool) {
+	maxAge := a.config.Params.Workers.Heartbeats(statecache.MaxViewAgeHeartbeats)
+	lead, ok := election.ConfirmLeadership(a.view, a.incarnation, a.revision, a.freshAsOf, maxAge)
+	if ok && a.term != lead.Term() {
+		a.beginTerm(lead.Term())
 	}
 	return lead, ok
 }
 
-// beginTerm resets the state that counts from the beginning of a term.
-func (r *Autoscaler) beginTerm(term uint64) {
-	r.term = term
-	r.provisioning.beginTerm(term)
-	r.liveness.beginTerm(time.Now())
+// beginTerm resets the state that starts anew with each term.
+func (a *Autoscaler) beginTerm(term uint64) {
+	a.term = term
+	a.provisioning.beginTerm(term)
+	a.liveness.beginTerm(time.Now())
 }
--- a/internal/autoscaler/liveness.go
+++ b/internal/autoscaler/liveness.go
@@ -7,30 +7,30 @@
 	"lynxledge/wire"
 )
 
-// machineLiveness is what the leader knows of a machine from its heartbeats and probes, or
-// from missing them.
+// machineLiveness is what the leader knows about a machine from heartbeats, probes and failed tasks,
+// or from the absence of heartbeats.
 type machineLiveness struct {
-	lastReachable       time.Time           // when its heartbeat reached some controller, or it answered a probe; zero: never
+	lastReachable       time.Time           // last heartbeat that reached any controller, or last answered probe; zero: none
 	suspectedAt         time.Time           // when it was recorded as suspected
-	lastFailedProbe     time.Time           // when a probe failed last
-	probing             bool                // a probe is under way
-	outboundPartitioned bool                // it answers probes, but its heartbeats reach nobody
-	failedJobs          map[wire.JobID]bool // jobs with tasks that failed on it since one completed
+	lastFailedProbe     time.Time           // when a probe last failed
+	probing             bool                // a probe is in flight
+	outboundPartitioned bool                // it answers probes, but its heartbeats reach no controller
+	failedJobs          map[wire.JobID]bool // jobs with tasks that failed on it since a task last completed
 }
 
-// applyRecord follows the machine's new record; old is nil if it is the first.
+// applyRecord handles the machine's new record; old is nil if it is the first.
 func (l *machineLiveness) applyRecord(old, next *statecache.Machine, now time.Time) {
 	firstHeartbeat := l.lastReachable.IsZero() && next.Incarnation > 0
 	noLongerSuspected := old != nil && old.Suspected && !next.Suspected
 	if firstHeartbeat || noLongerSuspected {
-		l.lastReachable = now // some controller receives its heartbeats
+		l.lastReachable = now // a controller receives its heartbeats
 	}
 	if next.Suspected && (old == nil || !old.Suspected) {
 		l.suspectedAt = now
 	}
 }
 
-// observeTermination takes note of how a task on the machine ended.
+// observeTermination records how a task on the machine ended.
 func (l *machineLiveness) observeTermination(t *statecache.Termination) {
 	switch t.Reason {
 	case wire.ReasonCompleted:
@@ -40,11 +40,11 @@
 	}
 }
 
-// probeSucceeded takes note of a probe's answer. incarnation is the one that the machine's
-// record had when the probe was sent. A machine that answers is not lost, its heartbeats may
-// just reach nobody. But if its lease has run out meanwhile, it loses all that is assigned to
-// it again and again: from then on its answers don't count, until a heartbeat of it arrives.
-// It tells whether this was the first sign of that.
+// probeSucceeded records an answered probe. incarnation is that of the machine's record when the
+// probe was sent. A machine that answers is not lost: perhaps only its heartbeats reach no
+// controller. But if its lease has expired meanwhile, which begins a new incarnation, it keeps
+// losing all tasks assigned to it: from then on its answers don't count until a heartbeat arrives.
+// partitionDetected is true for the first such answer.
 func (l *machineLiveness) probeSucceeded(response *wire.Heartbeat, incarnation uint64, now time.Time) (partitionDetected bool) {
 	if response.Incarnation > incarnation && !l.outboundPartitioned {
 		l.outboundPartitioned, partitionDetected = true, true
@@ -57,7 +57,7 @@
 	return partitionDetected
 }
 
-// livenessTracker knows the liveness of the machines.
+// livenessTracker tracks the liveness of all machines.
 type livenessTracker struct {
 	machines map[wire.MachineID]*machineLiveness
 }
@@ -66,7 +66,7 @@
 	return &livenessTracker{machines: map[wire.MachineID]*machineLiveness{}}
 }
 
-// of returns the liveness of a machine, made when it is first asked for.
+// of returns the liveness of a machine, which it creates on first use.
 func (t *livenessTracker) of(machine wire.MachineID) *machineLiveness {
 	l := t.machines[machine]
 	if l == nil {
@@ -79,7 +79,7 @@
 // forget drops a machine that is gone.
 func (t *livenessTracker) forget(machine wire.MachineID) { delete(t.machines, machine) }
 
-// heartbeatsReceived takes note of machines whose heartbeats reached some controller.
+// heartbeatsReceived records that heartbeats of machines reached a controller.
 func (t *livenessTracker) heartbeatsReceived(machines []wire.MachineID, now time.Time) {
 	for _, machine := range machines {
 		l := t.of(machine)
@@ -87,8 +87,8 @@
 	}
 }
 
-// beginTerm has the time since the last heartbeat count from now: what an earlier leader
-// received is not known.
+// beginTerm restarts the time since the last heartbeat at now, as it is not known what an earlier
+// leader received.
 func (t *livenessTracker) beginTerm(now time.Time) {
 	for _, l := range t.machines {
 		if !l.lastReachable.IsZero() {
--- a/internal/autoscaler/liveness_test.go
+++ b/internal/autoscaler/liveness_test.go
@@ -8,9 +8,9 @@
 	"lynxledge/wire"
 )
 
-// A machine that answers probes is reachable, until its lease ran out all the same: then only a
-// heartbeat makes it reachable again.
-func TestProbesDoNotCountOnceLeaseRanOut(t *testing.T) {
+// A machine that answers probes counts as reachable, unless its lease expired nevertheless: then
+// only a heartbeat makes it reachable again.
+func TestProbesDoNotCountOnceLeaseExpired(t *testing.T) {
 	tracker := newLivenessTracker()
 	now := time.Now()
 	l := tracker.of("i-1")
@@ -30,8 +30,8 @@
 	}
 }
 
-// In a new term, what is known to be up counts as reachable from then on; what was never up does
-// not.
+// At the start of a term, machines that have been up count as reachable at that time; machines that
+// have never been up don't.
 func TestTermBeginsWithReachableMachines(t *testing.T) {
 	tracker := newLivenessTracker()
 	start := time.Now()
@@ -47,7 +47,8 @@
 	}
 }
 
-// A zone is partitioned if most of its machines miss heartbeats and they are not just a few.
+// A zone counts as partitioned if most of its machines, and at least minPartitionedMachines, miss
+// heartbeats.
 func TestPartitionedZone(t *testing.T) {
 	for _, c := range []struct {
 		started, missed int
--- a/internal/autoscaler/machine_catalog.go
+++ b/internal/autoscaler/machine_catalog.go
@@ -10,10 +10,10 @@
 	"lynxledge/wire"
 )
 
-// machineCatalog is the machine types that the cloud offers; none until they were read.
+// machineCatalog holds the machine types that the cloud offers; none until they are first read.
 type machineCatalog struct {
 	types              []wire.MachineType
-	defaultBootSeconds float64 // of types that are not known
+	defaultBootSeconds float64 // boot time of unknown types
 }
 
 // find returns a machine type, or nil.
@@ -26,7 +26,7 @@
 	return nil
 }
 
-// byName returns the machine types by name, for many look-ups.
+// byName returns the machine types by name, for repeated lookups.
 func (c *machineCatalog) byName() map[string]*wire.MachineType {
 	types := map[string]*wire.MachineType{}
 	for i := range c.types {
@@ -35,7 +35,7 @@
 	return types
 }
 
-// bootSeconds returns the boot time of a machine type.
+// bootSeconds returns the boot time of a machine type, or the default for an unknown type.
 func (c *machineCatalog) bootSeconds(name string) float64 {
 	if t := c.find(name); t != nil {
 		return float64(t.BootTime)
@@ -43,12 +43,12 @@
 	return c.defaultBootSeconds
 }
 
-// isBootOverdue tells whether a machine has been booting for longer than is usual.
+// isBootOverdue reports whether a machine has been booting for longer than is usual for its type.
 func (c *machineCatalog) isBootOverdue(m *statecache.Machine, now time.Time) bool {
 	return c.bootExceeds(m, estimate.UsualBootFactor, now)
 }
 
-// bootExceeds tells whether a machine has been booting for longer than a multiple of its
+// bootExceeds reports whether a machine has been booting for longer than a multiple of its
 // type's boot time.
 func (c *machineCatalog) bootExceeds(m *statecache.Machine, multiple float64, now time.Time) bool {
 	bootTime := config.Seconds(multiple * c.bootSeconds(m.MachineType))
--- a/internal/autoscaler/machine_update.go
+++ b/internal/autoscaler/machine_update.go
@@ -5,25 +5,25 @@
 	"lynxledge/wire"
 )
 
-// Reasons for which machines are drained, as they are stored; others are in package statecache.
+// Drain reasons as they are stored. Those that other packages depend on are in package statecache.
 const (
-	// drainReasonIdle is the one reason for which a machine is scaled in only as it was seen:
-	// with nothing bound to it.
+	// drainReasonIdle is the only reason for which a machine is not scaled in once something is
+	// bound to it.
 	drainReasonIdle     = "idle"
 	drainReasonFaulty   = "faulty"        // tasks of too many jobs failed on it
-	drainReasonNeverUp  = "never came up" // no heartbeat of it arrived long after it was provisioned
+	drainReasonNeverUp  = "never came up" // no heartbeat arrived long after the machine was provisioned
 	drainReasonSlowBoot = "boot drags on and no other is to be had"
 )
 
-// machineUpdate is what the leader wants written of a machine.
+// machineUpdate is a change that the leader wants to write to a machine's record.
 type machineUpdate struct {
-	suspected   bool   // ask, through the record, whether anybody receives its heartbeats
-	drainReason string // bind nothing more to it, and say why
-	scaleIn     bool   // and terminate it
-	terminated  bool   // it is: the cloud answered its deletion
+	suspected   bool   // mark it as suspected; a controller that receives its heartbeats clears the mark
+	drainReason string // drain it for this reason, so that nothing more is bound to it
+	scaleIn     bool   // drain and terminate it
+	terminated  bool   // remove it: the cloud has confirmed its deletion
 }
 
-// stillNeeded tells whether an update still changes a machine's record.
+// stillNeeded reports whether an update would still change a machine's record.
 func (u machineUpdate) stillNeeded(m *statecache.Machine) bool {
 	switch {
 	case m == nil:
@@ -38,8 +38,7 @@
 	return !m.Suspected
 }
 
-// supersedes tells whether an update goes further than the one that is pending, and takes its
-// place.
+// supersedes reports whether an update goes further than the pending one and is to replace it.
 func (u machineUpdate) supersedes(pending machineUpdate) bool {
 	switch {
 	case pending.terminated:
@@ -52,7 +51,7 @@
 	return true
 }
 
-// applyTo changes a machine's record in the next record of its group.
+// applyTo applies the update to a machine's entry in the next record of its group.
 func (u machineUpdate) applyTo(group *statecache.GroupUpdate, machine wire.MachineID) {
 	if u.terminated {
 		group.RemoveMachine(machine)
--- a/internal/autoscaler/machine_update_test.go
+++ b/internal/autoscaler/machine_update_test.go
@@ -6,7 +6,7 @@
 	"lynxledge/internal/statecache"
 )
 
-// An update takes the place of a pending one only if it goes further.
+// An update replaces a pending one only if it goes further.
 func TestUpdateSupersedesLesserOnes(t *testing.T) {
 	none := machineUpdate{}
 	suspected := machineUpdate{suspected: true}
@@ -35,7 +35,7 @@
 	}
 }
 
-// An update that was written is dropped, unless another has taken its place meanwhile.
+// An update that was written is dropped, unless another has replaced it meanwhile.
 func TestCommittedUpdatesAreDropped(t *testing.T) {
 	queue := newUpdateQueue()
 	suspected := machineUpdate{suspected: true}
@@ -44,13 +44,14 @@
 	batch := newGroupUpdates(nil)
 	batch.machines["i-1"], batch.machines["i-2"] = suspected, suspected
 	queue.add("i-2", machineUpdate{drainReason: drainReasonIdle, scaleIn: true})
-	queue.committed(batch.machines)
+	queue.removeCommitted(batch.machines)
 	if _, pending := queue.pending["i-1"]; pending || !queue.pending["i-2"].scaleIn {
 		t.Errorf("pending: %v", queue.pending)
 	}
 }
 
-// An idle machine that was given a task since is not scaled in; an unreachable one is.
+// A machine that got a task after it was found idle is not scaled in; an unreachable one with a task
+// is.
 func TestIdleMachineWithTasksIsKept(t *testing.T) {
 	inUse := &statecache.Machine{Incarnation: 1, Bindings: []statecache.TaskBinding{{Job: "req-000001"}}}
 	if (machineUpdate{drainReason: drainReasonIdle, scaleIn: true}).stillNeeded(inUse) {
--- a/internal/autoscaler/planning_demands.go
+++ b/internal/autoscaler/planning_demands.go
@@ -13,11 +13,11 @@
 	"lynxledge/wire"
 )
 
-// overdueDeadlineMultiple is how many times its last deadline a job may wait for cheap
-// machines before any machine will do.
+// overdueDeadlineMultiple is the age of a job, in multiples of its last deadline, from which on it
+// no longer waits for cheap machines but takes any.
 const overdueDeadlineMultiple = 4
 
-// runnableDemands returns the pending tasks of runnable jobs.
+// runnableDemands returns demands for the pending tasks of runnable jobs.
 func (g *inputGatherer) runnableDemands() []planner.Demand {
 	var demands []planner.Demand
 	for id, job := range g.jobs.active {
@@ -28,9 +28,9 @@
 	return demands
 }
 
-// upcomingDemands returns the tasks of blocked jobs that become runnable soon. Their load
-// counts in their own window: their machines are provisioned so that they are up as the job
-// becomes runnable, not long before.
+// upcomingDemands returns demands for the tasks of blocked jobs that become runnable within the
+// boot lag and a planning interval, so that machines for them are up when the job becomes
+// runnable, but not long before. Their load is spread over the time until their own deadline.
 func (g *inputGatherer) upcomingDemands(waits map[wire.JobID]estimate.DependencyWait) []planner.Demand {
 	ops := &g.config.Operator
 	var demands []planner.Demand
@@ -46,7 +46,8 @@
 	return demands
 }
 
-// demand returns the pending tasks of a job that is runnable after a wait, if there are any.
+// demand returns the demand for the pending tasks of a job that is runnable after wait. ok is false
+// if it has none.
 func (g *inputGatherer) demand(id wire.JobID, job *statecache.Job, wait time.Duration) (demand planner.Demand, ok bool) {
 	pending := g.view.PendingTasks(id, job)
 	if pending <= 0 {
@@ -70,8 +71,8 @@
 	}, true
 }
 
-// firstFeasible returns the time from an age until the first deadline that a machine
-// provisioned now can still meet, or until the last deadline.
+// firstFeasible returns the time, from a job's age on, until the first of its deadlines that a
+// machine provisioned now can meet, or until the last deadline if there is none.
 func firstFeasible(deadlines []time.Duration, age, leadTime time.Duration) (untilDeadline time.Duration) {
 	for _, deadline := range deadlines {
 		untilDeadline = deadline - age
@@ -82,7 +83,7 @@
 	return untilDeadline
 }
 
-// limitByQuota returns how many of so many pending tasks the team's quota lets run at once.
+// limitByQuota limits the number of pending tasks to what the team's quota lets run at once.
 func (g *inputGatherer) limitByQuota(spec *wire.Job, pending int) int {
 	quota, ok := g.config.Params.TeamQuota(spec.Team)
 	if ok && quota.MaxCPUs > 0 {
@@ -94,8 +95,8 @@
 	return pending
 }
 
-// hasSuitableMachine tells whether any schedulable machine may run the job's tasks: then it
-// waits its turn, however late it is. More expensive machines would not make it any less late.
+// hasSuitableMachine reports whether any schedulable machine may run the job's tasks. If so, the
+// job waits its turn, however late it is: more expensive machines would not run it any sooner.
 func (g *inputGatherer) hasSuitableMachine(spec *wire.Job) bool {
 	for pool := range g.schedulablePools {
 		t := g.machineTypes.find(pool.MachineType)
@@ -108,7 +109,7 @@
 	return false
 }
 
-// replacementDemands returns a demand for each replica on a suspected machine: it may have to
+// replacementDemands returns a demand for each replica on a suspected machine, since it may have to
 // be replaced.
 func (g *inputGatherer) replacementDemands() []planner.Demand {
 	var demands []planner.Demand
--- a/internal/autoscaler/planning_demands_test.go
+++ b/internal/autoscaler/planning_demands_test.go
@@ -9,8 +9,7 @@
 	"lynxledge/wire"
 )
 
-// The deadline that counts is the first that a machine provisioned now can still meet, else the
-// last one.
+// The first deadline that a machine provisioned now can meet is chosen, or else the last one.
 func TestFirstFeasibleDeadline(t *testing.T) {
 	deadlines := []time.Duration{10 * time.Second, 60 * time.Second, 100 * time.Second}
 	for _, c := range []struct{ age, leadTime, want time.Duration }{
@@ -29,7 +28,7 @@
 func TestDemandIsLimitedByQuota(t *testing.T) {
 	cfg := &config.Config{}
 	cfg.Params.Teams = []config.TeamQuota{{Name: "red", MaxCPUs: 20, MaxGPUs: 2}, {Name: "blue"}}
-	gather := inputGatherer{config: cfg}
+	gatherer := inputGatherer{config: cfg}
 	for _, c := range []struct {
 		job  wire.Job
 		want int
@@ -39,17 +38,18 @@
 		{wire.Job{Team: "red", CPUs: 1}, 10},
 		{wire.Job{Team: "blue", CPUs: 4}, 10},
 	} {
-		if got := gather.limitByQuota(&c.job, 10); got != c.want {
+		if got := gatherer.limitByQuota(&c.job, 10); got != c.want {
 			t.Errorf("%+v: %d tasks, want %d", c.job, got, c.want)
 		}
 	}
 }
 
-// A machine suits a job if its pool is allowed and offered and its type is large enough.
+// A machine suits a job if the job allows its pool, the cloud offers the pool, and its type is large
+// enough.
 func TestSuitableMachine(t *testing.T) {
 	catalog := machineCatalog{types: []wire.MachineType{{Name: "s", CPUs: 4, MemoryGB: 16, Zones: []wire.Zone{"a"}}}}
 	pools := map[resources.Pool]bool{{MachineType: "s", Zone: "a", Spot: true}: true}
-	gather := inputGatherer{machineTypes: &catalog, schedulablePools: pools}
+	gatherer := inputGatherer{machineTypes: &catalog, schedulablePools: pools}
 	for _, c := range []struct {
 		job  wire.Job
 		want bool
@@ -59,13 +59,13 @@
 		{wire.Job{CPUs: 5, MemoryGB: 1, AllowSpot: true}, false},
 		{wire.Job{CPUs: 4, MemoryGB: 1, AllowSpot: true, Zone: "b"}, false},
 	} {
-		if got := gather.hasSuitableMachine(&c.job); got != c.want {
+		if got := gatherer.hasSuitableMachine(&c.job); got != c.want {
 			t.Errorf("%+v: %v", c.job, got)
 		}
 	}
 	delete(pools, resources.Pool{MachineType: "s", Zone: "a", Spot: true})
-	pools[resources.Pool{MachineType: "s", Zone: "b", Spot: true}] = true // no longer offered there
-	if gather.hasSuitableMachine(&wire.Job{CPUs: 4, MemoryGB: 1, AllowSpot: true}) {
+	pools[resources.Pool{MachineType: "s", Zone: "b", Spot: true}] = true // the type is no longer offered in zone b
+	if gatherer.hasSuitableMachine(&wire.Job{CPUs: 4, MemoryGB: 1, AllowSpot: true}) {
 		t.Error("a pool that is not offered suits")
 	}
 }
--- a/internal/autoscaler/planning_input.go
+++ b/internal/autoscaler/planning_input.go
@@ -13,31 +13,31 @@
 	"lynxledge/wire"
 )
 
-// planningInput gathers what a planning cycle is computed from.
-func (r *Autoscaler) planningInput(now time.Time, waits map[wire.JobID]estimate.DependencyWait) planner.Input {
-	ops := &r.config.Operator
-	gather := inputGatherer{
-		config:           r.config,
-		view:             r.view,
-		jobs:             r.jobs,
-		machineTypes:     &r.machineTypes,
+// planningInput gathers the input of a planning cycle.
+func (a *Autoscaler) planningInput(now time.Time, waits map[wire.JobID]estimate.DependencyWait) planner.Input {
+	ops := &a.config.Operator
+	gatherer := inputGatherer{
+		config:           a.config,
+		view:             a.view,
+		jobs:             a.jobs,
+		machineTypes:     &a.machineTypes,
 		now:              now,
-		schedulablePools: schedulablePools(r.view),
+		schedulablePools: schedulablePools(a.view),
 	}
 	in := planner.Input{
-		MachineTypes:            r.machineTypes.types,
-		Exhausted:               func(pool resources.Pool) bool { return r.provisioning.isExhausted(pool, now) },
+		MachineTypes:            a.machineTypes.types,
+		Exhausted:               func(pool resources.Pool) bool { return a.provisioning.isExhausted(pool, now) },
 		BootLagSeconds:          ops.BootLag.Seconds(),
 		PlanningIntervalSeconds: ops.PlanningInterval.Seconds(),
 		BillingPeriodSeconds:    ops.BillingPeriod.Seconds(),
 		HeadroomShare:           ops.HeadroomShare,
 		MaxPriceMultiple:        ops.MaxPriceMultiple,
 	}
-	if recovery.Recovering(r.view.ZoneRecoveries) {
-		in.AvoidedZone = func(zone wire.Zone) bool { return r.zoneRecovery.IsLost(r.view.ZoneRecoveries, zone) }
+	if recovery.Recovering(a.view.ZoneRecoveries) {
+		in.AvoidedZone = func(zone wire.Zone) bool { return a.zoneRecoveryPolicy.IsLost(a.view.ZoneRecoveries, zone) }
 	}
-	in.Demands = slices.Concat(gather.runnableDemands(), gather.upcomingDemands(waits), gather.replacementDemands())
-	in.Machines = append(gather.machines(r.zoneRecovery.WithheldSeconds(now, r.view)), gather.unnamedMachines()...)
+	in.Demands = slices.Concat(gatherer.runnableDemands(), gatherer.upcomingDemands(waits), gatherer.replacementDemands())
+	in.Machines = append(gatherer.machines(a.zoneRecoveryPolicy.WithheldSeconds(now, a.view)), gatherer.unnamedMachines()...)
 	return in
 }
 
@@ -48,10 +48,10 @@
 	jobs             *jobTracker
 	machineTypes     *machineCatalog
 	now              time.Time
-	schedulablePools map[resources.Pool]bool // pools that a schedulable machine is of
+	schedulablePools map[resources.Pool]bool // pools with at least one schedulable machine
 }
 
-// schedulablePools returns the pools that a schedulable machine is of.
+// schedulablePools returns the pools with at least one schedulable machine.
 func schedulablePools(view *statecache.View) map[resources.Pool]bool {
 	pools := map[resources.Pool]bool{}
 	for _, m := range view.Machines {
--- a/internal/autoscaler/planning_machines.go
+++ b/internal/autoscaler/planning_machines.go
@@ -9,8 +9,8 @@
 	"lynxledge/wire"
 )
 
-// machines returns the machines of the view with their tasks. withheldSeconds is when machines
-// that are up will take tasks, of those that don't yet.
+// machines returns the machines of the view with their tasks. withheldSeconds is, for
+// machines that are up but withheld while their zone recovers, the time until they take tasks.
 func (g *inputGatherer) machines(withheldSeconds map[wire.MachineID]float64) []planner.Machine {
 	machines := make([]planner.Machine, 0, len(g.view.Machines))
 	for name, record := range g.view.Machines {
@@ -23,7 +23,7 @@
 		}
 		if record.Incarnation == 0 {
 			m.ReadyInSeconds = math.Max(0, g.machineTypes.bootSeconds(record.MachineType)-m.AgeSeconds)
-			// A boot that is overdue may never end: it covers no load any more.
+			// An overdue boot may never finish: the machine no longer counts as capacity.
 			m.Schedulable = m.Schedulable && !g.machineTypes.isBootOverdue(record, g.now)
 		}
 		m.ReadyInSeconds = max(m.ReadyInSeconds, withheldSeconds[name])
@@ -50,7 +50,7 @@
 	return tasks
 }
 
-// unnamedMachines returns the machines that are being provisioned, whose names are not known
+// unnamedMachines returns the machines that are being provisioned and whose names are not known
 // yet.
 func (g *inputGatherer) unnamedMachines() []planner.Machine {
 	var machines []planner.Machine
--- a/internal/autoscaler/probe.go
+++ b/internal/autoscaler/probe.go
@@ -9,23 +9,23 @@
 	"lynxledge/wire"
 )
 
-// probe asks a machine that missed a heartbeat directly.
-func (r *Autoscaler) probe(name wire.MachineID, m *statecache.Machine) {
-	l := r.liveness.of(name)
+// probe requests the status of a machine that missed a heartbeat, unless a probe is in flight.
+func (a *Autoscaler) probe(name wire.MachineID, m *statecache.Machine) {
+	l := a.liveness.of(name)
 	if l.probing {
 		return
 	}
 	l.probing = true
-	callOutside(r,
-		func(ctx context.Context) (*wire.Heartbeat, error) { return r.prober.Inspect(ctx, m.Address) },
-		func(response *wire.Heartbeat, err error) { r.handleProbeResponse(name, m.Incarnation, response, err) })
+	callAsync(a,
+		func(ctx context.Context) (*wire.Heartbeat, error) { return a.prober.Inspect(ctx, m.Address) },
+		func(response *wire.Heartbeat, err error) { a.handleProbeResponse(name, m.Incarnation, response, err) })
 }
 
-// handleProbeResponse takes what a machine answered, or that it didn't.
-func (r *Autoscaler) handleProbeResponse(name wire.MachineID, incarnation uint64, response *wire.Heartbeat, err error) {
-	l := r.liveness.machines[name]
+// handleProbeResponse handles the response to a probe, or its failure.
+func (a *Autoscaler) handleProbeResponse(name wire.MachineID, incarnation uint64, response *wire.Heartbeat, err error) {
+	l := a.liveness.machines[name]
 	if l == nil {
-		return // it was terminated meanwhile
+		return // it has been terminated meanwhile
 	}
 	l.probing = false
 	now := time.Now()
@@ -36,5 +36,5 @@
 	if l.probeSucceeded(response, incarnation, now) {
 		slog.Info("outbound partition detected", "machine", name, "incarnation", response.Incarnation)
 	}
-	r.onProbeResponse(response)
+	a.onProbeResponse(response)
 }
--- a/internal/autoscaler/provisioned_batch.go
+++ b/internal/autoscaler/provisioned_batch.go
@@ -9,30 +9,32 @@
 	"lynxledge/wire"
 )
 
-// groupFillShare is the part of the value limit that a group's record is planned to fill when
-// its machines are in use.
+// groupFillShare is the share of the value size limit that the record of a new group is expected to
+// take up once its machines are in use.
 const groupFillShare = 0.8
 
-// provisionedBatch is an answered call of an intent, until its machines are recorded.
+// provisionedBatch is the result of one provisioning call of an intent. It exists until the machines
+// are recorded.
 type provisionedBatch struct {
 	intentName string
 	intent     *statecache.ProvisioningIntent
-	remaining  int  // of the intent's count, to be asked for in further batches
-	short      bool // the cloud had fewer machines than were asked for
+	remaining  int  // machines of the intent to be requested in further batches
+	shortfall  bool // the cloud had fewer machines than were requested
 }
 
-// key is the intent's key in the store.
-func (b *provisionedBatch) key() string {
+// intentKey returns the intent's key in the store.
+func (b *provisionedBatch) intentKey() string {
 	return statecache.Key(statecache.KindProvisioningIntent, b.intentName)
 }
 
-// done tells whether the intent is complete once these machines are recorded.
-func (b *provisionedBatch) done(unrecorded []wire.MachineID) bool {
+// completesIntent reports whether nothing of the intent is left to be recorded or requested.
+func (b *provisionedBatch) completesIntent(unrecorded []wire.MachineID) bool {
 	return len(unrecorded) == 0 && b.remaining == 0
 }
 
-// next returns the intent's next record, given the machines that are left to be recorded.
-func (b *provisionedBatch) next(unrecorded []wire.MachineID) *statecache.ProvisioningIntent {
+// nextIntent returns the intent's next record: the same as long as machines are left to be recorded,
+// then that of the next batch.
+func (b *provisionedBatch) nextIntent(unrecorded []wire.MachineID) *statecache.ProvisioningIntent {
 	next := *b.intent
 	if len(unrecorded) == 0 && b.remaining > 0 {
 		next.Count, next.Batch, next.RequestedAt = b.remaining, b.intent.Batch+1, statecache.TimestampOf(time.Now())
@@ -40,8 +42,8 @@
 	return &next
 }
 
-// addGroups adds the records of groups of at most perGroup machines to a commit that may have
-// so many of them. It returns the machines left.
+// addGroups adds records of groups with at most perGroup machines each to a commit, until it has
+// maxGroups puts. It returns the machines that are left.
 func (b *provisionedBatch) addGroups(c *statecache.Commit, machines []wire.MachineID, perGroup, maxGroups int, token uint64) (unrecorded []wire.MachineID) {
 	intent := b.intent
 	for len(machines) > 0 && len(c.Puts) < maxGroups {
@@ -64,57 +66,58 @@
 	return machines
 }
 
-// recordMachines stores the machines of a batch, in as many groups as their records need. With
-// the last, the intent goes on to the next batch, or is deleted. Every such commit has the
-// intent as a precondition and rewrites it: a group may have been merged into another since,
-// and a late copy of the commit that made it would bring its machines back with nothing bound
-// to them.
-func (r *Autoscaler) recordMachines(batch *provisionedBatch, machines []wire.MachineID) {
-	machines = slices.DeleteFunc(machines, r.isKnownOrInvalid)
-	stored := r.view.ProvisioningIntents[batch.intentName]
-	lead, leads := r.leadership()
-	if stored == nil || !leads {
-		r.provisioning.finish(batch.intentName) // who leads then repeats the call
+// recordMachines stores the machines of a batch, in as many groups as the size of their records
+// requires. The commit of the last ones moves the intent on to the next batch, or deletes it. Every
+// such commit has the intent as a precondition and rewrites it: a group may have been merged into
+// another since, and a delayed duplicate of the commit that created it would restore its machines
+// with nothing bound to them.
+func (a *Autoscaler) recordMachines(batch *provisionedBatch, machines []wire.MachineID) {
+	machines = slices.DeleteFunc(machines, a.isKnownOrInvalid)
+	stored := a.view.ProvisioningIntents[batch.intentName]
+	lead, isLeader := a.leadership()
+	if stored == nil || !isLeader {
+		a.provisioning.finish(batch.intentName) // whoever is leader then repeats the call
 		return
 	}
-	limits := r.config.Params.Store
+	limits := a.config.Params.Store
 	perGroup := statecache.MachinesPerGroup(int(float64(limits.ValueSizeLimit())*groupFillShare), batch.intent.TasksPerMachine)
 	c := statecache.Commit{
-		Preconditions: []wire.Precondition{lead.Precondition(), {Key: batch.key(), ModRevision: stored.ModRevision}},
-		RetryFor:      r.config.Operator.PlanningInterval,
+		Preconditions: []wire.Precondition{lead.Precondition(), {Key: batch.intentKey(), ModRevision: stored.ModRevision}},
+		RetryFor:      a.config.Operator.PlanningInterval,
 	}
-	unrecorded := batch.addGroups(&c, machines, perGroup, limits.TxnOpsLimit()-1, statecache.FirstToken(r.term))
-	next := batch.next(unrecorded)
-	if batch.done(unrecorded) {
-		c.Deletes = []string{batch.key()}
+	unrecorded := batch.addGroups(&c, machines, perGroup, limits.TxnOpsLimit()-1, statecache.FirstToken(a.term))
+	next := batch.nextIntent(unrecorded)
+	if batch.completesIntent(unrecorded) {
+		c.Deletes = []string{batch.intentKey()}
 	} else {
-		c.Puts = append(c.Puts, statecache.Put{Key: batch.key(), Record: next})
+		c.Puts = append(c.Puts, statecache.Put{Key: batch.intentKey(), Record: next})
 	}
-	r.commit(c, func(outcome statecache.Outcome) { r.handleRecorded(batch, unrecorded, next, outcome) })
+	a.commit(c, func(outcome statecache.Outcome) { a.handleRecorded(batch, unrecorded, next, outcome) })
 }
 
-// isKnownOrInvalid tells whether a provisioned machine is not to be recorded.
-func (r *Autoscaler) isKnownOrInvalid(name wire.MachineID) bool {
-	return r.terminations.wasTerminated(name) || !wire.ValidMachineName(string(name)) || r.view.Machines[name] != nil
+// isKnownOrInvalid reports whether a provisioned machine must not be recorded: it has a record, was
+// terminated, or has an invalid name.
+func (a *Autoscaler) isKnownOrInvalid(name wire.MachineID) bool {
+	return a.terminations.wasTerminated(name) || !wire.ValidMachineName(string(name)) || a.view.Machines[name] != nil
 }
 
-// handleRecorded goes on after a commit of a batch: with the machines left, the next batch, or
-// another planning cycle.
-func (r *Autoscaler) handleRecorded(batch *provisionedBatch, unrecorded []wire.MachineID, next *statecache.ProvisioningIntent, outcome statecache.Outcome) {
+// handleRecorded continues after a commit of a batch, with the machines that are left, the next
+// batch, or a new plan.
+func (a *Autoscaler) handleRecorded(batch *provisionedBatch, unrecorded []wire.MachineID, next *statecache.ProvisioningIntent, outcome statecache.Outcome) {
 	if outcome == statecache.Committed && len(unrecorded) > 0 {
-		r.recordMachines(batch, unrecorded)
+		a.recordMachines(batch, unrecorded)
 		return
 	}
-	r.provisioning.finish(batch.intentName)
+	a.provisioning.finish(batch.intentName)
 	if outcome == statecache.Committed && batch.remaining > 0 {
-		r.provision(batch.intentName, next)
+		a.provision(batch.intentName, next)
 	}
-	// A plan without the exhausted pool is made at once: waiting for the next planning cycle
-	// at every shortfall would leave work without a machine for as many cycles as there are
-	// pools. Not before its intent is gone, though: until then its machines count as
-	// provisioned. So it is with what was wanted of a pool while this intent was under way.
-	if batch.short || r.provisioning.replanWhenDone {
-		r.provisioning.replanWhenDone = false
-		r.planAndApply()
+	// After a shortfall, plan again without the exhausted pool right away: if every shortfall
+	// waited for the next planning cycle, work could be without a machine for as many cycles as
+	// there are pools. This must not happen before the pool's intent is gone, since until then its
+	// machines count as provisioned. The same applies to requests for a pool that was busy.
+	if batch.shortfall || a.provisioning.replanWhenDone {
+		a.provisioning.replanWhenDone = false
+		a.planAndApply()
 	}
 }
--- a/internal/autoscaler/provisioning.go
+++ b/internal/autoscaler/provisioning.go
@@ -8,14 +8,14 @@
 	"lynxledge/internal/statecache"
 )
 
-// provisioningTracker knows the provisioning under way and the pools that are exhausted.
+// provisioningTracker tracks the intents in flight and the exhausted pools.
 type provisioningTracker struct {
 	term            uint64
 	intentsRecorded int                          // in this term
-	inFlight        map[string]resources.Pool    // by name of the intent that is recorded, called for or completed
+	inFlight        map[string]resources.Pool    // pools of the intents that are being stored, called or recorded, by intent name
 	exhaustedUntil  map[resources.Pool]time.Time // pools that the cloud had too few machines of
-	// replanWhenDone tells that more is wanted of a pool than the provisioning under way asks
-	// for.
+	// replanWhenDone is set when a plan requests machines of a busy pool: planning runs again as
+	// soon as an intent is done.
 	replanWhenDone bool
 }
 
@@ -26,17 +26,17 @@
 	}
 }
 
-// beginTerm starts the names of intents anew: they contain the term, so that no name is used
-// twice.
+// beginTerm restarts the numbering of intents. Their names contain the term, so that no name is
+// used twice.
 func (t *provisioningTracker) beginTerm(term uint64) { t.term, t.intentsRecorded = term, 0 }
 
-// nextIntentName returns a name that no intent had yet.
+// nextIntentName returns a name that no earlier intent had.
 func (t *provisioningTracker) nextIntentName() string {
 	t.intentsRecorded++
 	return fmt.Sprintf("r-%d-%d", t.term, t.intentsRecorded)
 }
 
-// begin takes note that an intent is being worked on; false if it is already.
+// begin marks an intent as in flight. It returns false if the intent already is.
 func (t *provisioningTracker) begin(intentName string, pool resources.Pool) bool {
 	if _, busy := t.inFlight[intentName]; busy {
 		return false
@@ -45,10 +45,10 @@
 	return true
 }
 
-// finish takes note that nothing is under way for an intent any more.
+// finish marks an intent as no longer in flight.
 func (t *provisioningTracker) finish(intentName string) { delete(t.inFlight, intentName) }
 
-// busyPools returns the pools with provisioning under way, or with a stored intent.
+// busyPools returns the pools that have an intent in flight or a stored one.
 func (t *provisioningTracker) busyPools(intents map[string]*statecache.ProvisioningIntent) map[resources.Pool]bool {
 	busy := map[resources.Pool]bool{}
 	for _, pool := range t.inFlight {
@@ -60,15 +60,16 @@
 	return busy
 }
 
-// markExhausted has a pool left alone until a time.
+// markExhausted stops provisioning from a pool until the given time.
 func (t *provisioningTracker) markExhausted(pool resources.Pool, until time.Time) {
 	t.exhaustedUntil[pool] = until
 }
 
-// clearExhausted has a pool tried again: a machine of it went back to the cloud.
+// clearExhausted lets provisioning from a pool resume, since one of its machines was terminated and
+// may be available again.
 func (t *provisioningTracker) clearExhausted(pool resources.Pool) { delete(t.exhaustedUntil, pool) }
 
-// isExhausted tells whether a pool is left alone.
+// isExhausted reports whether nothing is to be provisioned from a pool at present.
 func (t *provisioningTracker) isExhausted(pool resources.Pool, now time.Time) bool {
 	return now.Before(t.exhaustedUntil[pool])
 }
--- a/internal/autoscaler/provisioning_test.go
+++ b/internal/autoscaler/provisioning_test.go
@@ -9,7 +9,7 @@
 	"lynxledge/wire"
 )
 
-// No intent has the name of an earlier one, in the same term or another.
+// No intent has the name of an earlier one, whether of the same term or of another.
 func TestIntentNamesAreUnique(t *testing.T) {
 	tracker := newProvisioningTracker()
 	names := map[string]bool{}
@@ -24,12 +24,12 @@
 	}
 }
 
-// A pool is busy while an intent of it is stored or under way.
+// A pool is busy while it has an intent that is stored or in flight.
 func TestBusyPools(t *testing.T) {
 	tracker := newProvisioningTracker()
 	inFlight, stored := resources.Pool{MachineType: "s", Zone: "a"}, resources.Pool{MachineType: "s", Zone: "b", Spot: true}
 	if !tracker.begin("r-1-1", inFlight) || tracker.begin("r-1-1", inFlight) {
-		t.Error("an intent is under way twice")
+		t.Error("an intent is in flight twice")
 	}
 	busy := tracker.busyPools(map[string]*statecache.ProvisioningIntent{"r-1-2": {MachineType: "s", Zone: "b", Spot: true}})
 	if len(busy) != 2 || !busy[inFlight] || !busy[stored] {
@@ -37,11 +37,11 @@
 	}
 	tracker.finish("r-1-1")
 	if busy := tracker.busyPools(nil); len(busy) != 0 {
-		t.Errorf("busy with nothing under way: %v", busy)
+		t.Errorf("busy with nothing in flight: %v", busy)
 	}
 }
 
-// An exhausted pool is left alone until its time, or until a machine of it goes back.
+// A pool is exhausted until the given time, or until one of its machines is terminated.
 func TestExhaustedPools(t *testing.T) {
 	tracker := newProvisioningTracker()
 	pool, now := resources.Pool{MachineType: "s", Zone: "a"}, time.Now()
@@ -51,12 +51,12 @@
 	}
 	tracker.clearExhausted(pool)
 	if tracker.isExhausted(pool, now) {
-		t.Error("exhausted after a machine went back")
+		t.Error("exhausted after a machine was terminated")
 	}
 }
 
-// A batch whose machines fill several commits keeps its intent as it is until the last of them;
-// then the intent goes on to the next batch.
+// When the machines of a batch take several commits, the intent stays the same until the last of
+// them, which moves it on to the next batch.
 func TestBatchIsRecordedInGroups(t *testing.T) {
 	machines := []wire.MachineID{"i-1", "i-2", "i-3", "i-4", "i-5"}
 	intent := &statecache.ProvisioningIntent{MachineType: "s", Zone: "a", Count: 8, Batch: 2}
@@ -66,14 +66,14 @@
 	if len(c.Puts) != 2 || len(c.Preconditions) != 2 || len(unrecorded) != 1 || unrecorded[0] != "i-5" {
 		t.Fatalf("%d groups, %v left", len(c.Puts), unrecorded)
 	}
-	if next := batch.next(unrecorded); batch.done(unrecorded) || next.Count != 8 || next.Batch != 2 {
+	if next := batch.nextIntent(unrecorded); batch.completesIntent(unrecorded) || next.Count != 8 || next.Batch != 2 {
 		t.Errorf("with machines left: %+v", next)
 	}
-	if next := batch.next(nil); batch.done(nil) || next.Count != 3 || next.Batch != 3 {
+	if next := batch.nextIntent(nil); batch.completesIntent(nil) || next.Count != 3 || next.Batch != 3 {
 		t.Errorf("for the next batch: %+v", next)
 	}
 	batch.remaining = 0
-	if !batch.done(nil) {
+	if !batch.completesIntent(nil) {
 		t.Error("not done with nothing left")
 	}
 }
--- a/internal/autoscaler/replacement.go
+++ b/internal/autoscaler/replacement.go
@@ -10,28 +10,28 @@
 	"lynxledge/wire"
 )
 
-// replacementFinder finds out whether the replicas of unreachable machines fit on others. Its
-// nodes are made when they are first needed: mostly no machine is unreachable, sometimes many.
+// replacementFinder checks whether the replicas of unreachable machines fit on other machines. It
+// builds its nodes once, on first use: usually no machine is unreachable, but sometimes many are.
 type replacementFinder struct {
 	autoscaler *Autoscaler
 	nodes      []*placement.Node
 }
 
-// canReplaceReplicas tells whether all replicas of an unreachable machine fit on other nodes.
-// If not, it is kept for as long as its lease may run: a machine that is cut off goes on
-// serving, a new one takes its time to boot, and the cloud may have none.
+// canReplaceReplicas reports whether all replicas of an unreachable machine fit on other nodes.
+// If not, the machine is kept for up to maxUnreachableTime: a partitioned machine goes on serving
+// until its lease expires, a new one takes time to boot, and the cloud may have none.
 func (f *replacementFinder) canReplaceReplicas(unreachable *statecache.Machine) bool {
 	if f.nodes == nil {
 		f.nodes = f.autoscaler.replicaNodes()
 	}
 	view := f.autoscaler.view
 	usedBefore := map[*placement.Node]resources.Vector{}
-	defer func() { // each unreachable machine is judged for itself
+	defer func() { // each unreachable machine is checked independently
 		for node, used := range usedBefore {
 			node.Used = used
 		}
 	}()
-	zones := zonesWithout(view, unreachable)
+	zones := zoneCountsWithout(view, unreachable)
 	for _, task := range unreachable.Bindings {
 		job := view.Jobs[task.Job]
 		if job == nil || !job.Active() || !job.Spec.IsService() {
@@ -52,8 +52,9 @@
 	return true
 }
 
-// zonesWithout counts, for each job with tasks on a machine, its bound tasks on the others by zone.
-func zonesWithout(view *statecache.View, machine *statecache.Machine) map[wire.JobID]placement.ZoneCounts {
+// zoneCountsWithout counts, for each job with tasks on a machine, its bound tasks on other machines
+// by zone.
+func zoneCountsWithout(view *statecache.View, machine *statecache.Machine) map[wire.JobID]placement.ZoneCounts {
 	zones := map[wire.JobID]placement.ZoneCounts{}
 	for _, task := range machine.Bindings {
 		if zones[task.Job] == nil {
@@ -64,19 +65,19 @@
 	return zones
 }
 
-// replicaNodes returns the schedulable machines, by name, except for those of lost zones, used as far as
-// replicas use them: work of lower priority is preempted.
-func (r *Autoscaler) replicaNodes() []*placement.Node {
-	types := r.machineTypes.byName()
-	nodes := make([]*placement.Node, 0, len(r.view.Machines))
-	for _, name := range slices.Sorted(maps.Keys(r.view.Machines)) {
-		m := r.view.Machines[name]
-		if types[m.MachineType] == nil || !m.Schedulable() || r.zoneRecovery.IsLost(r.view.ZoneRecoveries, m.Zone) {
+// replicaNodes returns the schedulable machines outside lost zones, sorted by name. Only tasks of
+// production priority count as used capacity: work of lower priority is preempted for replicas.
+func (a *Autoscaler) replicaNodes() []*placement.Node {
+	types := a.machineTypes.byName()
+	nodes := make([]*placement.Node, 0, len(a.view.Machines))
+	for _, name := range slices.Sorted(maps.Keys(a.view.Machines)) {
+		m := a.view.Machines[name]
+		if types[m.MachineType] == nil || !m.Schedulable() || a.zoneRecoveryPolicy.IsLost(a.view.ZoneRecoveries, m.Zone) {
 			continue
 		}
 		node := &placement.Node{Name: name, MachineType: types[m.MachineType], Zone: m.Zone, Spot: m.Spot}
 		for i := range m.Bindings {
-			job := r.view.Jobs[m.Bindings[i].Job]
+			job := a.view.Jobs[m.Bindings[i].Job]
 			if job != nil && job.Spec != nil && job.Spec.Priority == wire.PriorityProduction {
 				node.Used = node.Used.Plus(resources.OfTask(job.Spec), 1)
 			}
--- a/internal/autoscaler/replacement_test.go
+++ b/internal/autoscaler/replacement_test.go
@@ -8,8 +8,8 @@
 	"lynxledge/wire"
 )
 
-// replacementView is a view with a service of four replicas, two of them on an unreachable machine
-// of zone a, and one each on machines of zones b and c.
+// replacementView returns a view with a service of four replicas: two on an unreachable machine of
+// zone a, and one each on machines of zones b and c.
 func replacementView() *statecache.View {
 	view := statecache.NewUnfinishedView(8)
 	spec := &wire.Job{
@@ -29,16 +29,16 @@
 	return view
 }
 
-// Two replicas of a service on one unreachable machine count towards each other's zones (guards
-// against machines scaled in though only one of the two may be placed elsewhere).
-func TestReplicasOfOneMachineCountEachOthersZones(t *testing.T) {
+// Guards against scaling in an unreachable machine with two replicas of a service when only one of
+// them can be placed elsewhere: each replacement counts towards the zone spread of the next.
+func TestReplacementsCountTowardsZoneSpread(t *testing.T) {
 	for _, test := range []struct {
 		freeInC     float64
 		replaceable bool
 	}{{0, false}, {1, true}} {
 		view := replacementView()
-		r := &Autoscaler{view: view, machineTypes: machineCatalog{types: []wire.MachineType{{Name: "s", CPUs: 4, MemoryGB: 16}}}}
-		finder := &replacementFinder{autoscaler: r, nodes: r.replicaNodes()}
+		a := &Autoscaler{view: view, machineTypes: machineCatalog{types: []wire.MachineType{{Name: "s", CPUs: 4, MemoryGB: 16}}}}
+		finder := &replacementFinder{autoscaler: a, nodes: a.replicaNodes()}
 		for _, n := range finder.nodes {
 			if n.Zone == "c" {
 				n.Used = resources.Vector{CPUs: 4 - test.freeInC}
--- a/internal/autoscaler/scale_out.go
+++ b/internal/autoscaler/scale_out.go
@@ -17,33 +17,34 @@
 	"lynxledge/wire"
 )
 
-// exhaustionCycles is for how many planning cycles an exhausted pool is left alone.
+// exhaustionCycles is the number of planning cycles for which nothing is provisioned from an
+// exhausted pool.
 const exhaustionCycles = 4
 
-// scaleOut provisions what the plan wants, the pool with the largest load first. A pool has
-// one intent at a time, whose batches follow each other: one that falls short costs one call,
-// not one for every batch.
-func (r *Autoscaler) scaleOut(requests []planner.ScaleOutRequest) {
-	busy := r.provisioning.busyPools(r.view.ProvisioningIntents)
+// scaleOut provisions the machines that the plan requests, the pool with the largest load first. A
+// pool has one intent at a time, whose batches run one after the other, so that a shortfall costs
+// one call and not one for every batch.
+func (a *Autoscaler) scaleOut(requests []planner.ScaleOutRequest) {
+	busy := a.provisioning.busyPools(a.view.ProvisioningIntents)
 	slices.SortStableFunc(requests, func(a, b planner.ScaleOutRequest) int { return cmp.Compare(b.Load, a.Load) })
 	for _, request := range requests {
 		switch {
-		case r.provisioning.isExhausted(request.Pool, time.Now()):
+		case a.provisioning.isExhausted(request.Pool, time.Now()):
 		case busy[request.Pool]:
-			r.provisioning.replanWhenDone = true
+			a.provisioning.replanWhenDone = true
 		default:
-			r.recordIntent(request)
+			a.recordIntent(request)
 		}
 	}
 }
 
-// recordIntent stores what is to be provisioned, then provisions it.
-func (r *Autoscaler) recordIntent(request planner.ScaleOutRequest) {
-	lead, ok := r.leadership()
+// recordIntent stores an intent for a request, then makes its first call.
+func (a *Autoscaler) recordIntent(request planner.ScaleOutRequest) {
+	lead, ok := a.leadership()
 	if !ok {
 		return
 	}
-	name := r.provisioning.nextIntentName()
+	name := a.provisioning.nextIntentName()
 	intent := &statecache.ProvisioningIntent{
 		MachineType:     request.MachineType,
 		Zone:            request.Zone,
@@ -53,12 +54,12 @@
 		RequestedAt:     statecache.TimestampOf(time.Now()),
 	}
 	key := statecache.Key(statecache.KindProvisioningIntent, name)
-	r.provisioning.begin(name, request.Pool)
-	r.commit(statecache.Commit{
+	a.provisioning.begin(name, request.Pool)
+	a.commit(statecache.Commit{
 		Preconditions: []wire.Precondition{lead.Precondition(), {Key: key}},
 		Puts:          []statecache.Put{{Key: key, Record: intent}},
 	}, func(outcome statecache.Outcome) {
-		r.provisioning.finish(name)
+		a.provisioning.finish(name)
 		if outcome == statecache.Committed {
 			slog.Info("provisioning intent recorded",
 				"intent", name,
@@ -67,15 +68,15 @@
 				"spot", request.Spot,
 				"count", request.Count,
 				"load", math.Round(request.Load*100)/100)
-			r.provision(name, intent)
+			a.provision(name, intent)
 		}
 	})
 }
 
-// provision makes the next call of a stored intent. Each batch has a request ID of its own; the
-// same request ID gets the same answer.
-func (r *Autoscaler) provision(name string, intent *statecache.ProvisioningIntent) {
-	if !r.provisioning.begin(name, intentPool(intent)) {
+// provision calls the cloud for the current batch of a stored intent, unless the intent is in flight.
+// Each batch has its own request ID, so that a repeated call gets the same response.
+func (a *Autoscaler) provision(name string, intent *statecache.ProvisioningIntent) {
+	if !a.provisioning.begin(name, intentPool(intent)) {
 		return
 	}
 	request := wire.ProvisionRequest{
@@ -85,26 +86,26 @@
 		Spot:        intent.Spot,
 		Count:       batchSize(intent),
 	}
-	callOutside(r,
-		func(ctx context.Context) ([]wire.MachineID, error) { return r.cloud.Provision(ctx, request) },
-		func(machines []wire.MachineID, err error) { r.handleProvisioned(name, intent, machines, err) })
+	callAsync(a,
+		func(ctx context.Context) ([]wire.MachineID, error) { return a.cloud.Provision(ctx, request) },
+		func(machines []wire.MachineID, err error) { a.handleProvisioned(name, intent, machines, err) })
 }
 
-// batchSize is how many machines the next call of an intent asks for.
+// batchSize returns how many machines the next call of an intent requests.
 func batchSize(intent *statecache.ProvisioningIntent) int {
 	return min(intent.Count, wire.MaxMachinesPerProvision)
 }
 
-// handleProvisioned takes the cloud's answer to a batch.
-func (r *Autoscaler) handleProvisioned(name string, intent *statecache.ProvisioningIntent, machines []wire.MachineID, err error) {
+// handleProvisioned handles the cloud's response to the call for a batch.
+func (a *Autoscaler) handleProvisioned(name string, intent *statecache.ProvisioningIntent, machines []wire.MachineID, err error) {
 	rejected := errors.Is(err, cloud.ErrNoCapacity) || errors.Is(err, cloud.ErrInvalidRequest)
 	if err != nil && !rejected {
 		slog.Info("provision outcome unknown", "intent", name, "error", err)
-		r.provisioning.finish(name) // the next planning cycle repeats the call
+		a.provisioning.finish(name) // the next planning cycle repeats the call
 		return
 	}
-	if !r.isLeader() {
-		r.provisioning.finish(name)
+	if !a.isLeader() {
+		a.provisioning.finish(name)
 		return
 	}
 	slices.Sort(machines)
@@ -112,25 +113,25 @@
 		intentName: name,
 		intent:     intent,
 		remaining:  intent.Count - batchSize(intent),
-		short:      rejected || len(machines) < batchSize(intent),
+		shortfall:  rejected || len(machines) < batchSize(intent),
 	}
-	if batch.short {
+	if batch.shortfall {
 		batch.remaining = 0
-		r.handleShortfall(batch, len(machines))
+		a.handleShortfall(batch, len(machines))
 	}
-	r.recordMachines(batch, machines)
+	a.recordMachines(batch, machines)
 }
 
-// handleShortfall has the pool of a batch left alone for a while: the cloud had fewer machines
-// than were asked for.
-func (r *Autoscaler) handleShortfall(batch *provisionedBatch, provisioned int) {
+// handleShortfall marks the pool of a batch as exhausted for a while, since the cloud had fewer
+// machines than were requested.
+func (a *Autoscaler) handleShortfall(batch *provisionedBatch, provisioned int) {
 	intent, pool := batch.intent, intentPool(batch.intent)
-	until := time.Now().Add(r.config.Operator.PlanningIntervals(exhaustionCycles))
-	r.provisioning.markExhausted(pool, until)
-	if r.onPoolExhausted != nil {
-		r.onPoolExhausted(pool, until)
+	until := time.Now().Add(a.config.Operator.PlanningIntervals(exhaustionCycles))
+	a.provisioning.markExhausted(pool, until)
+	if a.onPoolExhausted != nil {
+		a.onPoolExhausted(pool, until)
 	}
-	r.abandonSlowBoots(pool)
+	a.abandonSlowBoots(pool)
 	slog.Info("capacity shortfall",
 		"intent", batch.intentName,
 		"batch", intent.Batch,
@@ -142,11 +143,11 @@
 }
 
 // abandonSlowBoots scales in the machines of a pool whose boots are overdue: while they exist,
-// the cloud may have no others to give in their place.
-func (r *Autoscaler) abandonSlowBoots(pool resources.Pool) {
-	for name, m := range r.view.Machines {
-		if machinePool(m) == pool && r.machineTypes.isBootOverdue(m, time.Now()) {
-			r.scaleIn(name, drainReasonSlowBoot)
+// the cloud may have no others to replace them.
+func (a *Autoscaler) abandonSlowBoots(pool resources.Pool) {
+	for name, m := range a.view.Machines {
+		if machinePool(m) == pool && a.machineTypes.isBootOverdue(m, time.Now()) {
+			a.scaleIn(name, drainReasonSlowBoot)
 		}
 	}
 }
--- a/internal/autoscaler/termination.go
+++ b/internal/autoscaler/termination.go
@@ -9,8 +9,8 @@
 	"lynxledge/wire"
 )
 
-// terminationTracker knows the deletions under way, and the machines that were terminated
-// lately: the cloud lists them for a while.
+// terminationTracker tracks the deletions in flight and the recently terminated machines, which
+// the cloud goes on listing for a while.
 type terminationTracker struct {
 	inFlight     map[wire.MachineID]bool
 	terminatedAt map[wire.MachineID]time.Time
@@ -20,18 +20,18 @@
 	return &terminationTracker{inFlight: map[wire.MachineID]bool{}, terminatedAt: map[wire.MachineID]time.Time{}}
 }
 
-// observe takes note of a machine whose record is gone.
-func (t *terminationTracker) observe(machine wire.MachineID, now time.Time) {
+// markTerminated records when the record of a terminated machine was removed.
+func (t *terminationTracker) markTerminated(machine wire.MachineID, now time.Time) {
 	t.terminatedAt[machine] = now
 }
 
-// wasTerminated tells whether a machine was terminated lately.
+// wasTerminated reports whether a machine was terminated recently.
 func (t *terminationTracker) wasTerminated(machine wire.MachineID) bool {
 	_, terminated := t.terminatedAt[machine]
 	return terminated
 }
 
-// forgetOlder drops machines that were terminated longer ago.
+// forgetOlder drops the machines that were terminated more than age ago.
 func (t *terminationTracker) forgetOlder(age time.Duration, now time.Time) {
 	for machine, at := range t.terminatedAt {
 		if now.Sub(at) > age {
@@ -40,47 +40,47 @@
 	}
 }
 
-// scaleIn drains a machine, so that nothing new is bound to it; then it is terminated.
-func (r *Autoscaler) scaleIn(machine wire.MachineID, reason string) {
-	r.enqueueUpdate(machine, machineUpdate{drainReason: reason, scaleIn: true})
+// scaleIn requests that a machine be drained, so that nothing more is bound to it, and terminated.
+func (a *Autoscaler) scaleIn(machine wire.MachineID, reason string) {
+	a.enqueueUpdate(machine, machineUpdate{drainReason: reason, scaleIn: true})
 }
 
-// scaleInDrained scales in drained machines that nothing is bound to any more.
-func (r *Autoscaler) scaleInDrained() {
-	for name, m := range r.view.Machines {
+// scaleInDrained scales in the drained machines to which nothing is bound any more.
+func (a *Autoscaler) scaleInDrained() {
+	for name, m := range a.view.Machines {
 		if m.DrainReason != "" && !m.Terminating && m.Incarnation > 0 && len(m.Bindings) == 0 {
-			r.scaleIn(name, m.DrainReason)
+			a.scaleIn(name, m.DrainReason)
 		}
 	}
 }
 
-// terminateMachines deletes at the cloud the machines that are scaled in; once that is
-// answered, they and their tasks are gone, and so are their records.
-func (r *Autoscaler) terminateMachines() {
-	if !r.isLeader() {
+// terminateMachines has the cloud delete the machines that are recorded as terminating. Once it has
+// confirmed, they and their tasks no longer exist, and their records are removed.
+func (a *Autoscaler) terminateMachines() {
+	if !a.isLeader() {
 		return
 	}
 	var names []wire.MachineID
-	for name, m := range r.view.Machines {
-		if m.Terminating && !r.terminations.inFlight[name] && !r.updates.pending[name].terminated && len(names) < wire.MaxMachinesPerDelete {
-			r.terminations.inFlight[name] = true
+	for name, m := range a.view.Machines {
+		if m.Terminating && !a.terminations.inFlight[name] && !a.updates.pending[name].terminated && len(names) < wire.MaxMachinesPerDelete {
+			a.terminations.inFlight[name] = true
 			names = append(names, name)
 		}
 	}
 	if len(names) == 0 {
 		return
 	}
-	callOutside(r,
-		func(ctx context.Context) (struct{}, error) { return struct{}{}, r.cloud.Delete(ctx, names) },
-		func(_ struct{}, err error) { r.handleDeleted(names, err) })
+	callAsync(a,
+		func(ctx context.Context) (struct{}, error) { return struct{}{}, a.cloud.Delete(ctx, names) },
+		func(_ struct{}, err error) { a.handleDeleted(names, err) })
 }
 
-// handleDeleted takes the cloud's answer to a deletion.
-func (r *Autoscaler) handleDeleted(names []wire.MachineID, err error) {
+// handleDeleted handles the cloud's response to a deletion.
+func (a *Autoscaler) handleDeleted(names []wire.MachineID, err error) {
 	for _, name := range names {
-		delete(r.terminations.inFlight, name)
+		delete(a.terminations.inFlight, name)
 		if err == nil {
-			r.enqueueUpdate(name, machineUpdate{terminated: true})
+			a.enqueueUpdate(name, machineUpdate{terminated: true})
 		}
 	}
 	if err != nil {
--- a/internal/autoscaler/update_batch.go
+++ b/internal/autoscaler/update_batch.go
@@ -7,20 +7,20 @@
 	"lynxledge/wire"
 )
 
-// updateOverheadBytes is what an update adds to a machine's record at most, with the
-// precondition and the key of a small group.
+// updateOverheadBytes is the most that an update adds to a machine's record, with an allowance for
+// the precondition and the key of a small group.
 const updateOverheadBytes = 64
 
-// updateBatch is one transaction of machine updates in the making.
+// updateBatch collects the machine updates of one transaction.
 type updateBatch struct {
-	writes    int // that the transaction may have now
-	maxWrites int // that a transaction may ever have
+	writes    int // limit for this transaction: what the write budget allows now
+	maxWrites int // the store's limit for any transaction
 	groups    map[string]*groupUpdates
-	bytes     int // that the records of the groups may take
+	bytes     int // upper bound of the size of the groups' records
 	commit    statecache.Commit
 }
 
-// groupUpdates are the machine updates of one group, and its next record.
+// groupUpdates holds the machine updates of one group, and the group's next record.
 type groupUpdates struct {
 	update   *statecache.GroupUpdate
 	machines map[wire.MachineID]machineUpdate
@@ -34,13 +34,14 @@
 	return &groupUpdates{update: update, machines: map[wire.MachineID]machineUpdate{}}
 }
 
-// add applies a machine update.
+// add applies a machine update to the group's next record.
 func (g *groupUpdates) add(machine wire.MachineID, update machineUpdate) {
 	update.applyTo(g.update, machine)
 	g.machines[machine] = update
 }
 
-// group returns the updates of a group, nil if the transaction has no room for it.
+// group returns the updates of a group, which it adds to the batch if necessary. It returns nil if
+// the transaction has no room for the group's record.
 func (b *updateBatch) group(view *statecache.View, name string) *groupUpdates {
 	if group := b.groups[name]; group != nil {
 		return group
@@ -59,12 +60,12 @@
 	return group
 }
 
-// assemble puts the records into the transaction. One of them that has become larger than
-// maxValueBytes is split, if the transaction has writes left for its parts; assignments are
-// preconditions of a split. The updates of a record that can't be written leave the batch, and
-// wait: taken for written, a machine to be scaled in was never terminated. assemble tells
-// whether there are any.
-func (b *updateBatch) assemble(maxValueBytes int, assignments map[wire.TeamName]uint64) (waiting bool) {
+// assemble adds the records to the transaction. At most one record that has become larger than
+// maxValueBytes is split, if the transaction has writes left for its parts; a split requires all
+// assignments as preconditions. The updates of a record that can't be written are removed from
+// the batch and stay pending; assemble reports whether there are any. If they counted as written,
+// a machine to be scaled in would never be terminated.
+func (b *updateBatch) assemble(maxValueBytes int, assignments map[wire.TeamName]uint64) (leftPending bool) {
 	var large []string
 	for name, group := range b.groups {
 		if group.update.TrimToFit(maxValueBytes) {
@@ -79,25 +80,25 @@
 			split = true
 			continue
 		}
-		waiting = true
+		leftPending = true
 		delete(b.groups, name)
 	}
 	if split {
 		b.commit.RequireAssignments(assignments)
 	}
-	return waiting
+	return leftPending
 }
 
-// addSplit makes a record and the parts that it is split into part of the transaction; false
-// if they don't fit there.
+// addSplit splits a record and adds it and its parts to the transaction. It returns false if that
+// is not possible.
 func (b *updateBatch) addSplit(update *statecache.GroupUpdate, maxValueBytes, assignments int) bool {
 	maxParts := b.writes - b.commit.Ops() - 1
 	parts, err := update.Split(maxValueBytes, maxParts)
 	if err != nil && b.writes < b.maxWrites {
-		return false // a larger transaction may have room
+		return false // a transaction with more writes may have room
 	}
-	// A transaction has room for a few preconditions per write: the leader's, those of the
-	// records, and as many assignments as writes.
+	// A transaction may have a few preconditions per write, which is enough for the leader's,
+	// those of the records, and at most maxWrites assignments.
 	if err != nil || !update.TrimToFit(maxValueBytes) || assignments > b.maxWrites {
 		slog.Error("group split failed, nothing written", "group", update.Name, "bytes", update.EncodedSize(), "error", err)
 		return false
--- a/internal/autoscaler/update_batch_test.go
+++ b/internal/autoscaler/update_batch_test.go
@@ -11,7 +11,8 @@
 	"lynxledge/wire"
 )
 
-// fullGroup is a group of another term whose record fills so many bytes.
+// fullGroup returns a group whose record was written in the first term and takes at least that many
+// bytes.
 func fullGroup(name string, bytes int) *statecache.MachineGroup {
 	g := &statecache.MachineGroup{Name: name, MachineType: "s", Zone: "a", ModRevision: 5}
 	for i := 0; g.EncodedSize() < bytes; i++ {
@@ -24,7 +25,8 @@
 	return g
 }
 
-// laterTermView is a view of groups in a later term, with teams assigned to some controller.
+// laterTermView returns a view of the groups in the second term, with teams assigned to a
+// controller.
 func laterTermView(groups []*statecache.MachineGroup, teams int) *statecache.View {
 	view := statecache.NewView(1000)
 	view.Apply(statecache.Change{Kind: statecache.KindTerm, Record: &statecache.Term{Number: 2, ModRevision: 1}})
@@ -37,12 +39,11 @@
 	return view
 }
 
-// However the groups are filled and whatever is wanted of their machines, each update that
-// leaves the batch is in exactly one record of the transaction, no machine but the terminated
-// ones is missing from it, and no record is beyond the limit. A record that was split has
-// itself, every assignment and the absence of its parts as preconditions: without the
-// assignments, a controller that the teams are assigned to could miss tasks on their way from
-// one record to the other.
+// For any sizes of groups and any updates of their machines: each update that stays in the batch is
+// in exactly one record of the transaction, only terminated machines are missing from the records,
+// and no record exceeds the size limit. The preconditions of a split are the record itself, every
+// assignment, and the absence of the parts: without the assignments, a controller that teams are
+// newly assigned to could miss tasks that move from one record to another.
 func TestUpdateBatchWritesEachUpdateOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const limit, maxWrites, teams = 2048, 8, 3
@@ -58,10 +59,10 @@
 				batch.groups[g.Name] = group
 			}
 		}
-		asked := len(batch.groups)
-		waiting := batch.assemble(limit, view.AssignmentRevisions())
-		if waiting != (len(batch.groups) < asked) || batch.commit.Ops() > batch.writes {
-			t.Fatalf("waiting %v with %d groups of %d, %d writes of %d", waiting, len(batch.groups), asked, batch.commit.Ops(), batch.writes)
+		requested := len(batch.groups)
+		leftPending := batch.assemble(limit, view.AssignmentRevisions())
+		if leftPending != (len(batch.groups) < requested) || batch.commit.Ops() > batch.writes {
+			t.Fatalf("left pending %v with %d groups of %d, %d writes of %d", leftPending, len(batch.groups), requested, batch.commit.Ops(), batch.writes)
 		}
 		written := checkRecords(t, batch, limit)
 		checkSplitPreconditions(t, batch, view)
@@ -69,7 +70,7 @@
 	})
 }
 
-// drawUpdates draws what is wanted of the machines of a group.
+// drawUpdates draws updates of the machines of a group.
 func drawUpdates(t *rapid.T, view *statecache.View, g *statecache.MachineGroup) *groupUpdates {
 	t.Helper()
 	group := newGroupUpdates(view.UpdateGroup(g.Name))
@@ -86,8 +87,8 @@
 	return group
 }
 
-// checkRecords checks the size and the precondition of each record written, and that no machine
-// is in two of them. It returns the machines written.
+// checkRecords checks the size and the precondition of each written record, and that no machine is
+// in two of them. It returns the machines of all records.
 func checkRecords(t *rapid.T, batch *updateBatch, limit int) map[wire.MachineID]*statecache.Machine {
 	t.Helper()
 	written := map[wire.MachineID]*statecache.Machine{}
@@ -125,7 +126,7 @@
 	}
 }
 
-// checkMachinesWritten checks that each machine of the batch is written as its update wants.
+// checkMachinesWritten checks that each machine of the batch is written as its update requires.
 func checkMachinesWritten(t *rapid.T, batch *updateBatch, view *statecache.View, written map[wire.MachineID]*statecache.Machine) {
 	t.Helper()
 	for name, group := range batch.groups {
@@ -148,8 +149,8 @@
 	}
 }
 
-// A record for whose parts the transaction has no room waits, and doesn't hold up the
-// others; in a transaction of its own it is written.
+// A record whose parts don't fit into the transaction stays pending and doesn't block the others;
+// it is written in a transaction of its own.
 func TestLargeRecordWaitsForRoom(t *testing.T) {
 	const limit = 2048
 	large, small := fullGroup("large", limit*19/20), fullGroup("small", limit/4)
@@ -166,11 +167,11 @@
 		return batch
 	}
 	batch := newBatch(2, large, small)
-	if waiting := batch.assemble(limit, view.AssignmentRevisions()); !waiting || batch.groups["large"] != nil || batch.groups["small"] == nil || batch.commit.Ops() != 1 {
-		t.Errorf("both at once: waiting %v, %d writes", waiting, batch.commit.Ops())
+	if leftPending := batch.assemble(limit, view.AssignmentRevisions()); !leftPending || batch.groups["large"] != nil || batch.groups["small"] == nil || batch.commit.Ops() != 1 {
+		t.Errorf("both at once: left pending %v, %d writes", leftPending, batch.commit.Ops())
 	}
 	batch = newBatch(3, large)
-	if waiting := batch.assemble(limit, view.AssignmentRevisions()); waiting || batch.groups["large"] == nil || batch.commit.Ops() < 2 {
-		t.Errorf("alone: waiting %v, %d writes", waiting, batch.commit.Ops())
+	if leftPending := batch.assemble(limit, view.AssignmentRevisions()); leftPending || batch.groups["large"] == nil || batch.commit.Ops() < 2 {
+		t.Errorf("alone: left pending %v, %d writes", leftPending, batch.commit.Ops())
 	}
 }
--- a/internal/autoscaler/update_queue.go
+++ b/internal/autoscaler/update_queue.go
@@ -8,10 +8,11 @@
 	"lynxledge/wire"
 )
 
-// updateDelayCycles, in planning cycles, is for how long the updates of one group are collected.
+// updateDelayCycles is the delay of a flush, in planning cycles, so that updates of one group are
+// written together.
 const updateDelayCycles = 0.02
 
-// updateQueue holds the machine updates that wait to be written.
+// updateQueue holds the machine updates that are pending.
 type updateQueue struct {
 	pending        map[wire.MachineID]machineUpdate
 	commitInFlight bool
@@ -21,8 +22,8 @@
 	return &updateQueue{pending: map[wire.MachineID]machineUpdate{}}
 }
 
-// add adds an update; what goes further takes the place of what was wanted before. It tells
-// whether the update is pending now.
+// add adds an update if it supersedes the machine's pending one, which it then replaces. It reports
+// whether the update was added.
 func (q *updateQueue) add(machine wire.MachineID, update machineUpdate) bool {
 	if !update.supersedes(q.pending[machine]) {
 		return false
@@ -31,11 +32,11 @@
 	return true
 }
 
-// forget drops the update of a machine that is gone.
+// forget drops a machine's pending update.
 func (q *updateQueue) forget(machine wire.MachineID) { delete(q.pending, machine) }
 
-// committed drops updates that were written, unless others have taken their place.
-func (q *updateQueue) committed(updates map[wire.MachineID]machineUpdate) {
+// removeCommitted drops updates that were written, unless others have replaced them meanwhile.
+func (q *updateQueue) removeCommitted(updates map[wire.MachineID]machineUpdate) {
 	for machine, update := range updates {
 		if q.pending[machine] == update {
 			delete(q.pending, machine)
@@ -43,77 +44,78 @@
 	}
 }
 
-// enqueueUpdate has a machine update written with the next transaction.
-func (r *Autoscaler) enqueueUpdate(machine wire.MachineID, update machineUpdate) {
-	if r.updates.add(machine, update) && !r.updates.commitInFlight {
-		r.flushLater()
+// enqueueUpdate queues a machine update for the next transaction.
+func (a *Autoscaler) enqueueUpdate(machine wire.MachineID, update machineUpdate) {
+	if a.updates.add(machine, update) && !a.updates.commitInFlight {
+		a.flushLater()
 	}
 }
 
-// flushLater flushes once more updates may have come together.
-func (r *Autoscaler) flushLater() {
-	r.After(r.config.Operator.PlanningIntervals(updateDelayCycles), r.flush)
+// flushLater schedules a flush after a delay in which more updates may arrive.
+func (a *Autoscaler) flushLater() {
+	a.After(a.config.Operator.PlanningIntervals(updateDelayCycles), a.flush)
 }
 
-// flushAfterWrites flushes once so many more writes are available.
-func (r *Autoscaler) flushAfterWrites(writes int) { r.After(r.writes.timeFor(writes), r.flush) }
+// flushWhenWritesAvailable schedules a flush for when that many more writes are available.
+func (a *Autoscaler) flushWhenWritesAvailable(writes int) {
+	a.After(a.writes.refillTime(writes), a.flush)
+}
 
-// flush writes pending updates: those of as many groups as a transaction holds.
-func (r *Autoscaler) flush() {
-	if r.updates.commitInFlight || len(r.updates.pending) == 0 {
+// flush writes the pending updates of as many groups as fit into one transaction.
+func (a *Autoscaler) flush() {
+	if a.updates.commitInFlight || len(a.updates.pending) == 0 {
 		return
 	}
-	// The transaction is put together when it can be written, not before: its preconditions
-	// would be old by then.
-	maxWrites := r.config.Params.Store.TxnOpsLimit()
-	writes := min(maxWrites, r.writes.available())
+	// The transaction is assembled only when it can be written: if assembled earlier, its
+	// preconditions would be outdated by then.
+	maxWrites := a.config.Params.Store.TxnOpsLimit()
+	writes := min(maxWrites, a.writes.available())
 	if writes < 1 {
-		r.flushAfterWrites(1)
+		a.flushWhenWritesAvailable(1)
 		return
 	}
-	batch := r.collectUpdates(writes, maxWrites)
-	waiting := batch.assemble(r.config.Params.Store.ValueSizeLimit(), r.view.AssignmentRevisions())
+	batch := a.collectUpdates(writes, maxWrites)
+	leftPending := batch.assemble(a.config.Params.Store.ValueSizeLimit(), a.view.AssignmentRevisions())
 	if batch.commit.Ops() == 0 {
-		if waiting && writes < maxWrites {
-			r.flushAfterWrites(maxWrites - writes)
+		if leftPending && writes < maxWrites {
+			a.flushWhenWritesAvailable(maxWrites - writes)
 		}
 		return
 	}
-	r.updates.commitInFlight = true
-	r.commit(batch.commit, func(outcome statecache.Outcome) { r.handleFlushed(batch, outcome) })
+	a.updates.commitInFlight = true
+	a.commit(batch.commit, func(outcome statecache.Outcome) { a.handleFlushed(batch, outcome) })
 }
 
-// handleFlushed goes on after the commit of a batch.
-func (r *Autoscaler) handleFlushed(batch *updateBatch, outcome statecache.Outcome) {
-	r.updates.commitInFlight = false
+// handleFlushed continues after the commit of a batch.
+func (a *Autoscaler) handleFlushed(batch *updateBatch, outcome statecache.Outcome) {
+	a.updates.commitInFlight = false
 	if outcome != statecache.Committed {
-		if len(r.updates.pending) > 0 {
-			r.flushLater()
+		if len(a.updates.pending) > 0 {
+			a.flushLater()
 		}
 		return
 	}
 	for _, group := range batch.groups {
-		r.updates.committed(group.machines)
-		r.logScaleIn(group.machines)
+		a.updates.removeCommitted(group.machines)
+		a.logScaleIn(group.machines)
 	}
-	r.terminateMachines()
-	r.flush()
+	a.terminateMachines()
+	a.flush()
 }
 
-// collectUpdates applies pending updates to the next records of their groups, and drops those
-// that nothing has to be written for any more. That machines are gone needs no leadership; the
-// rest does.
-func (r *Autoscaler) collectUpdates(writes, maxWrites int) *updateBatch {
+// collectUpdates applies pending updates to the next records of their groups, and drops those that
+// are no longer needed. Removing a terminated machine requires no leadership; all other updates do.
+func (a *Autoscaler) collectUpdates(writes, maxWrites int) *updateBatch {
 	batch := newUpdateBatch(writes, maxWrites)
-	lead, leads := r.leadership()
+	lead, isLeader := a.leadership()
 	needsLeadership := false
-	for machine, update := range r.updates.pending {
-		record := r.view.Machines[machine]
-		if !update.stillNeeded(record) || !leads && !update.terminated {
-			r.updates.forget(machine)
+	for machine, update := range a.updates.pending {
+		record := a.view.Machines[machine]
+		if !update.stillNeeded(record) || !isLeader && !update.terminated {
+			a.updates.forget(machine)
 			continue
 		}
-		if group := batch.group(r.view, record.Group); group != nil {
+		if group := batch.group(a.view, record.Group); group != nil {
 			group.add(machine, update)
 			needsLeadership = needsLeadership || !update.terminated
 		}
@@ -124,10 +126,10 @@
 	return batch
 }
 
-// logScaleIn logs which of the updates written scale in a machine.
-func (r *Autoscaler) logScaleIn(updates map[wire.MachineID]machineUpdate) {
+// logScaleIn logs those of the written updates that scale in a machine.
+func (a *Autoscaler) logScaleIn(updates map[wire.MachineID]machineUpdate) {
 	for machine, update := range updates {
-		m := r.view.Machines[machine]
+		m := a.view.Machines[machine]
 		if m == nil || !update.scaleIn {
 			continue
 		}
--- a/internal/autoscaler/write_budget.go
+++ b/internal/autoscaler/write_budget.go
@@ -9,8 +9,8 @@
 	"lynxledge/internal/storelimits"
 )
 
-// writeBudget keeps the leader's commits within its part of the store's write rate: what the
-// schedulers' share leaves.
+// writeBudget keeps the leader's commits within its share of the store's write rate, which is what
+// the schedulers' share leaves.
 type writeBudget struct {
 	config  *config.Config
 	limits  *storelimits.Tracker
@@ -26,18 +26,19 @@
 	}
 }
 
-// reserve takes so many writes out of the rate that is in force now, and returns for how long
-// to wait before they are made.
+// reserve reserves writes at the rate that is in force now, and returns how long to wait before
+// making them.
 func (b *writeBudget) reserve(writes int) time.Duration {
 	leaderRate := b.limits.WriteRate(&b.config.Params.Store) * (1 - b.config.Operator.SchedulerWriteShare)
 	b.limiter.SetLimit(rate.Limit(leaderRate))
 	return b.limiter.ReserveN(time.Now(), min(writes, b.limiter.Burst())).Delay()
 }
 
-// available returns how many writes may be made at once; negative while reserved ones wait.
+// available returns how many writes may be made immediately. It is negative while reserved writes
+// wait for their time.
 func (b *writeBudget) available() int { return int(b.limiter.Tokens()) }
 
-// timeFor returns the time in which so many more writes become available.
-func (b *writeBudget) timeFor(writes int) time.Duration {
+// refillTime returns how long it takes until that many more writes are available.
+func (b *writeBudget) refillTime(writes int) time.Duration {
 	return config.Seconds(float64(writes) / float64(b.limiter.Limit()))
 }
