--- a/internal/scheduler/advisor.go
+++ b/internal/scheduler/advisor.go
@@ -8,20 +8,20 @@
 	"lynxledge/wire"
 )
 
-// Advisor is asked before each scheduling cycle how to place while zones recover.
+// Advisor advises each scheduling cycle on placement while zones recover.
 type Advisor interface {
-	// Advise returns nil when there is nothing to take care of.
+	// Advise returns nil when no zone is recovering.
 	Advise(now time.Time, cluster placement.ClusterState) placement.Advice
 }
 
-// advisory is the advice that a scheduling cycle follows.
+// advisory holds the advice that scheduling cycles follow.
 type advisory struct {
-	advisor       Advisor           // nil: zones that recover are treated like any other
-	current       placement.Advice  // of the last cycle; nil: no zone recovers
-	reservedNodes []*placement.Node // those with reserved capacity
+	advisor       Advisor           // nil: recovering zones are treated like any other
+	current       placement.Advice  // given for the last cycle; nil: no zone is recovering
+	reservedNodes []*placement.Node // nodes with reserved capacity
 }
 
-// consult asks the advisor, and reserves capacity on nodes by its advice.
+// consult gets new advice from the advisor, and replaces the reservations on nodes accordingly.
 func (a *advisory) consult(now time.Time, cluster placement.ClusterState) {
 	a.current = a.advisor.Advise(now, cluster)
 	for _, n := range a.reservedNodes {
@@ -37,20 +37,20 @@
 	}
 }
 
-// admits tells whether a node may take a task of a job as far as advice goes.
+// admits reports whether the current advice, if any, lets a node take a task of a job.
 func (a *advisory) admits(n *placement.Node, job *wire.Job) bool {
 	return a.current == nil || a.current.Admits(n, job)
 }
 
-// appliesTo tells whether advice concerns the placing of a job.
+// appliesTo reports whether there is advice on the placement of a job, which must be a service.
 func (a *advisory) appliesTo(job *wire.Job) bool { return a.current != nil && job.IsService() }
 
-// clusterState is what an advisor looks at now.
+// clusterState returns the current state of the cluster for an advisor.
 func (s *schedulingState) clusterState() placement.ClusterState {
 	return placement.ClusterState{View: s.view, ActiveJobs: s.jobs.active, Nodes: s.nodes.all, Usage: s.nodes.usage, TeamQuota: s.teamQuota}
 }
 
-// consultAdvisor asks the advisor, if there is one, how to place in this scheduling cycle.
+// consultAdvisor updates the advice for this scheduling cycle, if there is an advisor.
 func (s *schedulingState) consultAdvisor(now time.Time) {
 	if s.advice.advisor != nil {
 		s.advice.consult(now, s.clusterState())
--- a/internal/scheduler/advisor_test.go
+++ b/internal/scheduler/advisor_test.go
@@ -37,9 +37,9 @@
 	return a
 }
 
-// advised makes a scheduler with machines in two zones, an urgent array of the highest
+// newAdvisedScheduler makes a scheduler with machines in two zones, an urgent array of the highest
 // priority but one, and a service of the lowest.
-func advised(advisor Advisor) *Scheduler {
+func newAdvisedScheduler(advisor Advisor) *Scheduler {
 	cfg := &config.Config{Operator: config.DefaultOperatorSettings()}
 	cfg.Params.Workers = config.WorkerTimings{HeartbeatInterval: 3 * time.Second, LeaseDuration: 34 * time.Second, CancellationDeadline: 64 * time.Second}
 	cfg.Params.Store = config.StoreLimits{MaxValueKB: 8, MaxTxnOps: 24, RequestRate: 150, WriteRate: 50}
@@ -90,7 +90,7 @@
 
 // An advisor without advice changes nothing: the same cycles are planned as without one.
 func TestNoAdviceChangesNothing(t *testing.T) {
-	without, idle := launchCounts(advised(nil)), launchCounts(advised(idleAdvisor{}))
+	without, idle := launchCounts(newAdvisedScheduler(nil)), launchCounts(newAdvisedScheduler(idleAdvisor{}))
 	if !reflect.DeepEqual(without, idle) || len(without) == 0 {
 		t.Errorf("%v, not %v", idle, without)
 	}
@@ -103,11 +103,11 @@
 // withheld, and out of capacity that is reserved.
 func TestAdviceIsFollowed(t *testing.T) {
 	advice := zoneAdvice{zone: "a"}
-	s := advised(advice)
+	s := newAdvisedScheduler(advice)
 	if got := launchCounts(s); got["req-000002 a"]+got["req-000002 b"] != 6 || got["req-000001 a"] != 0 || got["req-000001 b"] == 0 {
 		t.Errorf("%v", got)
 	}
-	s = advised(nil)
+	s = newAdvisedScheduler(nil)
 	reserved := map[*placement.Node]resources.Vector{}
 	for _, n := range s.nodes.all {
 		if n.Zone == "b" {
@@ -132,7 +132,7 @@
 // A machine of a group that the cycle itself opens, to apply evidence, is not among those with
 // capacity yet: an array got it, while a service that could go nowhere else was not shown it.
 func TestFallbackInUpdatedGroups(t *testing.T) {
-	s := advised(fallbackAdvice{})
+	s := newAdvisedScheduler(fallbackAdvice{})
 	s.consultAdvisor(time.Now())
 	s.nodes.withCapacity = nil
 	c := s.newCycle(time.Now(), 24, resources.Usage{})
@@ -152,7 +152,7 @@
 // Replicas whose termination a cycle writes leave their zone in that cycle: else their service
 // could not have the capacity that they leave, and an array took it.
 func TestReplicasTerminatedInThisCycle(t *testing.T) {
-	s := advised(fallbackAdvice{})
+	s := newAdvisedScheduler(fallbackAdvice{})
 	s.consultAdvisor(time.Now())
 	group := groupOf("a", 3)
 	group.Zone, group.ModRevision = "a", 2
--- a/internal/scheduler/backoff.go
+++ b/internal/scheduler/backoff.go
@@ -12,23 +12,23 @@
 	"lynxledge/wire"
 )
 
-// probeAfter is the number of failures since a success after which a job's tasks are tried one
-// at a time: it may have been submitted with a mistake.
+// probeAfter is the number of failures since the last success after which a job's tasks are tried
+// one at a time, since the job itself may be faulty.
 const probeAfter = 3
 
-// backoff delays jobs whose tasks failed or were preempted at once, and keeps tasks away from
-// machines that refused some.
+// backoff delays jobs whose tasks failed or were preempted right after placement, and avoids
+// machines that refused tasks or didn't answer commands.
 type backoff struct {
 	workers        config.WorkerTimings
 	failures       map[wire.JobID]*jobFailures
-	preemptedUntil map[wire.JobID]time.Time     // arrays of which a task was preempted as soon as it was placed
-	avoidedUntil   map[wire.MachineID]time.Time // machines that get no tasks until then
+	preemptedUntil map[wire.JobID]time.Time     // end of the delay of arrays with a task preempted right after placement
+	avoidedUntil   map[wire.MachineID]time.Time // machines get no tasks before this time
 }
 
-// jobFailures is what went wrong with a job since its last success.
+// jobFailures records a job's failures since its last success.
 type jobFailures struct {
-	count    int
-	until    time.Time // the job is not placed before
+	count    int       // without refusals
+	until    time.Time // the job is not placed before this time
 	machines map[wire.MachineID]bool
 }
 
@@ -41,7 +41,7 @@
 	}
 }
 
-// observe learns from what a group's new record says of the tasks that terminated.
+// observe updates the backoff from the terminations in a group's new record.
 func (b *backoff) observe(terminations []statecache.Termination, now time.Time) {
 	for i := range terminations {
 		t := &terminations[i]
@@ -54,9 +54,10 @@
 	}
 }
 
-// recordFailure delays a job: after a refusal for want of capacity the machine is avoided for
-// one heartbeat, after a real failure the job waits twice as long each time, up to a lease: no
-// job is left waiting beside free capacity for much longer than that.
+// recordFailure records a failed task. After a refusal (insufficient capacity or an attempt
+// conflict) the machine is avoided for one heartbeat interval. After any other failure the job is
+// delayed, twice as long each time up to the lease duration, so that no job waits much longer than
+// that while there is free capacity.
 func (b *backoff) recordFailure(job wire.JobID, machine wire.MachineID, reason wire.ExitReason, now time.Time) {
 	f := b.failures[job]
 	if f == nil {
@@ -74,14 +75,14 @@
 	slog.Info("task failed", "job", job, "machine", machine, "reason", reason, "failures", f.count, "backoff_seconds", wait.Seconds())
 }
 
-// recordEarlyPreemption delays an array of which a task was preempted as soon as it was placed:
-// it would take the next free capacity and be preempted again, each time two writes and a
-// launch for nothing.
+// recordEarlyPreemption delays an array with a task that was preempted right after placement. It
+// would take the next free capacity and be preempted again, each time wasting two writes and a
+// launch.
 func (b *backoff) recordEarlyPreemption(job wire.JobID, now time.Time) {
 	b.preemptedUntil[job] = now.Add(b.workers.Heartbeats(1))
 }
 
-// delays tells whether a job is not to be placed now.
+// delays reports whether a job must not be placed yet.
 func (b *backoff) delays(job wire.JobID, now time.Time) bool {
 	if f := b.failures[job]; f != nil && now.Before(f.until) {
 		return true
@@ -89,16 +90,16 @@
 	return now.Before(b.preemptedUntil[job])
 }
 
-// probes tells whether a job's tasks are tried one at a time.
+// probes reports whether a job's tasks are to be tried one at a time.
 func (b *backoff) probes(job wire.JobID) bool {
 	f := b.failures[job]
 	return f != nil && f.count >= probeAfter
 }
 
-// hasFailed tells whether a job has failed since its last success.
+// hasFailed reports whether a job has failed since its last success.
 func (b *backoff) hasFailed(job wire.JobID) bool { return b.failures[job] != nil }
 
-// withoutFailed leaves out the nodes on which a job has failed, while there are others.
+// withoutFailed returns the nodes on which the job has not failed, or all if it failed on each.
 func (b *backoff) withoutFailed(job wire.JobID, nodes []*placement.Node) []*placement.Node {
 	f := b.failures[job]
 	if f == nil {
@@ -111,21 +112,21 @@
 	return others
 }
 
-// avoidMachine keeps tasks away from a machine for a heartbeat.
+// avoidMachine keeps tasks away from a machine for one heartbeat interval.
 func (b *backoff) avoidMachine(machine wire.MachineID, now time.Time) {
 	b.avoidedUntil[machine] = now.Add(b.workers.Heartbeats(1))
 }
 
-// avoids tells whether a machine gets no tasks now.
+// avoids reports whether no tasks may be placed on a machine yet.
 func (b *backoff) avoids(machine wire.MachineID, now time.Time) bool {
 	return now.Before(b.avoidedUntil[machine])
 }
 
-// forgetJob drops a job that is over.
+// forgetJob drops the state of a job that has ended or is blocked.
 func (b *backoff) forgetJob(job wire.JobID) {
 	delete(b.failures, job)
 	delete(b.preemptedUntil, job)
 }
 
-// forgetMachine drops a machine that is terminated.
+// forgetMachine drops the state of a machine that no longer exists.
 func (b *backoff) forgetMachine(machine wire.MachineID) { delete(b.avoidedUntil, machine) }
--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -63,8 +63,8 @@
 	return s
 }
 
-// completeOn adds the evidence that the tasks of some machines of a group have completed.
-func (s *Scheduler) completeOn(group string, machines int, now time.Time) {
+// addCompletionEvidence adds the evidence that the tasks of some machines of a group have completed.
+func (s *Scheduler) addCompletionEvidence(group string, machines int, now time.Time) {
 	for _, rec := range s.view.Groups[group].Machines[:machines] {
 		heartbeat := &wire.Heartbeat{Machine: rec.Name, Incarnation: 1, Sequence: 1, FencingToken: 9}
 		for i := range rec.Bindings {
@@ -79,7 +79,7 @@
 func (s *Scheduler) benchCycle() *cycle {
 	now := time.Now()
 	for i := range benchCycleLimit {
-		s.completeOn(fmt.Sprintf("g%05d", i*benchGroupSize), benchGroupSize/4, now)
+		s.addCompletionEvidence(fmt.Sprintf("g%05d", i*benchGroupSize), benchGroupSize/4, now)
 	}
 	c := s.planCycle(now, benchCycleLimit, true)
 	for _, update := range c.groupUpdates {
--- a/internal/scheduler/binding.go
+++ b/internal/scheduler/binding.go
@@ -8,23 +8,24 @@
 	"lynxledge/wire"
 )
 
-// bind adds a task to the record of a node's machine; false when there is no room for that.
+// bind adds a task to the record of a node's machine. It returns false if the record or the
+// transaction has no room for it.
 func (c *cycle) bind(node *placement.Node, entry queuedJob, task int) bool {
 	update := c.openGroup(node.Group)
 	if update == nil {
 		return false
 	}
 	if !c.hasRoomForBinding(update, entry, 0) {
-		c.recordFull(update, node)
+		c.markRecordFull(update, node)
 		return false
 	}
 	rec := update.UpdateMachine(node.Name)
 	if rec == nil {
 		return false
 	}
-	// The record's fencing token has never been used on this machine before. The view's
-	// revision would not do: it stands still between an own commit and its repeat by the watch,
-	// and an attempt used twice on a machine lets the first one's end pass for the second's.
+	// The attempt must be unique on the machine, or the end of an earlier attempt would be taken
+	// for this one's. The record's new fencing token is. The view's revision is not: it does not
+	// advance between this process's own commit and the watch event for it.
 	binding := statecache.TaskBinding{Job: entry.id, TaskIndex: task, Attempt: rec.FencingToken}
 	rec.Bindings = append(rec.Bindings, binding)
 	update.size += statecache.BindingBytes(entry.id)
@@ -35,32 +36,33 @@
 	return true
 }
 
-// hasRoomForBinding tells whether a group's next record, and the transaction, have room for one
-// more binding of a job besides some more bytes.
+// hasRoomForBinding reports whether a group's next record and the transaction have room for one
+// more binding of a job and moreBytes besides.
 func (c *cycle) hasRoomForBinding(update *groupUpdate, entry queuedJob, moreBytes int) bool {
 	share := bindingFillShare
 	if entry.job.Spec.Priority >= wire.PriorityHigh {
-		share = urgentFillShare
+		share = highPriorityFillShare
 	}
 	return update.size+moreBytes+statecache.BindingBytes(entry.id) <= c.limits.valueBytes(share) &&
 		c.bytes()+moreBytes <= statecache.MaxTxnRecordBytes
 }
 
-// hasRoomAfterStops tells whether victims can be stopped and their successor bound in the same
-// record: nothing is stopped for a task that can't be bound then.
+// hasRoomAfterStops reports whether a record has room to stop the victims and bind their successor,
+// so that nothing is stopped for a task that can't be bound.
 func (p *jobPlacement) hasRoomAfterStops(update *groupUpdate, victims *placement.Victims) bool {
 	if p.hasRoomForBinding(update, p.queuedJob, stopBytes*len(victims.Tasks)) {
 		return true
 	}
-	p.recordFull(update, victims.Node)
+	p.markRecordFull(update, victims.Node)
 	return false
 }
 
-// recordFull takes nothing more for a node in this cycle, whose group's record is full.
-func (c *cycle) recordFull(update *groupUpdate, node *placement.Node) {
+// markRecordFull makes a node unschedulable for the rest of the cycle because its group's record
+// is full.
+func (c *cycle) markRecordFull(update *groupUpdate, node *placement.Node) {
 	node.Schedulable = false
-	if len(update.Machines) > 1 && update.RetainedSize() > c.limits.valueBytes(crowdedFillShare) {
-		c.layout.crowded[update.Name] = true // full before its machines are
+	if len(update.Machines) > 1 && update.RetainedSize() > c.limits.valueBytes(fullSplitFillShare) {
+		c.layout.full[update.Name] = true
 	}
 	slog.Debug("group record full", "group", node.Group)
 }
--- a/internal/scheduler/candidates.go
+++ b/internal/scheduler/candidates.go
@@ -9,14 +9,14 @@
 	"lynxledge/wire"
 )
 
-// updatedGroupNodes is the nodes with capacity in groups that the cycle writes anyhow.
+// updatedGroupNodes caches the nodes with capacity in groups that the cycle already writes.
 type updatedGroupNodes struct {
 	nodes  []*placement.Node
-	groups int // number of those groups when the nodes were listed
+	groups int // number of groups in the transaction when the nodes were listed
 }
 
-// nodesInUpdatedGroups are the nodes with capacity in groups that are written anyhow. Some of
-// them have it only by what is written, and are not in the index of those yet.
+// nodesInUpdatedGroups returns the nodes with capacity in groups that the cycle already writes.
+// Some of them gain capacity only by this cycle's changes, so nodeIndex.withCapacity lacks them.
 func (c *cycle) nodesInUpdatedGroups() []*placement.Node {
 	list := &c.updatedGroups
 	if list.groups == len(c.groupUpdates) {
@@ -33,8 +33,9 @@
 	return list.nodes
 }
 
-// candidates are nodes to choose among for a job: those of groups that are written anyhow and,
-// while the transaction has room, a sample of all.
+// candidates returns nodes to choose from for a job: a sample of those in groups that the cycle
+// already writes, a sample of all others with capacity while the transaction has room, and the
+// job's preferred nodes.
 func (c *cycle) candidates(job *wire.Job) []*placement.Node {
 	var list []*placement.Node
 	usable := func(n *placement.Node) bool { return c.canHost(n, job) && c.advice.admits(n, job) }
@@ -57,18 +58,19 @@
 	return list
 }
 
-// sortByOrdinal puts nodes into the order that they have among all nodes.
+// sortByOrdinal sorts nodes by their position among all nodes.
 func sortByOrdinal(nodes []*placement.Node) {
 	slices.SortFunc(nodes, func(a, b *placement.Node) int { return a.Ordinal - b.Ordinal })
 }
 
-// canHost tells whether a node could take a task of a job, wherever the job's others are.
+// canHost reports whether a node could take a task of a job, regardless of the zones of the job's
+// other tasks.
 func (c *cycle) canHost(n *placement.Node, job *wire.Job) bool {
 	return n.HasCapacity() && !c.backoff.avoids(n.Name, c.now) && n.AllowedFor(job) && n.HasCapacityFor(job, resources.OfTask(job))
 }
 
-// preferredNodes are nodes that advice prefers for a service, and the one that is held for its
-// replica on the move.
+// preferredNodes returns the nodes that the advice prefers for a service, and the target node of
+// its replica on the move.
 func (c *cycle) preferredNodes(job *wire.Job) []*placement.Node {
 	var preferred []*placement.Node
 	if c.advice.appliesTo(job) {
@@ -80,7 +82,7 @@
 	return preferred
 }
 
-// withPreferred adds the nodes that are preferred for a service to a sample.
+// withPreferred appends a service's preferred nodes that are usable and not yet in the list.
 func (c *cycle) withPreferred(list []*placement.Node, job *wire.Job, usable func(*placement.Node) bool) []*placement.Node {
 	preferred := c.preferredNodes(job)
 	if len(preferred) == 0 {
@@ -102,7 +104,8 @@
 	return list
 }
 
-// fallbackNodes are nodes for a task that finds no capacity where it should go.
+// fallbackNodes returns a sample of the nodes that the advice allows for a task that finds no
+// capacity elsewhere.
 func (c *cycle) fallbackNodes(job *wire.Job) []*placement.Node {
 	if !c.advice.appliesTo(job) {
 		return nil
@@ -128,8 +131,8 @@
 	return list
 }
 
-// preemptionCandidates is a sample of all nodes that a job may use: to preempt on, or to move
-// replicas from.
+// preemptionCandidates returns a sample of the nodes that a job may use, to preempt tasks on or to
+// move replicas from. If the transaction is full, only groups that are already in it count.
 func (c *cycle) preemptionCandidates(job *wire.Job) []*placement.Node {
 	from := c.nodes.all
 	if c.isFull() {
@@ -150,9 +153,9 @@
 	return list
 }
 
-// zoneCounts counts a job's bound tasks by zone. While zones recover, replicas whose termination
-// the cycle writes count no more: the capacity that they leave is for the service itself before
-// it is for arrays.
+// zoneCounts counts a job's bound tasks by zone. While zones recover, replicas of a service whose
+// termination this cycle writes don't count, so that the service can use the capacity that they
+// free before arrays do.
 func (c *cycle) zoneCounts(id wire.JobID) placement.ZoneCounts {
 	counts := placement.ZoneCountsOf(c.view, id)
 	if job := c.jobs.active[id]; job == nil || !c.advice.appliesTo(job.Spec) {
@@ -166,7 +169,7 @@
 	return counts
 }
 
-// hasBinding tells whether the group's next record still binds a task to a machine.
+// hasBinding reports whether the group's next record still binds a task to a machine.
 func (u *groupUpdate) hasBinding(machine wire.MachineID, job wire.JobID, task int) bool {
 	return slices.ContainsFunc(u.Machines, func(rec *statecache.Machine) bool {
 		return rec.Name == machine && rec.FindBinding(job, task) != nil
--- a/internal/scheduler/commands.go
+++ b/internal/scheduler/commands.go
@@ -8,8 +8,8 @@
 	"lynxledge/wire"
 )
 
-// commandBatches is the commands that follow from a scheduling cycle, by machines. Those of
-// machines without a launch are left to the answers to their heartbeats.
+// commandBatches holds the commands that result from a scheduling cycle, by machine. Machines
+// without a launch get their commands in the responses to their heartbeats.
 type commandBatches struct {
 	launches map[wire.MachineID][]wire.Command
 	stops    map[wire.MachineID][]wire.Command
@@ -24,20 +24,20 @@
 	}
 }
 
-// addLaunch adds the launch of a task that is bound to a machine.
+// addLaunch adds a command to launch a bound task.
 func (b *commandBatches) addLaunch(rec *statecache.Machine, binding *statecache.TaskBinding) {
 	b.machines[rec.Name] = rec
 	b.launches[rec.Name] = append(b.launches[rec.Name], wire.Command{Op: wire.OpLaunch, Task: binding.TaskID(), Attempt: binding.Attempt})
 }
 
-// addStop adds the stop of a task without a checkpoint.
+// addStop adds a command to stop a task without a grace period to save a checkpoint.
 func (b *commandBatches) addStop(machine wire.MachineID, binding *statecache.TaskBinding) {
 	grace := wire.Seconds(0)
 	b.stops[machine] = append(b.stops[machine], wire.Command{Op: wire.OpStop, Task: binding.TaskID(), Attempt: binding.Attempt, GracePeriod: &grace})
 }
 
-// batch is the commands for a machine, under the fencing token of its next record. Stops go
-// first: they make room for the launches.
+// batch returns the commands for a machine, with the fencing token of its next record. Stops come
+// first because they free the capacity for the launches.
 func (b *commandBatches) batch(machine wire.MachineID) wire.CommandBatch {
 	rec := b.machines[machine]
 	return wire.CommandBatch{
@@ -46,10 +46,11 @@
 	}
 }
 
-// launch sends the commands of a committed cycle, under the fencing tokens of its own records:
-// a later record may have stopped a task again. What is lost or refused is repeated when the
-// worker sends a heartbeat. That is left to a heartbeat, too, if the commit took long, or this
-// process stood still since: a job may have been cancelled after its precondition held.
+// launch sends the commands of a committed cycle, with the fencing tokens of the records that the
+// cycle wrote, since a later record may already have stopped a task again. Lost or refused commands
+// are repeated in the response to the worker's next heartbeat. So are all of them if the commit
+// took too long or this process was paused since: a job may have been cancelled after its
+// precondition was checked.
 func (s *Scheduler) launch(c *cycle) {
 	if time.Since(c.now) > s.config.Params.Workers.MaxLaunchViewAge() {
 		return
--- a/internal/scheduler/commit.go
+++ b/internal/scheduler/commit.go
@@ -7,7 +7,7 @@
 	"lynxledge/wire"
 )
 
-// commit writes what a scheduling cycle has planned, if there is anything.
+// commit commits a planned scheduling cycle, unless it has nothing to write.
 func (s *Scheduler) commit(c *cycle) {
 	machines := c.machines()
 	txn := statecache.Commit{RetryUntilCertain: true, RetryFor: s.config.Params.Workers.Heartbeats(0.5)}
@@ -26,7 +26,8 @@
 	})
 }
 
-// commitEnded takes the outcome of a cycle's commit. machines are those of the groups in it.
+// commitEnded handles the outcome of a cycle's commit. machines are the machines of all groups
+// that the cycle updated.
 func (s *Scheduler) commitEnded(c *cycle, machines []wire.MachineID, outcome statecache.Outcome) {
 	s.commitInFlight = false
 	s.writes.commitEnded()
@@ -40,8 +41,8 @@
 	s.schedule()
 }
 
-// addTo adds the transaction's writes and preconditions to a commit; false if a group's record
-// can't be written: then nothing must be.
+// addTo adds the transaction's writes and preconditions to a commit. It returns false if a group's
+// record can't be written; the commit must then be dropped as a whole.
 func (c *cycle) addTo(txn *statecache.Commit) bool {
 	if !c.splitGroups(txn) {
 		return false
@@ -62,8 +63,8 @@
 	return c.addGroupsTo(txn)
 }
 
-// addFinishedJobsTo adds the records that say that jobs are done. Their completion chunks are
-// deleted with them, as far as there are writes for it.
+// addFinishedJobsTo adds the final records of jobs that are done. It also deletes their completion
+// chunks, as far as the writes counted for each job allow.
 func (c *cycle) addFinishedJobsTo(txn *statecache.Commit) {
 	for id, writes := range c.finishedJobs {
 		job := c.view.Jobs[id]
@@ -78,7 +79,7 @@
 	}
 }
 
-// addGroupsTo adds the groups' next records; false if one is too large.
+// addGroupsTo adds the groups' next records. It returns false if one is too large.
 func (c *cycle) addGroupsTo(txn *statecache.Commit) bool {
 	for _, update := range c.groupUpdates {
 		for job := range c.finishedJobs {
@@ -86,8 +87,8 @@
 		}
 		if !update.TrimToFit(c.limits.valueBytes(1)) {
 			slog.Error("group record too large, nothing written", "group", update.Name, "bytes", update.EncodedSize(), "machines", len(update.Machines))
-			// Machine records grow when they are rewritten in a later term: the next cycle
-			// splits the group, or it would be tried in vain again and again.
+			// Machine entries grow when they are rewritten in a later term. The next cycle has to
+			// split the group, or every retry would fail in the same way.
 			c.layout.oversized[update.Name] = true
 			return false
 		}
@@ -96,7 +97,7 @@
 	return true
 }
 
-// log tells what the cycle writes.
+// log logs a summary of the cycle's writes.
 func (c *cycle) log(writes int) {
 	placed := 0
 	for _, n := range c.placed {
--- a/internal/scheduler/completions.go
+++ b/internal/scheduler/completions.go
@@ -8,24 +8,24 @@
 	"lynxledge/wire"
 )
 
-// finishCompletedJobs makes done the jobs whose tasks are all completed already. Who doesn't
-// place leaves that to the others for a heartbeat.
-func (c *cycle) finishCompletedJobs(placing bool) {
+// finishCompletedJobs marks the jobs whose tasks are all completed as done. A process without
+// assigned teams leaves that to the others for one heartbeat interval.
+func (c *cycle) finishCompletedJobs(hasAssignments bool) {
 	for job, since := range c.completedJobs.since {
 		if !c.view.AllTasksCompleted(job) {
 			delete(c.completedJobs.since, job)
-		} else if placing || c.now.Sub(since) > c.config.Params.Workers.Heartbeats(1) {
+		} else if hasAssignments || c.now.Sub(since) > c.config.Params.Workers.Heartbeats(1) {
 			c.finishJob(job)
 		}
 	}
 }
 
-// storeDependencyCancellations stores that jobs are cancelled with a dependency, a few at a
-// time: everybody derives it, so there is no haste, but what is over for good need not be
-// followed any more.
-func (c *cycle) storeDependencyCancellations(placing bool) {
-	for id, job := range c.cancelledDependent {
-		if !placing || c.ops() >= c.limit/2 || !c.canAddPrecondition() {
+// storeDependencyCancellations stores the cancellation of jobs that are cancelled because a
+// dependency was, a few per cycle. It isn't urgent, since every process derives the cancellation
+// itself, but a job whose end is stored need not be tracked any more.
+func (c *cycle) storeDependencyCancellations(hasAssignments bool) {
+	for id, job := range c.cancelledDependents {
+		if !hasAssignments || c.ops() >= c.limit/2 || !c.canAddPrecondition() {
 			return
 		}
 		c.cancellations[id] = job.Cancelled(job.FinishedAt)
@@ -33,8 +33,7 @@
 	}
 }
 
-// finishJob makes a job done once all its tasks are completed, as far as the transaction has
-// room.
+// finishJob marks a job as done if all its tasks are completed and the transaction has room.
 func (c *cycle) finishJob(id wire.JobID) {
 	job := c.view.Jobs[id]
 	if !c.view.Active(id) || c.finishedJobs[id] > 0 || c.view.CompletedCount(id)+c.completed[id] < job.TaskCount {
@@ -52,13 +51,13 @@
 	})
 }
 
-// compactCompletions moves completions from a group's record that fills up into the jobs'
-// completion chunks. What the record says of terminated tasks doesn't count: it is gone with the
-// next write, and left out where there is no room. Counted, a group in which many tasks ended at
-// once took all writes of a cycle for its completions.
+// compactCompletions moves completions from a group's record that is nearly full to the jobs'
+// completion chunks. Terminations don't count towards the record's size: the next write drops
+// them, and they are omitted if they don't fit. When they counted, a group in which many tasks
+// ended at once used up all writes of a cycle for completion chunks.
 func (c *cycle) compactCompletions(update *groupUpdate) {
 	if c.splitParts[update.Name] > 0 {
-		return // there is room for the completions elsewhere
+		return // the split makes room for the completions
 	}
 	for update.RetainedSize() > c.limits.valueBytes(compactionFillShare) && c.ops() < c.limit && c.canAddPrecondition() {
 		job := c.mostCompletedJob(update)
@@ -69,8 +68,8 @@
 	}
 }
 
-// mostCompletedJob is the job with the most completions in a group's record, of those that stay
-// active; "" if there is none.
+// mostCompletedJob returns the job with the most completions in a group's record, except those that
+// this cycle marks as done; "" if there is none.
 func (c *cycle) mostCompletedJob(update *groupUpdate) wire.JobID {
 	most := wire.JobID("")
 	for job, tasks := range update.Completions {
@@ -81,8 +80,8 @@
 	return most
 }
 
-// moveToChunk moves a job's completions that belong to the same chunk as the first one out of a
-// group's record.
+// moveToChunk moves the first of a job's completions in a group's record, and all others that
+// belong to the same chunk, to that chunk.
 func (c *cycle) moveToChunk(update *groupUpdate, job wire.JobID) {
 	id := c.completionChunkFor(job, update.Completions[job][0])
 	var bits, others []int
@@ -106,22 +105,23 @@
 	}
 }
 
-// completionChunkFor is the chunk that takes the completion of a task. A whole chunk takes what
-// fits into it under the store's limit. While nothing says that the limit has fallen it takes
-// everything, since a version that doesn't know parts of chunks may serve.
+// completionChunkFor returns the chunk to which a task's completion is added. Until the lower store
+// limits are known to be in force that is a whole chunk, because a software version that does not
+// know parts of chunks may be running. After that it is a whole chunk only if the chunk then fits
+// the limit of a value, otherwise a part.
 func (c *cycle) completionChunkFor(job wire.JobID, task int) statecache.CompletionChunkID {
 	chunk, bit := c.view.CompletionChunkOf(task)
 	id := statecache.CompletionChunkID{Chunk: chunk, FirstTask: statecache.WholeChunk}
 	if !c.storeLimits.LowerLimitsInForce() {
 		return id
 	}
-	reach := bit + 1
+	capacity := bit + 1
 	if whole := c.completionChunks[statecache.CompletionChunkKey(job, id)]; whole != nil {
-		reach = max(reach, whole.Capacity())
+		capacity = max(capacity, whole.Capacity())
 	} else if whole := c.view.CompletionChunks[job][id]; whole != nil {
-		reach = max(reach, whole.Capacity())
+		capacity = max(capacity, whole.Capacity())
 	}
-	if limit := c.limits.valueBytes(1); statecache.CompletionValueBytes(reach) > limit {
+	if limit := c.limits.valueBytes(1); statecache.CompletionValueBytes(capacity) > limit {
 		part := statecache.TasksPerCompletionPart(limit)
 		id.FirstTask = bit / part * part
 	}
--- a/internal/scheduler/cycle.go
+++ b/internal/scheduler/cycle.go
@@ -10,20 +10,21 @@
 	"lynxledge/wire"
 )
 
-// cycle is one scheduling cycle: a transaction of what the evidence from heartbeats shows, of
-// jobs that are done by it, and of new bindings, with what follows once it is committed.
+// cycle is one scheduling cycle: a transaction with the changes shown by the evidence from
+// heartbeats, the jobs that are done and the new bindings, and the actions to take once it is
+// committed.
 type cycle struct {
 	*schedulingState
 	transaction
 	now time.Time
 
-	usage      resources.Usage     // by the teams' tasks, with what the cycle changes
-	placed     map[wire.JobID]int  // tasks bound here
-	completed  map[wire.JobID]int  // tasks whose completion is written here
-	terminated int                 // tasks whose termination is written here
-	heldQuota  map[wire.JobID]bool // services on the move whose replica usage counts although it is bound nowhere
+	usage      resources.Usage     // of the teams' tasks, including the cycle's changes
+	placed     map[wire.JobID]int  // number of tasks bound in this cycle
+	completed  map[wire.JobID]int  // number of tasks whose completion this cycle writes
+	terminated int                 // number of tasks whose termination this cycle writes
+	heldQuota  map[wire.JobID]bool // services with an unbound replica on the move that counts towards the team's usage
 
-	fullSearchShare float64 // part of the queued jobs that may look at all nodes with capacity
+	fullSearchShare float64 // share of the queued jobs that may search all nodes with capacity
 
 	commands    commandBatches
 	onCommitted []func()
@@ -32,8 +33,8 @@
 	updatedGroups updatedGroupNodes
 }
 
-// newCycle begins a scheduling cycle of at most so many writes. usage is what the teams use
-// before it.
+// newCycle begins a scheduling cycle of at most limit writes. usage is the teams' usage before
+// the cycle.
 func (s *schedulingState) newCycle(now time.Time, limit int, usage resources.Usage) *cycle {
 	return &cycle{
 		schedulingState: s,
@@ -51,24 +52,24 @@
 	}
 }
 
-// planCycle decides what a scheduling cycle of at most so many writes changes. preempting
-// tells whether jobs may look for victims.
+// planCycle plans a scheduling cycle of at most limit writes. Jobs may search for preemption
+// victims only if preempting is set.
 func (s *schedulingState) planCycle(now time.Time, limit int, preempting bool) *cycle {
 	assignments := s.ownAssignments()
-	placing := len(assignments) > 0
+	hasAssignments := len(assignments) > 0
 	c := s.newCycle(now, limit, s.nodes.usage)
 	s.moves.renewClaims(s.view, s.nodes, now)
 	c.openOversizedGroups()
-	c.finishCompletedJobs(placing)
-	if placing {
+	c.finishCompletedJobs(hasAssignments)
+	if hasAssignments {
 		s.consultAdvisor(now)
 	}
 	queue := s.jobs.pending(assignments, s.advice.current, now)
-	c.applyPendingEvidence(placing, len(queue) > 0)
+	c.applyPendingEvidence(hasAssignments, len(queue) > 0)
 	for job := range c.completed {
 		c.finishJob(job)
 	}
-	c.storeDependencyCancellations(placing)
+	c.storeDependencyCancellations(hasAssignments)
 	if preempting {
 		c.victims.searchShares = victimSearchShares(queue)
 	}
@@ -80,16 +81,17 @@
 	return c
 }
 
-// canAddPrecondition tells whether more jobs can have preconditions: a transaction may have
-// four preconditions for each write; each write needs one of its own, and so may every team's
-// assignment.
+// canAddPrecondition reports whether a precondition on another job's record fits. A transaction
+// may have four preconditions per write; each write needs one on its own record, and each team's
+// assignment may need one.
 func (c *cycle) canAddPrecondition() bool {
 	ops := c.limits.txnOps()
 	return len(c.jobPreconditions) < min(2*ops, 3*ops-len(c.view.Assignments))
 }
 
-// openGroup makes a group's next record part of the transaction; nil when that is full, or the
-// group's record is too large to be written unsplit.
+// openGroup adds a group's next record to the transaction, if it isn't part of it yet, and returns
+// it. It returns nil if the group is unknown, the transaction is full, or the group's record is
+// too large to be written without a split.
 func (c *cycle) openGroup(group string) *groupUpdate {
 	if update := c.groupUpdates[group]; update != nil {
 		return update
--- a/internal/scheduler/deadline_stages_test.go
+++ b/internal/scheduler/deadline_choice_test.go
@@ -42,7 +42,7 @@
 			d := rapid.Float64Range(-10, 100).Draw(t, "due")
 			jobs[i] = deadlineCandidate{clusterSeconds: rapid.Float64Range(0.1, 30).Draw(t, "work"), runtimeSeconds: rapid.Float64Range(0, 20).Draw(t, "run"), deadlineSeconds: []float64{d, 2 * max(d, 1)}}
 		}
-		stages, _ := assignStages(jobs, freeSeconds)
+		stages, _ := chooseDeadlines(jobs, freeSeconds)
 		var kept uint
 		for i, stage := range stages {
 			if stage == 0 {
--- a/internal/scheduler/evidence_application.go
+++ b/internal/scheduler/evidence_application.go
@@ -10,13 +10,13 @@
 	"lynxledge/wire"
 )
 
-// applyPendingEvidence applies the evidence from heartbeats, a few groups at a time. Those go
-// first whose free capacity has been idle longest, all taken together: a group of one machine
-// then takes a write for one task seldom, where writes are short, and one in which many tasks
-// end often. Nothing waits for more than a heartbeat. When jobs wait for capacity, some writes
-// are left for groups that have it.
-func (c *cycle) applyPendingEvidence(placing, queued bool) {
-	groups := c.evidence.due(c.now, placing)
+// applyPendingEvidence applies the evidence from heartbeats, as far as the write limit allows, in
+// the order of evidenceQueue.due. That order is by the total idle time of freed capacity, so when
+// writes are scarce a group of one machine is seldom written for a single task, and one in which
+// many tasks end is written often. Evidence that has waited for more than a heartbeat interval comes
+// first. When jobs are queued, a quarter of the writes is left for groups that have capacity.
+func (c *cycle) applyPendingEvidence(hasAssignments, queued bool) {
+	groups := c.evidence.due(c.now, hasAssignments)
 	limit := c.limit
 	if queued {
 		limit -= c.limit / 4
@@ -29,7 +29,7 @@
 	}
 }
 
-// applyGroupEvidence applies the evidence that waits for the machines of a group.
+// applyGroupEvidence applies the pending evidence of a group's machines.
 func (c *cycle) applyGroupEvidence(group string) {
 	pending := c.evidence.byGroup[group]
 	for machine, evidence := range pending {
@@ -43,11 +43,11 @@
 	}
 	if update := c.groupUpdates[group]; update != nil {
 		c.compactCompletions(update)
-		update.size = update.RetainedSize() // terminated tasks, and completions that were moved out, make room for others
+		update.size = update.RetainedSize() // smaller by terminated tasks and by compacted completions
 	}
 }
 
-// applyResult updates a machine's record by what its heartbeat shows.
+// applyResult updates a machine's record with the result of reconciling its heartbeat.
 func (c *cycle) applyResult(rec *statecache.Machine, evidence *pendingEvidence, result *reconcile.Result) {
 	update := c.openGroup(rec.Group)
 	if update == nil {
@@ -77,14 +77,14 @@
 		c.applyTermination(update, next, termination)
 	}
 	if node := c.nodes.node(rec.Name); node != nil {
-		c.nodes.load(node, next)
+		c.nodes.loadRecord(node, next)
 	}
 }
 
-// completionMarkBytes is what one more completed task adds to a group's record.
+// completionMarkBytes is the estimated size of one more completed task in a group's record.
 const completionMarkBytes = 8
 
-// applyTermination takes a task that has certainly ended out of its machine's next record.
+// applyTermination removes a task whose end is certain from its machine's next record.
 func (c *cycle) applyTermination(update *groupUpdate, next *statecache.Machine, t statecache.Termination) {
 	if t.Reason == wire.ReasonCompleted && c.view.Active(t.Job) && !c.view.IsCompleted(t.Job, t.TaskIndex) {
 		update.MarkCompleted(t.Job, t.TaskIndex)
--- a/internal/scheduler/evidence_queue.go
+++ b/internal/scheduler/evidence_queue.go
@@ -12,38 +12,39 @@
 	"lynxledge/wire"
 )
 
-// evidenceQueue is the evidence from heartbeats that isn't written yet: the latest of each
-// machine, by groups, since a group's record is written as a whole.
+// evidenceQueue holds the evidence from heartbeats that isn't written yet: the latest of each
+// machine, by group, since a group's record is written as a whole.
 type evidenceQueue struct {
 	workers         config.WorkerTimings
 	view            *statecache.View
 	byGroup         map[string]map[wire.MachineID]*pendingEvidence
-	lastTermination time.Time // when some process last wrote that tasks terminated
+	lastTermination time.Time // when a termination written by any process was last observed
 }
 
-// pendingEvidence is the evidence from a machine's heartbeat that waits to be written.
+// pendingEvidence is the evidence from a machine's heartbeat that is to be written.
 type pendingEvidence struct {
 	reconcile.Evidence
-	applyAt     time.Time // when this process writes it, if no other has
-	exitedTasks int       // tasks that it shows ended: capacity that is idle until it is written
+	applyAt     time.Time // when this process writes it, if no other has by then
+	exitedTasks int       // number of exited tasks, whose capacity is idle until the evidence is written
 }
 
 func newEvidenceQueue(workers config.WorkerTimings, view *statecache.View) *evidenceQueue {
 	return &evidenceQueue{workers: workers, view: view, byGroup: map[string]map[wire.MachineID]*pendingEvidence{}}
 }
 
-// groups is how many groups have evidence waiting.
+// groups returns the number of groups with pending evidence.
 func (q *evidenceQueue) groups() int { return len(q.byGroup) }
 
-// add takes evidence to be written by applyAt, together with what waits of the same machine;
-// false if it is of no use: the machine is unknown, or later evidence is there already.
+// add queues evidence to be written at applyAt, or earlier if older evidence of the machine is due
+// earlier. It returns false if the machine is unknown or the queue already has evidence from the
+// same or a later heartbeat.
 func (q *evidenceQueue) add(evidence reconcile.Evidence, applyAt time.Time) bool {
 	heartbeat := evidence.Heartbeat
 	rec := q.view.Machines[heartbeat.Machine]
 	if rec == nil {
 		return false
 	}
-	// What was written since waits no longer: what is new waits its own time.
+	// Evidence that has been written meanwhile does not determine when the new evidence is due.
 	if old := q.byGroup[rec.Group][rec.Name]; old != nil && q.requiresUpdate(rec, old) {
 		if !isNewer(heartbeat, old.Heartbeat) {
 			return false
@@ -57,13 +58,13 @@
 	return true
 }
 
-// isNewer tells whether a heartbeat was sent after another one of its machine.
+// isNewer reports whether a heartbeat was sent after another one of the same machine.
 func isNewer(heartbeat, other *wire.Heartbeat) bool {
 	return cmp.Or(cmp.Compare(heartbeat.Incarnation, other.Incarnation), cmp.Compare(heartbeat.Sequence, other.Sequence)) > 0
 }
 
-// mergedRuntimes is a new map: the peer transport may be sending the evidence as it came, and a
-// map that both held ended the process.
+// mergedRuntimes returns a new map with both maps' entries. It must not modify latest, which the
+// peer transport may be encoding: concurrent access to a shared map crashed the process.
 func mergedRuntimes(old, latest map[wire.TaskID]wire.Seconds) map[wire.TaskID]wire.Seconds {
 	out := maps.Clone(old)
 	if out == nil {
@@ -73,7 +74,7 @@
 	return out
 }
 
-// countExited counts the tasks that a heartbeat shows ended.
+// countExited returns the number of exited tasks in a heartbeat.
 func countExited(heartbeat *wire.Heartbeat) int {
 	n := 0
 	for i := range heartbeat.Tasks {
@@ -84,7 +85,7 @@
 	return n
 }
 
-// requiresUpdate tells whether evidence still has anything to write.
+// requiresUpdate reports whether a machine's record still has to be updated with the evidence.
 func (q *evidenceQueue) requiresUpdate(rec *statecache.Machine, e *pendingEvidence) bool {
 	result := reconcile.Heartbeat(rec, e.Heartbeat, q.view.Active)
 	return result.RequiresUpdate()
@@ -98,7 +99,7 @@
 	q.byGroup[group][machine] = e
 }
 
-// moveMachine follows a machine into another group.
+// moveMachine moves a machine's evidence to the machine's new group.
 func (q *evidenceQueue) moveMachine(machine wire.MachineID, from, to string) {
 	if e := q.byGroup[from][machine]; e != nil {
 		delete(q.byGroup[from], machine)
@@ -112,17 +113,18 @@
 // dueGroup is a group with evidence that this process should write.
 type dueGroup struct {
 	name        string
-	late        bool    // some of it waits for more than a heartbeat
-	idleSeconds float64 // how long the capacity of ended tasks has been idle, all taken together
+	late        bool    // some of it has been due for more than a heartbeat interval
+	idleSeconds float64 // sum of the times for which the capacity of exited tasks has been idle
 }
 
-// due lists the groups with evidence to write now, the most urgent first: those that are late,
-// then those whose capacity has been idle longest. placing tells whether teams are assigned to
-// this process.
-func (q *evidenceQueue) due(now time.Time, placing bool) []dueGroup {
-	// A writer that is slow is not dead: others that wrote for it made its preconditions
-	// fail, and it slower yet.
-	idle := now.Sub(q.lastTermination) > q.workers.Heartbeats(1)
+// due returns the groups with evidence to write now, the most urgent first: late ones, then by
+// descending idle time. With assigned teams this process writes all evidence, without only what
+// has reached its applyAt.
+func (q *evidenceQueue) due(now time.Time, hasAssignments bool) []dueGroup {
+	// A process without assignments waits while some process still writes terminations, for at
+	// most a lease: a slow writer is still alive, and writes by others made its preconditions fail
+	// and slowed it further.
+	noWriter := now.Sub(q.lastTermination) > q.workers.Heartbeats(1)
 	groups := make([]dueGroup, 0, len(q.byGroup))
 	for name, machines := range q.byGroup {
 		group := dueGroup{name: name, idleSeconds: -1}
@@ -131,10 +133,10 @@
 				delete(machines, machine)
 				continue
 			}
-			waits := now.Sub(e.applyAt)
-			if placing || waits > 0 && (idle || waits > q.workers.LeaseDuration) {
-				group.idleSeconds = max(group.idleSeconds, 0) + waits.Seconds()*float64(max(e.exitedTasks, 1))
-				group.late = group.late || waits > q.workers.Heartbeats(1)
+			overdue := now.Sub(e.applyAt)
+			if hasAssignments || overdue > 0 && (noWriter || overdue > q.workers.LeaseDuration) {
+				group.idleSeconds = max(group.idleSeconds, 0) + overdue.Seconds()*float64(max(e.exitedTasks, 1))
+				group.late = group.late || overdue > q.workers.Heartbeats(1)
 			}
 		}
 		if len(machines) == 0 {
--- a/internal/scheduler/evidence_queue_test.go
+++ b/internal/scheduler/evidence_queue_test.go
@@ -20,7 +20,7 @@
 			inActor(s, func() { out = len(s.view.Machines["i-a000"].Bindings) == 0 })
 			return out
 		}
-		s.HandleEvidence(completedOn(groupOf("a", 1), 0), 16*time.Second)
+		s.HandleEvidence(completionEvidence(groupOf("a", 1), 0), 16*time.Second)
 		other := groupOf("b", 1)
 		other.Terminations = []statecache.Termination{{Machine: "i-b000", Job: "req-000001", TaskIndex: 7, Reason: wire.ReasonCompleted}}
 		for range 12 { // 36 s
@@ -44,9 +44,9 @@
 		pick := func(waitA, waitB time.Duration) (first []string) {
 			inActor(s, func() {
 				now := time.Now()
-				s.evidence.put("a", "i-a000", &pendingEvidence{completedOn(groupOf("a", 1), 0), now.Add(-waitA), 1})
+				s.evidence.put("a", "i-a000", &pendingEvidence{completionEvidence(groupOf("a", 1), 0), now.Add(-waitA), 1})
 				for i := range 30 {
-					evidence := completedOn(groupOf("b", 30), i)
+					evidence := completionEvidence(groupOf("b", 30), i)
 					s.evidence.put("b", evidence.Heartbeat.Machine, &pendingEvidence{evidence, now.Add(-waitB), 1})
 				}
 				c := s.newCycle(now, 1, resources.Usage{})
@@ -73,7 +73,7 @@
 // one: a map that both held ended the process.
 func TestEvidenceOfSenderIsNotModified(t *testing.T) {
 	withScheduler(t, map[string]int{"a": 1}, func(_ *statecache.Cache, s *Scheduler) {
-		first, second := completedOn(groupOf("a", 1), 0), completedOn(groupOf("a", 1), 0)
+		first, second := completionEvidence(groupOf("a", 1), 0), completionEvidence(groupOf("a", 1), 0)
 		first.TaskRuntimes = map[wire.TaskID]wire.Seconds{"req-000001/0": 4}
 		second.Heartbeat.Sequence, second.TaskRuntimes = 2, map[wire.TaskID]wire.Seconds{"req-000001/1": 5}
 		s.HandleEvidence(first, time.Minute)
@@ -98,7 +98,7 @@
 		inActor(s, func() {
 			group := groupOf("a", machines)
 			for i := range machines {
-				evidence := completedOn(group, i)
+				evidence := completionEvidence(group, i)
 				s.evidence.put("a", evidence.Heartbeat.Machine, &pendingEvidence{evidence, time.Now(), 1})
 			}
 			c := s.newCycle(time.Now(), 8, resources.Usage{})
@@ -135,7 +135,7 @@
 	q := newEvidenceQueue(config.WorkerTimings{HeartbeatInterval: 8 * time.Second, LeaseDuration: 44 * time.Second}, view)
 	now := time.Now()
 	add := func(sequence uint64, applyAt time.Time) bool {
-		evidence := completedOn(group, 0)
+		evidence := completionEvidence(group, 0)
 		evidence.Heartbeat.Sequence = sequence
 		return q.add(evidence, applyAt)
 	}
@@ -155,7 +155,7 @@
 	if rec.Group = "b"; q.byGroup["b"][rec.Name] == nil || len(q.due(now.Add(10*time.Second), true)) != 1 || q.groups() != 1 {
 		t.Error("the evidence doesn't follow its machine")
 	}
-	unknown := completedOn(groupOf("c", 1), 0)
+	unknown := completionEvidence(groupOf("c", 1), 0)
 	if q.add(unknown, now) {
 		t.Error("evidence of an unknown machine is kept")
 	}
--- a/internal/scheduler/group_layout.go
+++ b/internal/scheduler/group_layout.go
@@ -13,11 +13,11 @@
 type groupLayout struct {
 	limits    recordLimits
 	oversized map[string]bool // groups whose records can hardly be written, or not at all
-	crowded   map[string]bool // groups whose records are full before their machines are
+	full      map[string]bool // groups whose records are full before their machines are
 }
 
 func newGroupLayout(limits recordLimits) *groupLayout {
-	return &groupLayout{limits: limits, oversized: map[string]bool{}, crowded: map[string]bool{}}
+	return &groupLayout{limits: limits, oversized: map[string]bool{}, full: map[string]bool{}}
 }
 
 // observe looks at a group's new record, nil when it was deleted. Whether a group is crowded
@@ -25,7 +25,7 @@
 func (l *groupLayout) observe(name string, group *statecache.MachineGroup) {
 	delete(l.oversized, name)
 	if group == nil {
-		delete(l.crowded, name)
+		delete(l.full, name)
 	} else if group.RetainedSize() > l.limits.valueBytes(splitFillShare) {
 		l.oversized[name] = true
 	}
@@ -37,7 +37,7 @@
 	if len(c.layout.oversized) == 0 || !c.ownsAllTeams() {
 		return
 	}
-	for _, groups := range []map[string]bool{c.layout.oversized, c.layout.crowded} {
+	for _, groups := range []map[string]bool{c.layout.oversized, c.layout.full} {
 		for name := range groups {
 			group := c.view.Groups[name]
 			if group == nil || len(group.Machines)+len(group.Completions) < 2 {
@@ -74,7 +74,7 @@
 			part.AddTo(txn) // the record that it comes from follows with the other updates
 		}
 		maps.Copy(c.assignmentPreconditions, c.view.AssignmentRevisions())
-		delete(c.layout.crowded, name)
+		delete(c.layout.full, name)
 	}
 	return true
 }
@@ -132,14 +132,14 @@
 	return merged
 }
 
-// mayMerge tells whether a group may be merged into another one, if they fit into one record.
+// mayMerge reports whether a group may be merged into another one, if they fit into one record.
 func (c *cycle) mayMerge(into, other *groupUpdate) bool {
 	return c.splitParts[other.Name] == 0 &&
 		other.MachineType == into.MachineType && other.Zone == into.Zone && other.Spot == into.Spot &&
 		!other.MustKeepKey() && c.fullyUsed(other)
 }
 
-// fullyUsed tells whether a group's record will hardly grow: all its machines have been up, and
+// fullyUsed reports whether a group's record will hardly grow: all its machines have been up, and
 // none has capacity left.
 func (c *cycle) fullyUsed(update *groupUpdate) bool {
 	return update.AllMachinesStarted() && !slices.ContainsFunc(update.Machines, func(rec *statecache.Machine) bool {
--- a/internal/scheduler/group_layout_test.go
+++ b/internal/scheduler/group_layout_test.go
@@ -53,7 +53,7 @@
 			for _, assignment := range s.view.Assignments {
 				assignment.Incarnation = s.incarnation
 			}
-			s.layout.crowded["a"] = true
+			s.layout.full["a"] = true
 			s.schedule()
 		})
 		time.Sleep(5 * time.Second)
@@ -134,11 +134,11 @@
 	if !l.oversized["a"] {
 		t.Errorf("%d bytes are not oversized", large.RetainedSize())
 	}
-	l.crowded["a"] = true
-	if l.observe("a", small); l.oversized["a"] || !l.crowded["a"] {
-		t.Errorf("oversized %v, crowded %v with %d bytes", l.oversized["a"], l.crowded["a"], small.RetainedSize())
+	l.full["a"] = true
+	if l.observe("a", small); l.oversized["a"] || !l.full["a"] {
+		t.Errorf("oversized %v, crowded %v with %d bytes", l.oversized["a"], l.full["a"], small.RetainedSize())
 	}
-	if l.observe("a", nil); l.crowded["a"] {
+	if l.observe("a", nil); l.full["a"] {
 		t.Error("crowded though it is gone")
 	}
 }
--- a/internal/scheduler/helpers_test.go
+++ b/internal/scheduler/helpers_test.go
@@ -61,8 +61,8 @@
 	return group
 }
 
-// completedOn is a heartbeat that a machine's one task has completed.
-func completedOn(group *statecache.MachineGroup, i int) reconcile.Evidence {
+// completionEvidence is a heartbeat that a machine's one task has completed.
+func completionEvidence(group *statecache.MachineGroup, i int) reconcile.Evidence {
 	rec := group.Machines[i]
 	return reconcile.Evidence{Heartbeat: &wire.Heartbeat{Machine: rec.Name, Address: "x:1", MachineType: "s", Zone: "a", Incarnation: 1, Sequence: 1, FencingToken: 9, Tasks: []wire.TaskStatus{
 		{Task: rec.Bindings[0].TaskID(), Attempt: 1, State: wire.TaskExited, ExitReason: wire.ReasonCompleted},
--- a/internal/scheduler/image_caches.go
+++ b/internal/scheduler/image_caches.go
@@ -21,7 +21,7 @@
 	return &imageCaches{byMachine: map[wire.MachineID][]cachedImage{}}
 }
 
-// has tells whether a machine has an image.
+// has reports whether a machine has an image.
 func (c *imageCaches) has(machine wire.MachineID, image string) bool {
 	return slices.ContainsFunc(c.byMachine[machine], func(i cachedImage) bool { return i.name == image })
 }
--- a/internal/scheduler/job_placement.go
+++ b/internal/scheduler/job_placement.go
@@ -46,7 +46,7 @@
 		return
 	}
 	p := &jobPlacement{cycle: c, queuedJob: entry, spec: spec, quota: quota, need: need, zones: c.zoneCounts(entry.id)}
-	p.mayPreempt = p.isPressing()
+	p.mayPreempt = p.mayPreemptNow()
 	p.searchesVictims = c.rng.Float64() < c.victims.searchShares[spec.Priority]
 	p.drawSample()
 	for task := c.jobs.firstIncomplete[p.id]; task < p.job.TaskCount && c.placed[p.id] < p.maxTasks; task++ {
@@ -62,12 +62,12 @@
 	}
 }
 
-// isPressing tells whether other work may be stopped for the job. Capacity comes free all the
+// mayPreemptNow reports whether other work may be stopped for the job. Capacity comes free all the
 // time: work that may wait a little preempts none before that. Production work does. A stage
 // whose priority is inherited from the pipeline's last job preempts only when its part of that
 // deadline presses.
-func (p *jobPlacement) isPressing() bool {
-	if p.candidate.startsSoon(p.deadlineStage) {
+func (p *jobPlacement) mayPreemptNow() bool {
+	if p.candidate.mustStartSoon(p.deadlineIndex) {
 		return true
 	}
 	if p.job.PriorityInherited {
@@ -78,7 +78,7 @@
 	return p.spec.Priority == wire.PriorityProduction || age >= (within-p.config.Params.Workers.HeartbeatInterval/3)/2
 }
 
-// isCompletedOrBound tells whether a task has nothing to be placed for.
+// isCompletedOrBound reports whether a task has nothing to be placed for.
 func (p *jobPlacement) isCompletedOrBound(task int) bool {
 	if p.view.IsCompleted(p.id, task) {
 		if task == p.jobs.firstIncomplete[p.id] {
@@ -105,13 +105,13 @@
 	case node == nil:
 		p.recordShortage()
 		return false
-	case p.advice.current == nil && !p.moves.isMoving(p.id) && p.nodes.worthWaiting(p.spec, node, p.now):
+	case p.advice.current == nil && !p.moves.isMoving(p.id) && p.nodes.shouldWaitForBoot(p.spec, node, p.now):
 		return false
 	}
 	if !p.bind(node, p.queuedJob, task) {
 		return false
 	}
-	p.shortageEnds()
+	p.forgetShortageOnCommit()
 	p.placedSinceSample++
 	node.Used = node.Used.Plus(p.need, 1)
 	// Marked as stopping, so that nothing in this cycle preempts it.
@@ -178,12 +178,12 @@
 	return list
 }
 
-// fits tells whether a node can take a task of the job now.
+// fits reports whether a node can take a task of the job now.
 func (p *jobPlacement) fits(n *placement.Node) bool {
 	return p.zones.Allows(p.spec, n.Zone) && p.canHost(n, p.spec) && p.advice.admits(n, p.spec)
 }
 
-// searchesAllNodes tells whether the job looks at all nodes with capacity, not at a sample alone:
+// searchesAllNodes reports whether the job looks at all nodes with capacity, not at a sample alone:
 // that may miss the few that fit for a long time.
 func (p *jobPlacement) searchesAllNodes() bool {
 	waited := p.now.Sub(p.job.RunnableSince().Time())
--- a/internal/scheduler/job_queue.go
+++ b/internal/scheduler/job_queue.go
@@ -59,7 +59,7 @@
 	assignment    uint64 // revision of the team's assignment
 	maxTasks      int    // tasks to place at most
 	recoversFirst bool   // a service, while zones recover
-	deadlineStage int    // how many of its deadlines it is not to keep; -1: it is starved
+	deadlineIndex int    // how many of its deadlines it is not to keep; -1: it is starved
 	// orderKey orders the jobs of one stage. It is the deadline to keep; of a job that can't
 	// keep any, the work that is left; of a starved one, since when it could run; of a service
 	// while zones recover, its place in the order of recovery.
@@ -111,7 +111,7 @@
 	age := config.Milliseconds(int64(statecache.TimestampOf(now) - job.RunnableSince()))
 	pendingTasks := entry.maxTasks
 	if age > starvationLeases*q.config.Params.Workers.LeaseDuration && pendingTasks == job.TaskCount {
-		entry.deadlineStage, entry.orderKey = -1, float64(job.RunnableSince())
+		entry.deadlineIndex, entry.orderKey = -1, float64(job.RunnableSince())
 		if !job.Spec.IsService() {
 			entry.maxTasks = 1
 		}
@@ -127,20 +127,20 @@
 // assignDeadlines tells of the jobs of a sorted queue which deadline each is to keep, one
 // priority after the other.
 func (q *jobQueue) assignDeadlines(queue []queuedJob, now time.Time) {
-	freeSeconds := q.runningSeconds()
+	freeSeconds := q.busySeconds()
 	for first := 0; first < len(queue); {
 		end := first
 		for end < len(queue) && queue[end].recoversFirst == queue[first].recoversFirst && queue[end].job.Spec.Priority == queue[first].job.Spec.Priority {
 			end++
 		}
-		freeSeconds = assignDeadlineStages(queue[first:end], freeSeconds, now)
+		freeSeconds = assignDeadlinesOfPriority(queue[first:end], freeSeconds, now)
 		first = end
 	}
 }
 
-// runningSeconds is how long the cluster is busy with the arrays' tasks that run: they are half
+// busySeconds is how long the cluster is busy with the arrays' tasks that run: they are half
 // done, taken all together.
-func (q *jobQueue) runningSeconds() float64 {
+func (q *jobQueue) busySeconds() float64 {
 	seconds := 0.0
 	for id, job := range q.active {
 		if n := len(q.view.Bindings[id]); n > 0 && !job.Spec.IsService() {
@@ -150,25 +150,25 @@
 	return seconds
 }
 
-// assignDeadlineStages tells of the queued jobs of one priority which deadline each is to keep,
+// assignDeadlinesOfPriority tells of the queued jobs of one priority which deadline each is to keep,
 // given when the priorities above leave the cluster to it, and returns when this one does.
-func assignDeadlineStages(queue []queuedJob, freeSeconds float64, now time.Time) float64 {
+func assignDeadlinesOfPriority(queue []queuedJob, freeSeconds float64, now time.Time) float64 {
 	var candidates []deadlineCandidate
 	var positions []int
 	for i := range queue {
-		if queue[i].deadlineStage < 0 {
+		if queue[i].deadlineIndex < 0 {
 			freeSeconds += queue[i].candidate.clusterSeconds
 		} else if !queue[i].job.Spec.IsService() {
 			candidates = append(candidates, queue[i].candidate)
 			positions = append(positions, i)
 		}
 	}
-	stages, endSeconds := assignStages(candidates, freeSeconds)
+	stages, endSeconds := chooseDeadlines(candidates, freeSeconds)
 	for n, i := range positions {
 		entry := &queue[i]
-		entry.deadlineStage = stages[n]
-		if deadlines := entry.candidate.deadlineSeconds; entry.deadlineStage < len(deadlines) {
-			entry.orderKey = float64(now.UnixMilli())/1000 + deadlines[entry.deadlineStage]
+		entry.deadlineIndex = stages[n]
+		if deadlines := entry.candidate.deadlineSeconds; entry.deadlineIndex < len(deadlines) {
+			entry.orderKey = float64(now.UnixMilli())/1000 + deadlines[entry.deadlineIndex]
 		} else {
 			entry.orderKey = entry.candidate.clusterSeconds
 		}
@@ -189,8 +189,8 @@
 		if a.job.Spec.Priority != b.job.Spec.Priority {
 			return int(b.job.Spec.Priority - a.job.Spec.Priority)
 		}
-		if a.deadlineStage != b.deadlineStage {
-			return a.deadlineStage - b.deadlineStage
+		if a.deadlineIndex != b.deadlineIndex {
+			return a.deadlineIndex - b.deadlineIndex
 		}
 		if a.orderKey != b.orderKey {
 			return cmp.Compare(a.orderKey, b.orderKey)
--- a/internal/scheduler/node_index.go
+++ b/internal/scheduler/node_index.go
@@ -100,7 +100,7 @@
 	if n == nil {
 		n = x.add(machine)
 	}
-	x.load(&n.Node, rec)
+	x.loadRecord(&n.Node, rec)
 	x.count(n, rec)
 }
 
@@ -144,7 +144,7 @@
 	if n.Schedulable {
 		n.countedPool = &resources.Pool{MachineType: n.MachineType.Name, Zone: n.Zone, Spot: n.Spot}
 	}
-	x.sumUp(n, 1)
+	x.addToSums(n, 1)
 	if n.HasCapacity() {
 		x.withCapacity = append(x.withCapacity, &n.Node)
 		n.capacityPosition = len(x.withCapacity)
@@ -156,7 +156,7 @@
 
 // uncount takes back what count has added.
 func (x *nodeIndex) uncount(n *indexedNode) {
-	x.sumUp(n, -1)
+	x.addToSums(n, -1)
 	delete(x.starting, n.Name)
 	position := n.capacityPosition - 1
 	if position < 0 {
@@ -169,8 +169,8 @@
 	x.withCapacity = x.withCapacity[:len(x.withCapacity)-1]
 }
 
-// sumUp adds what is counted of a node to the sums, or with sign -1 takes it out of them.
-func (x *nodeIndex) sumUp(n *indexedNode, sign float64) {
+// addToSums adds what is counted of a node to the sums, or with sign -1 takes it out of them.
+func (x *nodeIndex) addToSums(n *indexedNode, sign float64) {
 	for _, job := range n.countedTasks {
 		x.usage[job.Team] = x.usage[job.Team].Plus(resources.OfTask(job), sign)
 	}
@@ -187,8 +187,8 @@
 	x.pools[*n.countedPool] = pool
 }
 
-// load makes a node say what a machine record does. The sums and lists are left alone.
-func (x *nodeIndex) load(n *placement.Node, rec *statecache.Machine) {
+// loadRecord makes a node say what a machine record does. The sums and lists are left alone.
+func (x *nodeIndex) loadRecord(n *placement.Node, rec *statecache.Machine) {
 	old := n.Tasks
 	n.Group, n.MachineType, n.Zone, n.Spot, n.Schedulable = rec.Group, x.machineTypes[rec.MachineType], rec.Zone, rec.Spot, rec.Schedulable()
 	n.Used, n.Tasks = resources.Vector{}, make([]placement.RunningTask, 0, len(rec.Bindings))
@@ -226,10 +226,10 @@
 	return slots
 }
 
-// worthWaiting tells whether a job that could go elsewhere had better wait for a machine that
+// shouldWaitForBoot reports whether a job that could go elsewhere had better wait for a machine that
 // is booting than take capacity in a zone that offers few machine types: that is for jobs that
 // must spread into it. Only a cluster that begins waits: later a replica can be moved.
-func (x *nodeIndex) worthWaiting(job *wire.Job, n *placement.Node, now time.Time) bool {
+func (x *nodeIndex) shouldWaitForBoot(job *wire.Job, n *placement.Node, now time.Time) bool {
 	if n.Spot || job.SpreadZones && job.TaskCount > 1 || job.Zone != "" {
 		return false
 	}
@@ -247,7 +247,7 @@
 	return false
 }
 
-// bootsInTime tells whether a machine that is booting has not taken longer than machines
+// bootsInTime reports whether a machine that is booting has not taken longer than machines
 // usually do.
 func (x *nodeIndex) bootsInTime(machine wire.MachineID, machineType *wire.MachineType, now time.Time) bool {
 	provisionedAt := x.view.Machines[machine].ProvisionedAt.Time()
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -64,7 +64,7 @@
 // maxImageFetchShare is the part of the time until a start is due that a fetch may take.
 const maxImageFetchShare = 0.6
 
-// fetchesTooLong tells whether a task would start too late for the objective of its class
+// fetchesTooLong reports whether a task would start too late for the objective of its class
 // because the node lacks its image.
 func (c *cycle) fetchesTooLong(job *wire.Job, n *placement.Node) bool {
 	within, ofClass := c.config.StartObjective(job.Class)
--- a/internal/scheduler/replica_moves.go
+++ b/internal/scheduler/replica_moves.go
@@ -33,7 +33,7 @@
 	return &replicaMoves{holdTime: holdTime, active: map[wire.JobID]*activeMove{}}
 }
 
-// isMoving tells whether a replica of a service is on the move.
+// isMoving reports whether a replica of a service is on the move.
 func (m *replicaMoves) isMoving(service wire.JobID) bool { return m.active[service] != nil }
 
 // forget drops the move of a service.
@@ -47,7 +47,7 @@
 	m.claimed = m.claimed[:0]
 	for service, move := range m.active {
 		target := nodes.node(move.target)
-		if move.isBoundAnew(view) {
+		if move.isRebound(view) {
 			m.forget(service)
 			continue
 		}
@@ -61,8 +61,8 @@
 	}
 }
 
-// isBoundAnew tells whether the replica is bound to a machine where it was not stopped.
-func (m *activeMove) isBoundAnew(view *statecache.View) bool {
+// isRebound reports whether the replica is bound to a machine where it was not stopped.
+func (m *activeMove) isRebound(view *statecache.View) bool {
 	machine, bound := view.Bindings[m.service.ID][m.task]
 	if !bound {
 		return false
@@ -110,7 +110,7 @@
 	return list
 }
 
-// anyNodeFits tells whether a node has room for a task of the job that was not among those drawn,
+// anyNodeFits reports whether a node has room for a task of the job that was not among those drawn,
 // or is not in the groups that a full transaction writes.
 func (p *jobPlacement) anyNodeFits() bool {
 	return slices.ContainsFunc(p.nodes.withCapacity, p.fits)
@@ -152,14 +152,14 @@
 	return set
 }
 
-// canRebindReplica tells whether a replica of a service that is stopped could be bound again at
+// canRebindReplica reports whether a replica of a service that is stopped could be bound again at
 // once: nothing delays the service, and its team is within its limit.
 func (c *cycle) canRebindReplica(service *statecache.Job) bool {
 	return !c.moves.isMoving(service.Spec.ID) && !c.backoff.delays(service.Spec.ID, c.now) &&
 		c.usage.WithinLimit(c.teamQuota(service.Spec.Team), resources.Vector{})
 }
 
-// keepsReplica tells whether a machine stays, and goes on running a replica that is bound to it.
+// keepsReplica reports whether a machine stays, and goes on running a replica that is bound to it.
 func (c *cycle) keepsReplica(rec *statecache.Machine, service wire.JobID, task int) bool {
 	if !rec.Schedulable() {
 		return false
@@ -168,7 +168,7 @@
 	return binding != nil && binding.StopToken == 0 && c.remainsBound(rec.Name, service, task)
 }
 
-// remainsBound tells whether the next record of a machine still binds a task that is bound to it.
+// remainsBound reports whether the next record of a machine still binds a task that is bound to it.
 func (c *cycle) remainsBound(machine wire.MachineID, job wire.JobID, task int) bool {
 	update := c.groupUpdates[c.view.Machines[machine].Group]
 	return update == nil || update.hasBinding(machine, job, task)
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -14,37 +14,37 @@
 	"lynxledge/wire"
 )
 
-// CommandSender sends commands straight to a worker.
+// CommandSender sends commands directly to a worker.
 type CommandSender interface {
 	SendCommands(ctx context.Context, addr string, batch wire.CommandBatch) (*wire.Heartbeat, error)
 }
 
-// Scheduler is the actor that writes which tasks are bound to which machines: it places the
-// tasks of the teams assigned to it, and applies the evidence from heartbeats. The process that
-// the teams are assigned to writes at once; any other one only what nobody has written for a
-// while.
+// Scheduler is the actor that binds tasks to machines in the store: it places the tasks of the
+// teams assigned to its process, and applies the evidence from heartbeats. A process with
+// assigned teams writes evidence immediately; any other only what no process has written after a
+// delay.
 type Scheduler struct {
 	*actor.Actor
 	schedulingState
 
-	// ctx ends with the scheduler: commands are sent to workers under it.
+	// ctx is the scheduler's lifetime; commands are sent to workers with it.
 	ctx               context.Context
 	cache             *statecache.Cache
 	workers           CommandSender
-	onCommandResponse func(*wire.Heartbeat) // takes what workers answer to commands
+	onCommandResponse func(*wire.Heartbeat) // receives the workers' responses to commands
 	overload          *overload.Gauge
 
 	commitInFlight bool
 	cycleScheduled bool
 }
 
-// Options are what a Scheduler works with.
+// Options configures a Scheduler.
 type Options struct {
 	Config            *config.Config
 	Incarnation       uint64 // of this process
 	Cache             *statecache.Cache
 	Workers           CommandSender
-	OnCommandResponse func(*wire.Heartbeat) // takes what workers answer to commands; must not wait for the scheduler
+	OnCommandResponse func(*wire.Heartbeat) // receives the workers' responses to commands; must not wait for the scheduler
 	StoreLimits       *storelimits.Tracker  // nil: the limits are as configured
 	Overload          *overload.Gauge       // nil: this process is never overloaded
 }
@@ -59,7 +59,7 @@
 	return s
 }
 
-// newScheduler makes a scheduler that knows nothing yet and does not run.
+// newScheduler returns a scheduler with an empty view whose actor is not started.
 func newScheduler(o Options) *Scheduler {
 	return &Scheduler{
 		schedulingState:   newSchedulingState(o.Config, o.Incarnation, o.StoreLimits),
@@ -70,7 +70,7 @@
 	}
 }
 
-// SetMachineTypes tells the scheduler of the machine types.
+// SetMachineTypes sets the machine types of the cluster and schedules a cycle.
 func (s *Scheduler) SetMachineTypes(types []wire.MachineType) {
 	s.Send(func() {
 		s.nodes.setMachineTypes(types)
@@ -78,11 +78,12 @@
 	})
 }
 
-// SetAdvisor sets the advisor. To be called before the cache runs.
+// SetAdvisor sets the advisor. It must be called before the cache runs.
 func (s *Scheduler) SetAdvisor(a Advisor) { s.advice.advisor = a }
 
-// HandleEvidence takes the evidence from a heartbeat; it is written at once if teams are
-// assigned to this process, else after wait unless another process has written it.
+// HandleEvidence queues the evidence from a heartbeat. It is written without delay if teams
+// are assigned to this process, otherwise after wait unless another process has written it.
+// Evidence is dropped while the scheduler's mailbox is full.
 func (s *Scheduler) HandleEvidence(evidence reconcile.Evidence, wait time.Duration) {
 	s.Post(func() {
 		if s.evidence.add(evidence, time.Now().Add(wait)) {
@@ -91,13 +92,13 @@
 	})
 }
 
-// WithClusterState runs a function in the scheduler's actor that looks at all that is placed;
-// false if the scheduler is too busy.
+// WithClusterState runs f in the scheduler's actor with the current state of the cluster. It
+// returns false without running f if the scheduler's mailbox is full.
 func (s *Scheduler) WithClusterState(f func(placement.ClusterState)) bool {
 	return s.Post(func() { f(s.clusterState()) })
 }
 
-// apply takes over an update of the cache.
+// apply applies an update from the state cache, and schedules a cycle if anything changed.
 func (s *Scheduler) apply(update statecache.Update) {
 	s.schedulingState.apply(update, time.Now())
 	if len(update.Changes) > 0 {
@@ -105,11 +106,12 @@
 	}
 }
 
-// batchDelayHeartbeats is the pause before a scheduling cycle, in heartbeat intervals: changes
-// that come together are written together.
+// batchDelayHeartbeats is the delay before a scheduling cycle, in heartbeat intervals. It batches
+// changes that arrive together into one transaction.
 const batchDelayHeartbeats = 1.0 / 100
 
-// schedule begins a scheduling cycle soon, unless one is due or its commit is in flight.
+// schedule runs a scheduling cycle after the batch delay, unless one is already scheduled or its
+// commit is in flight.
 func (s *Scheduler) schedule() {
 	if s.commitInFlight || s.cycleScheduled {
 		return
@@ -123,7 +125,8 @@
 	})
 }
 
-// runCycle plans a scheduling cycle and commits it.
+// runCycle plans and commits a scheduling cycle, unless the view is stale or the write budget
+// exhausted.
 func (s *Scheduler) runCycle() {
 	now := time.Now()
 	if now.Sub(s.freshAsOf) > s.config.Params.Workers.Heartbeats(statecache.MaxViewAgeHeartbeats) {
--- a/internal/scheduler/shortages.go
+++ b/internal/scheduler/shortages.go
@@ -25,7 +25,7 @@
 	return &shortages{byService: map[wire.JobID]*shortage{}, reportAfter: reportAfter, reportInterval: reportInterval}
 }
 
-// record adds a service that finds no node, and tells whether a log line is due.
+// record adds a service that finds no node, and reports whether a log line is due.
 func (s *shortages) record(service wire.JobID, now time.Time) (since time.Time, due bool) {
 	short := s.byService[service]
 	if short == nil {
@@ -51,8 +51,8 @@
 // forget drops a service that found a node, or is over.
 func (s *shortages) forget(service wire.JobID) { delete(s.byService, service) }
 
-// shortageEnds has the service's lack of a node forgotten once what is planned is committed.
-func (p *jobPlacement) shortageEnds() {
+// forgetShortageOnCommit has the service's lack of a node forgotten once what is planned is committed.
+func (p *jobPlacement) forgetShortageOnCommit() {
 	if p.shortages.byService[p.id] != nil {
 		p.onCommitted = append(p.onCommitted, func() { p.shortages.forget(p.id) })
 	}
--- a/internal/scheduler/state.go
+++ b/internal/scheduler/state.go
@@ -12,8 +12,8 @@
 	"lynxledge/wire"
 )
 
-// schedulingState is what scheduling cycles are planned from. It belongs to the scheduler's
-// actor and does no input or output.
+// schedulingState is the state that scheduling cycles are planned from. It is owned by the
+// scheduler's actor and does no I/O.
 type schedulingState struct {
 	config      *config.Config
 	limits      recordLimits
@@ -23,24 +23,24 @@
 
 	view      *statecache.View
 	revision  uint64    // of the view
-	freshAsOf time.Time // the view shows all that was written before
+	freshAsOf time.Time // the view includes every write made before this time
 
-	nodes              *nodeIndex
-	images             *imageCaches
-	jobs               *jobQueue
-	runtimes           *estimate.RuntimeEstimator
-	backoff            *backoff
-	evidence           *evidenceQueue
-	layout             *groupLayout
-	writes             *writeBudget
-	completedJobs      *completedJobs
-	cancelledDependent map[wire.JobID]*statecache.Job // cancelled with a dependency, which their own records don't say yet
-	advice             advisory
-	shortages          *shortages
-	moves              *replicaMoves
+	nodes               *nodeIndex
+	images              *imageCaches
+	jobs                *jobQueue
+	runtimes            *estimate.RuntimeEstimator
+	backoff             *backoff
+	evidence            *evidenceQueue
+	layout              *groupLayout
+	writes              *writeBudget
+	completedJobs       *completedJobs
+	cancelledDependents map[wire.JobID]*statecache.Job // cancelled because a dependency was; not yet stored in their own records
+	advice              advisory
+	shortages           *shortages
+	moves               *replicaMoves
 }
 
-// newSchedulingState knows nothing of the cluster yet.
+// newSchedulingState returns a state with an empty view.
 func newSchedulingState(cfg *config.Config, incarnation uint64, storeLimits *storelimits.Tracker) schedulingState {
 	workers := cfg.Params.Workers
 	view := statecache.NewUnfinishedView(statecache.ChunkTasks(cfg.Params.Store.MaxValueKB))
@@ -50,28 +50,28 @@
 	backoff := newBackoff(workers)
 	limits := recordLimits{&cfg.Params.Store}
 	return schedulingState{
-		config:             cfg,
-		limits:             limits,
-		storeLimits:        storeLimits,
-		incarnation:        incarnation,
-		rng:                rand.New(rand.NewPCG(incarnation, 1)),
-		view:               view,
-		nodes:              nodes,
-		images:             images,
-		jobs:               newJobQueue(cfg, view, nodes, runtimes, backoff),
-		runtimes:           runtimes,
-		backoff:            backoff,
-		evidence:           newEvidenceQueue(workers, view),
-		layout:             newGroupLayout(limits),
-		writes:             newWriteBudget(cfg, storeLimits),
-		completedJobs:      newCompletedJobs(view),
-		cancelledDependent: map[wire.JobID]*statecache.Job{},
-		shortages:          newShortages(workers.HeartbeatInterval, workers.LeaseDuration),
-		moves:              newReplicaMoves(workers.LeaseDuration),
+		config:              cfg,
+		limits:              limits,
+		storeLimits:         storeLimits,
+		incarnation:         incarnation,
+		rng:                 rand.New(rand.NewPCG(incarnation, 1)),
+		view:                view,
+		nodes:               nodes,
+		images:              images,
+		jobs:                newJobQueue(cfg, view, nodes, runtimes, backoff),
+		runtimes:            runtimes,
+		backoff:             backoff,
+		evidence:            newEvidenceQueue(workers, view),
+		layout:              newGroupLayout(limits),
+		writes:              newWriteBudget(cfg, storeLimits),
+		completedJobs:       newCompletedJobs(view),
+		cancelledDependents: map[wire.JobID]*statecache.Job{},
+		shortages:           newShortages(workers.HeartbeatInterval, workers.LeaseDuration),
+		moves:               newReplicaMoves(workers.LeaseDuration),
 	}
 }
 
-// apply takes over an update of the cache.
+// apply applies an update from the state cache to the view and to everything derived from it.
 func (s *schedulingState) apply(update statecache.Update, now time.Time) {
 	s.revision, s.freshAsOf = update.Revision, update.FreshAsOf
 	s.writes.observe(len(update.Changes), now)
@@ -94,8 +94,8 @@
 	}
 }
 
-// applyMachineChange takes over a machine's new record: what is bound since when, and which
-// images it has fetched.
+// applyMachineChange updates the node index, the image cache and the pending evidence of a
+// machine after a change of its record.
 func (s *schedulingState) applyMachineChange(change statecache.MachineChange, now time.Time) {
 	s.nodes.refresh(change.Machine, change.New)
 	if change.New == nil {
@@ -117,8 +117,8 @@
 	}
 }
 
-// applyGroupChange takes over a group's new record, nil when it was deleted: how its tasks
-// ended, and whether it should be split.
+// applyGroupChange updates the group layout, backoff, runtime estimates and completed jobs from a
+// group's new record; nil if it was deleted.
 func (s *schedulingState) applyGroupChange(name string, group *statecache.MachineGroup, now time.Time) {
 	s.layout.observe(name, group)
 	if group == nil {
@@ -135,15 +135,16 @@
 	}
 }
 
-// applyJobChange takes over a job's new record, nil when it was deleted.
+// applyJobChange queues the job of a new record, or forgets it if it ended, is blocked or its
+// record was deleted (nil).
 func (s *schedulingState) applyJobChange(id wire.JobID, job *statecache.Job) {
 	if job != nil && job.CancelledByDependency {
-		s.cancelledDependent[id] = job
+		s.cancelledDependents[id] = job
 	} else {
-		delete(s.cancelledDependent, id)
+		delete(s.cancelledDependents, id)
 	}
-	// A blocked job waits for others: it has no place in the queue, and counts towards
-	// nothing. Only records that say done make it ready.
+	// A blocked job is not queued, and counts neither as a quota claim nor as load. It becomes
+	// ready only when the records of all its dependencies say done.
 	if job != nil && job.Active() && job.Spec != nil && !job.Blocked {
 		s.jobs.put(id, job)
 		return
@@ -156,8 +157,9 @@
 	s.runtimes.Forget(id)
 }
 
-// ownAssignments lists the teams that this process may place: their assignments name it, and
-// the view has every binding made under earlier ones.
+// ownAssignments returns the assignments of the teams whose tasks this process may place: they
+// name this process, and the view has reached their revision, so that it includes every binding
+// made under earlier assignments.
 func (s *schedulingState) ownAssignments() map[wire.TeamName]*statecache.Assignment {
 	out := map[wire.TeamName]*statecache.Assignment{}
 	for team, assignment := range s.view.Assignments {
@@ -168,15 +170,16 @@
 	return out
 }
 
-// ownsAllTeams tells whether all teams are assigned to this process. Only then it moves
-// machines from one record to another: a later assignment makes the preconditions fail, so that
-// no other process may miss what is bound to a machine on its way.
+// ownsAllTeams reports whether all teams are assigned to this process. Only then does it move
+// machines between group records: the commit requires the current revisions of all assignments
+// and so fails after a reassignment, and a process that is assigned a team later has seen the
+// move, with the moved machines' bindings.
 func (s *schedulingState) ownsAllTeams() bool {
 	assignments := len(s.view.Assignments)
 	return assignments > 0 && assignments <= s.limits.txnOps() && len(s.ownAssignments()) == assignments
 }
 
-// teamQuota is a team's quota; one that the configuration doesn't know has none.
+// teamQuota returns a team's configured quota, or a zero quota for an unknown team.
 func (s *schedulingState) teamQuota(name wire.TeamName) config.TeamQuota {
 	quota, _ := s.config.Params.TeamQuota(name)
 	quota.Name = name
