--- a/internal/scheduler/group_layout.go
+++ b/internal/scheduler/group_layout.go
@@ -9,19 +9,19 @@
 	"lynxledge/internal/statecache"
 )
 
-// groupLayout knows the groups whose records should be split.
+// groupLayout tracks the groups whose records should be split.
 type groupLayout struct {
 	limits    recordLimits
-	oversized map[string]bool // groups whose records can hardly be written, or not at all
-	full      map[string]bool // groups whose records are full before their machines are
+	oversized map[string]bool // groups whose records are close to or beyond the limit of a value
+	full      map[string]bool // groups whose records have no room for bindings while their machines have capacity
 }
 
 func newGroupLayout(limits recordLimits) *groupLayout {
 	return &groupLayout{limits: limits, oversized: map[string]bool{}, full: map[string]bool{}}
 }
 
-// observe looks at a group's new record, nil when it was deleted. Whether a group is crowded
-// shows when tasks are bound.
+// observe updates the layout from a group's new record; nil if it was deleted. Full records are
+// detected only when tasks are bound (cycle.markRecordFull).
 func (l *groupLayout) observe(name string, group *statecache.MachineGroup) {
 	delete(l.oversized, name)
 	if group == nil {
@@ -31,8 +31,9 @@
 	}
 }
 
-// openOversizedGroups takes groups into the transaction whose records are, or may become, too
-// large to be written: by what they hold, or since the limit of a value has fallen.
+// openOversizedGroups adds the groups to be split to the transaction, as far as it has room: those
+// whose records are, or may become, too large to be written, by growth or because the limit of a
+// value has been lowered, and those whose records are full.
 func (c *cycle) openOversizedGroups() {
 	if len(c.layout.oversized) == 0 || !c.ownsAllTeams() {
 		return
@@ -49,7 +50,7 @@
 			}
 			parts := min(statecache.MaxSplitParts(group.RetainedSize(), c.limits.store.ValueSizeLimit()), c.limits.txnOps()-1)
 			if c.ops()+1+parts > c.limit {
-				return // in a cycle that has room for it
+				return // left to a cycle with more writes
 			}
 			c.splitParts[name] = parts
 			if c.openGroup(name) == nil {
@@ -59,7 +60,8 @@
 	}
 }
 
-// splitGroups makes several groups of each one that is to be split; false if one can't be.
+// splitGroups splits the groups that openOversizedGroups opened, and adds the new groups to the
+// commit. It returns false if a group can't be split.
 func (c *cycle) splitGroups(txn *statecache.Commit) bool {
 	for name, maxParts := range c.splitParts {
 		update := c.groupUpdates[name]
@@ -71,7 +73,7 @@
 		}
 		for _, part := range parts {
 			slog.Debug("group split", "group", name, "new_group", part.Name, "machines", len(part.Machines))
-			part.AddTo(txn) // the record that it comes from follows with the other updates
+			part.AddTo(txn) // the group that was split is added later, by addGroupsTo
 		}
 		maps.Copy(c.assignmentPreconditions, c.view.AssignmentRevisions())
 		delete(c.layout.full, name)
@@ -79,12 +81,11 @@
 	return true
 }
 
-// mergeGroups makes one group of those that are written together anyhow, belong to one pool and
-// fit into one record: the fewer groups, the fewer writes, and the sooner free capacity is
-// known. Their machines must be full: two groups that begin would fill a record long before
-// their machines. Only who places for all teams merges: a later assignment makes the
-// preconditions fail, so that no other process may miss what is bound to a machine on its way
-// from one record to the next.
+// mergeGroups merges groups that the cycle writes anyway, that belong to the same pool and whose
+// contents fit into one record: fewer groups take fewer writes, so free capacity is known sooner.
+// Only groups whose machines have no free capacity are merged: with two groups of new machines the
+// record would be full long before the machines. As for splits, all teams must be assigned to this
+// process (see ownsAllTeams).
 func (c *cycle) mergeGroups(txn *statecache.Commit) {
 	if len(c.groupUpdates) < 2 || !c.ownsAllTeams() {
 		return
@@ -101,8 +102,8 @@
 	}
 }
 
-// groupsBySize lists the groups in the transaction, those with the most machines first: they
-// take over the others.
+// groupsBySize returns the groups in the transaction by descending number of machines, since
+// smaller groups are merged into larger ones.
 func (c *cycle) groupsBySize() []string {
 	names := slices.Collect(maps.Keys(c.groupUpdates))
 	slices.SortFunc(names, func(a, b string) int {
@@ -114,7 +115,8 @@
 	return names
 }
 
-// mergeInto merges those of the other groups into one that may be and fit; false if none is.
+// mergeInto merges into a group those of the others that may be merged and fit. It reports whether
+// any was merged.
 func (c *cycle) mergeInto(into *groupUpdate, others []string, txn *statecache.Commit) bool {
 	merged := false
 	size := into.EncodedSize()
@@ -132,15 +134,15 @@
 	return merged
 }
 
-// mayMerge reports whether a group may be merged into another one, if they fit into one record.
+// mayMerge reports whether a group may be merged into another, apart from the size of the record.
 func (c *cycle) mayMerge(into, other *groupUpdate) bool {
 	return c.splitParts[other.Name] == 0 &&
 		other.MachineType == into.MachineType && other.Zone == into.Zone && other.Spot == into.Spot &&
 		!other.MustKeepKey() && c.fullyUsed(other)
 }
 
-// fullyUsed reports whether a group's record will hardly grow: all its machines have been up, and
-// none has capacity left.
+// fullyUsed reports whether a group's record will hardly grow because all its machines have started
+// and none has free capacity.
 func (c *cycle) fullyUsed(update *groupUpdate) bool {
 	return update.AllMachinesStarted() && !slices.ContainsFunc(update.Machines, func(rec *statecache.Machine) bool {
 		n := c.nodes.node(rec.Name)
--- a/internal/scheduler/image_caches.go
+++ b/internal/scheduler/image_caches.go
@@ -6,10 +6,10 @@
 	"lynxledge/wire"
 )
 
-// imageCaches is what can be known here of the images that machines have fetched: each keeps
-// those that it used last, as far as its cache holds them.
+// imageCaches estimates which images the machines have cached from the tasks bound to them: each
+// keeps the most recently used images that fit into its cache.
 type imageCaches struct {
-	byMachine map[wire.MachineID][]cachedImage // the one used last first
+	byMachine map[wire.MachineID][]cachedImage // most recently used first
 }
 
 type cachedImage struct {
@@ -21,16 +21,17 @@
 	return &imageCaches{byMachine: map[wire.MachineID][]cachedImage{}}
 }
 
-// has reports whether a machine has an image.
+// has reports whether a machine is assumed to have an image.
 func (c *imageCaches) has(machine wire.MachineID, image string) bool {
 	return slices.ContainsFunc(c.byMachine[machine], func(i cachedImage) bool { return i.name == image })
 }
 
-// forget drops a machine that is terminated.
+// forget drops the images of a machine that no longer exists.
 func (c *imageCaches) forget(machine wire.MachineID) { delete(c.byMachine, machine) }
 
-// recordUse moves an image to the front of a machine's cache, and drops what no longer fits
-// into it. machineType is nil when it is unknown.
+// recordUse marks an image as the most recently used of a machine, and drops the least recently
+// used ones that no longer fit into the cache. If machineType is nil, the cache size is unknown and
+// nothing is dropped.
 func (c *imageCaches) recordUse(machine wire.MachineID, machineType *wire.MachineType, image cachedImage) {
 	old := c.byMachine[machine]
 	if len(old) > 0 && old[0].name == image.name {
--- a/internal/scheduler/job_placement.go
+++ b/internal/scheduler/job_placement.go
@@ -9,24 +9,25 @@
 	"lynxledge/wire"
 )
 
-// jobPlacement is the placing of one job's tasks in a cycle.
+// jobPlacement is the state of placing one job's tasks in a cycle.
 type jobPlacement struct {
 	*cycle
 	queuedJob
 	spec  *wire.Job
 	quota config.TeamQuota
-	need  resources.Vector
-	zones placement.ZoneCounts // of the job's tasks, those placed here included
+	need  resources.Vector     // of one task
+	zones placement.ZoneCounts // of the job's tasks, including those placed in this cycle
 
-	mayPreempt      bool // other work may be stopped for a task
-	searchesVictims bool // it is among the jobs of its priority that look for victims
+	mayPreempt      bool // running tasks may be preempted for the job
+	searchesVictims bool // the job was drawn to search for victims in this cycle
 
-	sample            []*placement.Node // with capacity, drawn anew when it is used up
-	placedSinceSample int               // tasks placed since it was drawn
-	occupied          []*placement.Node // to look for victims on; drawn when first needed
+	sample            []*placement.Node // nodes with capacity; drawn again when no node in it fits
+	placedSinceSample int               // number of tasks placed since the sample was drawn
+	occupied          []*placement.Node // nodes to search for victims; drawn when first needed
 }
 
-// placeJob places what it can of a job.
+// placeJob places as many of a job's pending tasks as it can, using the quota held for the job's
+// replica on the move, if any.
 func (c *cycle) placeJob(entry queuedJob) {
 	wasHeld := c.releaseHeldQuota(entry.job.Spec)
 	c.placeTasks(entry)
@@ -35,7 +36,8 @@
 	}
 }
 
-// placeTasks places a job's pending tasks, one after the other, until one finds no node.
+// placeTasks places a job's pending tasks one by one, until one finds no node or the team's limit
+// is reached.
 func (c *cycle) placeTasks(entry queuedJob) {
 	spec, quota := entry.job.Spec, c.teamQuota(entry.job.Spec.Team)
 	need := resources.OfTask(spec)
@@ -51,7 +53,7 @@
 	p.drawSample()
 	for task := c.jobs.firstIncomplete[p.id]; task < p.job.TaskCount && c.placed[p.id] < p.maxTasks; task++ {
 		if c.backoff.probes(p.id) && len(c.view.Bindings[p.id])+c.placed[p.id] > 0 {
-			return // one at a time until one succeeds
+			return // at most one running task until one succeeds
 		}
 		if p.isCompletedOrBound(task) {
 			continue
@@ -62,10 +64,11 @@
 	}
 }
 
-// mayPreemptNow reports whether other work may be stopped for the job. Capacity comes free all the
-// time: work that may wait a little preempts none before that. Production work does. A stage
-// whose priority is inherited from the pipeline's last job preempts only when its part of that
-// deadline presses.
+// mayPreemptNow reports whether other tasks may be preempted for the job. Capacity is freed all the
+// time, so a job may preempt only when its latest start for its deadline is near, or after about
+// half the time within which its objectives have it start. Production jobs need not wait. A job
+// whose priority is inherited from the last job of its pipeline may preempt only when its own share
+// of that job's deadline is near.
 func (p *jobPlacement) mayPreemptNow() bool {
 	if p.candidate.mustStartSoon(p.deadlineIndex) {
 		return true
@@ -78,7 +81,8 @@
 	return p.spec.Priority == wire.PriorityProduction || age >= (within-p.config.Params.Workers.HeartbeatInterval/3)/2
 }
 
-// isCompletedOrBound reports whether a task has nothing to be placed for.
+// isCompletedOrBound reports whether a task need not be placed. It advances the job's first
+// incomplete task.
 func (p *jobPlacement) isCompletedOrBound(task int) bool {
 	if p.view.IsCompleted(p.id, task) {
 		if task == p.jobs.firstIncomplete[p.id] {
@@ -90,7 +94,7 @@
 	return bound
 }
 
-// placeTask places a task; false when the job gets no more capacity in this cycle.
+// placeTask places a task. It returns false if no more tasks of the job can be placed in this cycle.
 func (p *jobPlacement) placeTask(task int) bool {
 	node := p.pickNode()
 	victims := p.pickVictims(node)
@@ -114,20 +118,20 @@
 	p.forgetShortageOnCommit()
 	p.placedSinceSample++
 	node.Used = node.Used.Plus(p.need, 1)
-	// Marked as stopping, so that nothing in this cycle preempts it.
+	// Stopping keeps the task from being preempted in this cycle.
 	node.Tasks = append(node.Tasks, placement.RunningTask{Job: p.spec, TaskIndex: task, Stopping: true, BoundSince: p.now})
 	p.usage[p.quota.Name] = p.usage[p.quota.Name].Plus(p.need, 1)
 	p.zones[node.Zone]++
 	return true
 }
 
-// drawSample draws nodes with capacity for the job.
+// drawSample draws a new sample of nodes with capacity for the job.
 func (p *jobPlacement) drawSample() {
 	p.sample, p.placedSinceSample = p.withoutFailed(p.candidates(p.spec)), 0
 }
 
-// withoutFailed leaves out the nodes on which the job has failed, while there are others that it
-// may use: those that the zones of its other tasks exclude are none.
+// withoutFailed leaves out the nodes on which the job has failed, unless it has failed on all that
+// it may use. Nodes in zones that the job's other tasks exclude are not usable.
 func (p *jobPlacement) withoutFailed(nodes []*placement.Node) []*placement.Node {
 	if !p.backoff.hasFailed(p.id) {
 		return nodes
@@ -138,7 +142,8 @@
 	return p.backoff.withoutFailed(p.id, usable)
 }
 
-// pickNode is a node with capacity, or nil.
+// pickNode returns a node with capacity for a task, or nil. It tries the current sample, a new one,
+// all nodes if the job may search them, then the fallback nodes.
 func (p *jobPlacement) pickNode() *placement.Node {
 	node := placement.PickNode(p.spec, p.zones, p.nodes.offers, p.sample)
 	if node == nil && p.placedSinceSample > 0 {
@@ -156,15 +161,15 @@
 }
 
 const (
-	// maxFullSearches is how many of the queued jobs may look at all nodes with capacity in a
-	// cycle, drawn anew each time.
+	// maxFullSearches is how many of the queued jobs on average may search all nodes with capacity
+	// in a cycle. They are drawn at random in each cycle.
 	maxFullSearches = 16
-	// fullSearchAfterHeartbeats is for how long a job has waited when it is worth one.
+	// fullSearchAfterHeartbeats is the wait, in heartbeat intervals, after which a job may do so.
 	fullSearchAfterHeartbeats = 2
 )
 
-// allCandidates are the nodes that can take a task of the job, whichever groups are written; a
-// sample if there are many.
+// allCandidates returns the nodes that can take a task of the job, whether or not the cycle already
+// writes their groups; a sample of them if there are many.
 func (p *jobPlacement) allCandidates() []*placement.Node {
 	var list []*placement.Node
 	for _, n := range p.nodes.withCapacity {
@@ -183,16 +188,16 @@
 	return p.zones.Allows(p.spec, n.Zone) && p.canHost(n, p.spec) && p.advice.admits(n, p.spec)
 }
 
-// searchesAllNodes reports whether the job looks at all nodes with capacity, not at a sample alone:
-// that may miss the few that fit for a long time.
+// searchesAllNodes reports whether the job searches all nodes with capacity in addition to a sample,
+// which may miss the few nodes that fit for a long time. It draws at random.
 func (p *jobPlacement) searchesAllNodes() bool {
 	waited := p.now.Sub(p.job.RunnableSince().Time())
 	return !p.isFull() && waited >= p.config.Params.Workers.Heartbeats(fullSearchAfterHeartbeats) &&
 		p.rng.Float64() < p.fullSearchShare
 }
 
-// pickVictims is other work to stop or to move for a task, or nil. node is where the task would
-// go without; nil: nowhere.
+// pickVictims returns tasks to preempt, or a replica to move, for a task; nil if there is none. node
+// is where the task could be placed without that, or nil.
 func (p *jobPlacement) pickVictims(node *placement.Node) *placement.Victims {
 	if !p.searchesVictims {
 		return nil
@@ -201,7 +206,7 @@
 	entitled := p.spec.Priority >= wire.PriorityHigh || p.usage.WithinGuarantee(p.quota, p.need)
 	if p.mayPreempt && entitled && (node == nil || p.spec.Priority >= wire.PriorityHigh && p.fetchesTooLong(p.spec, node)) {
 		nodes := p.occupiedNodes()
-		if node != nil { // other work makes room only where the image is
+		if node != nil { // preemption helps only on nodes that have the image
 			nodes = slices.DeleteFunc(slices.Clone(nodes), func(n *placement.Node) bool { return !n.HasImage(p.spec.Image) })
 		}
 		victims = placement.FindVictims(p.spec, p.zones, p.nodes.offers, nodes, placement.Quotas{Usage: p.usage, Of: p.teamQuota})
@@ -212,7 +217,7 @@
 	return victims
 }
 
-// occupiedNodes are nodes to look for victims on.
+// occupiedNodes returns the nodes to search for victims.
 func (p *jobPlacement) occupiedNodes() []*placement.Node {
 	if p.occupied == nil {
 		p.occupied = p.withoutFailed(p.preemptionCandidates(p.spec))
--- a/internal/scheduler/job_queue.go
+++ b/internal/scheduler/job_queue.go
@@ -13,7 +13,7 @@
 	"lynxledge/wire"
 )
 
-// jobQueue is the active jobs, and the order in which those with pending tasks are placed.
+// jobQueue holds the active jobs, and orders those with pending tasks for placement.
 type jobQueue struct {
 	config   *config.Config
 	view     *statecache.View
@@ -23,7 +23,7 @@
 
 	active          map[wire.JobID]*statecache.Job
 	claims          quotaClaims        // of the active jobs
-	firstIncomplete map[wire.JobID]int // the lowest task of a job that may not be completed
+	firstIncomplete map[wire.JobID]int // all tasks of a job below this index are completed
 }
 
 func newJobQueue(cfg *config.Config, view *statecache.View, nodes *nodeIndex, runtimes *estimate.RuntimeEstimator, backoff *backoff) *jobQueue {
@@ -34,47 +34,47 @@
 	}
 }
 
-// put sets an active job.
+// put adds or replaces an active job.
 func (q *jobQueue) put(id wire.JobID, job *statecache.Job) {
 	q.active[id] = job
 	q.claims.outdated = true
 }
 
-// remove drops a job that is over, or blocked.
+// remove removes a job that has ended or is blocked.
 func (q *jobQueue) remove(id wire.JobID) {
 	delete(q.active, id)
 	q.claims.outdated = true
 	delete(q.firstIncomplete, id)
 }
 
-// withinGuarantee tells which active jobs are within their teams' guarantees.
+// withinGuarantee returns the active jobs that are within their teams' guarantees.
 func (q *jobQueue) withinGuarantee(quotaOf func(wire.TeamName) config.TeamQuota) map[wire.JobID]bool {
 	return jobsWithinGuarantee(q.claims.current(q.active, q.view.CompletedCount), quotaOf)
 }
 
-// queuedJob is a job that has tasks to place.
+// queuedJob is a job with pending tasks.
 type queuedJob struct {
 	id            wire.JobID
 	job           *statecache.Job
 	assignment    uint64 // revision of the team's assignment
-	maxTasks      int    // tasks to place at most
-	recoversFirst bool   // a service, while zones recover
-	deadlineIndex int    // how many of its deadlines it is not to keep; -1: it is starved
-	// orderKey orders the jobs of one stage. It is the deadline to keep; of a job that can't
-	// keep any, the work that is left; of a starved one, since when it could run; of a service
-	// while zones recover, its place in the order of recovery.
+	maxTasks      int    // most tasks to place in this cycle
+	recoversFirst bool   // it is a service, and zones are recovering
+	deadlineIndex int    // index of the deadline to meet; the number of deadlines if it can't meet any; -1 if starved
+	// orderKey orders the jobs of the same priority and deadlineIndex: by the deadline to meet, by
+	// the remaining work of jobs that can't meet any, by the time since which starved jobs could
+	// run, and by the recovery order of services while zones recover.
 	orderKey  float64
 	candidate deadlineCandidate
 }
 
-// starvationLeases is how many leases a job waits without a single start until it is starved.
+// starvationLeases is the wait, in lease durations, after which a job without any bound or completed
+// task counts as starved.
 const starvationLeases = 3
 
-// pending lists the jobs of the assigned teams that have tasks to place: by priority, then
-// earliest deadline first. Under overload plain EDF makes every job late; so the largest of
-// those that can't all be on time give way. None gives way for ever: one that is starved goes
-// first in its priority with one task, or the largest would starve behind all that are smaller.
-// More than that would make the whole queue late again.
+// pending returns the jobs of the assigned teams with pending tasks, by priority, then earliest
+// deadline first. Under overload plain EDF makes every job late, so of the jobs that can't all be on
+// time the largest are postponed. They would starve behind smaller jobs, so a starved job goes first
+// within its priority, but an array with one task only: more would make the whole queue late again.
 //
 // While zones recover, services go before all arrays, whatever their priority.
 func (q *jobQueue) pending(assignments map[wire.TeamName]*statecache.Assignment, advice placement.Advice, now time.Time) []queuedJob {
@@ -95,13 +95,14 @@
 		q.setOrder(&entry, advice, now)
 		queue = append(queue, entry)
 	}
-	sortQueue(queue) // a fixed order among equals
+	sortQueue(queue) // makes the choice of deadlines independent of map order
 	q.assignDeadlines(queue, now)
 	sortQueue(queue)
 	return queue
 }
 
-// setOrder says by what a job with pending tasks is ordered.
+// setOrder sets what a queued job is ordered by: its recovery order, its starvation, or the
+// candidate from which its deadline is chosen.
 func (q *jobQueue) setOrder(entry *queuedJob, advice placement.Advice, now time.Time) {
 	job := entry.job
 	if advice != nil && job.Spec.IsService() {
@@ -124,8 +125,8 @@
 	}
 }
 
-// assignDeadlines tells of the jobs of a sorted queue which deadline each is to keep, one
-// priority after the other.
+// assignDeadlines sets the deadline that each job of a sorted queue is to meet, one priority after
+// the other.
 func (q *jobQueue) assignDeadlines(queue []queuedJob, now time.Time) {
 	freeSeconds := q.busySeconds()
 	for first := 0; first < len(queue); {
@@ -138,8 +139,8 @@
 	}
 }
 
-// busySeconds is how long the cluster is busy with the arrays' tasks that run: they are half
-// done, taken all together.
+// busySeconds estimates how long the cluster is busy with the running tasks of arrays. On average
+// half of their runtime is left.
 func (q *jobQueue) busySeconds() float64 {
 	seconds := 0.0
 	for id, job := range q.active {
@@ -150,8 +151,8 @@
 	return seconds
 }
 
-// assignDeadlinesOfPriority tells of the queued jobs of one priority which deadline each is to keep,
-// given when the priorities above leave the cluster to it, and returns when this one does.
+// assignDeadlinesOfPriority sets the deadline that each queued job of one priority is to meet.
+// freeSeconds is when the jobs of higher priority leave the cluster free; it returns when these do.
 func assignDeadlinesOfPriority(queue []queuedJob, freeSeconds float64, now time.Time) float64 {
 	var candidates []deadlineCandidate
 	var positions []int
@@ -163,10 +164,10 @@
 			positions = append(positions, i)
 		}
 	}
-	stages, endSeconds := chooseDeadlines(candidates, freeSeconds)
+	chosen, endSeconds := chooseDeadlines(candidates, freeSeconds)
 	for n, i := range positions {
 		entry := &queue[i]
-		entry.deadlineIndex = stages[n]
+		entry.deadlineIndex = chosen[n]
 		if deadlines := entry.candidate.deadlineSeconds; entry.deadlineIndex < len(deadlines) {
 			entry.orderKey = float64(now.UnixMilli())/1000 + deadlines[entry.deadlineIndex]
 		} else {
@@ -176,8 +177,8 @@
 	return endSeconds
 }
 
-// sortQueue sorts the queue: services that recover first, then by priority, then by deadline
-// stage, then by the key of the stage.
+// sortQueue sorts the queue: services that go first while zones recover, then by priority, by
+// deadline index, by order key and by job ID.
 func sortQueue(queue []queuedJob) {
 	slices.SortFunc(queue, func(a, b queuedJob) int {
 		if a.recoversFirst != b.recoversFirst {
--- a/internal/scheduler/node_index.go
+++ b/internal/scheduler/node_index.go
@@ -14,8 +14,8 @@
 	"lynxledge/wire"
 )
 
-// nodeIndex has a node for each machine of a known type, and keeps sums and lists over them,
-// so that what one changed machine costs does not grow with the fleet.
+// nodeIndex holds a node for each machine of a known type, and maintains sums and lists over them
+// incrementally, so that the cost of one changed machine does not grow with the fleet.
 type nodeIndex struct {
 	view         *statecache.View
 	images       *imageCaches
@@ -23,28 +23,28 @@
 	offers       placement.ZoneOffers
 
 	byName       map[wire.MachineID]*indexedNode
-	all          []*placement.Node                  // by their ordinals, from 1
-	withCapacity []*placement.Node                  // those that may take tasks
+	all          []*placement.Node                  // by ordinal; the first has ordinal 1
+	withCapacity []*placement.Node                  // schedulable nodes with free capacity
 	pools        map[resources.Pool]poolCapacity    // of the schedulable nodes
-	starting     map[wire.MachineID]*placement.Node // machines that are booting
-	usage        resources.Usage                    // by the teams' bound tasks
+	booting      map[wire.MachineID]*placement.Node // nodes whose machines are booting
+	usage        resources.Usage                    // of the teams' bound tasks
 }
 
-// indexedNode is a node with what the index keeps of it.
+// indexedNode is a node with its entries in the index.
 type indexedNode struct {
 	placement.Node
-	capacityPosition int             // in nodeIndex.withCapacity, from 1; 0: it isn't there
-	countedTasks     []*wire.Job     // one for each task that the sums count
-	countedPool      *resources.Pool // the pool that counts it as schedulable
+	capacityPosition int             // 1 + its position in nodeIndex.withCapacity; 0: it isn't in the list
+	countedTasks     []*wire.Job     // the job of each task that is included in the sums
+	countedPool      *resources.Pool // the pool in which it is counted as schedulable; nil: none
 }
 
-// poolCapacity is what the nodes of a pool have.
+// poolCapacity sums up the schedulable nodes of a pool.
 type poolCapacity struct {
 	schedulableNodes int
-	serviceUsage     resources.Vector // by the replicas that they run
+	serviceUsage     resources.Vector // of the replicas on them
 }
 
-// newNodeIndex makes an index of the machines of a view that holds none yet.
+// newNodeIndex returns an empty index for the machines of a view that has none yet.
 func newNodeIndex(view *statecache.View, images *imageCaches) *nodeIndex {
 	return &nodeIndex{
 		view:         view,
@@ -52,31 +52,31 @@
 		machineTypes: map[string]*wire.MachineType{},
 		byName:       map[wire.MachineID]*indexedNode{},
 		pools:        map[resources.Pool]poolCapacity{},
-		starting:     map[wire.MachineID]*placement.Node{},
+		booting:      map[wire.MachineID]*placement.Node{},
 		usage:        resources.Usage{},
 	}
 }
 
-// setMachineTypes replaces the machine types, and makes all nodes anew.
+// setMachineTypes adds or replaces machine types, and refreshes all nodes.
 func (x *nodeIndex) setMachineTypes(types []wire.MachineType) {
 	x.offers = placement.ZoneOffers{}
-	most := 0.0
+	maxOffers := 0.0
 	for i := range types {
 		x.machineTypes[types[i].Name] = &types[i]
 		for _, zone := range types[i].Zones {
 			x.offers[zone]++
-			most = max(most, x.offers[zone])
+			maxOffers = max(maxOffers, x.offers[zone])
 		}
 	}
 	for zone := range x.offers {
-		x.offers[zone] /= most
+		x.offers[zone] /= maxOffers
 	}
-	for _, name := range slices.Sorted(maps.Keys(x.view.Machines)) { // ordinals follow
+	for _, name := range slices.Sorted(maps.Keys(x.view.Machines)) { // sorted: new nodes get their ordinals in this order
 		x.refresh(name, x.view.Machines[name])
 	}
 }
 
-// node is the node of a machine, or nil.
+// node returns the node of a machine, or nil.
 func (x *nodeIndex) node(machine wire.MachineID) *placement.Node {
 	if n := x.byName[machine]; n != nil {
 		return &n.Node
@@ -84,8 +84,8 @@
 	return nil
 }
 
-// refresh makes a machine's node anew from its record, and keeps the sums and lists over the
-// nodes; without a record the node is removed.
+// refresh updates a machine's node from its record, and the sums and lists with it. The node is
+// removed if rec is nil or the machine type unknown.
 func (x *nodeIndex) refresh(machine wire.MachineID, rec *statecache.Machine) {
 	n := x.byName[machine]
 	if n != nil {
@@ -104,8 +104,8 @@
 	x.count(n, rec)
 }
 
-// reset makes the nodes of machines say again what their records do, after a scheduling cycle
-// has changed them.
+// reset restores the nodes of machines from their records in the view, dropping the changes of a
+// scheduling cycle.
 func (x *nodeIndex) reset(machines []wire.MachineID) {
 	for _, name := range machines {
 		if rec := x.view.Machines[name]; rec != nil {
@@ -114,7 +114,7 @@
 	}
 }
 
-// add makes the node of a machine that has none.
+// add adds a node for a machine that has none.
 func (x *nodeIndex) add(machine wire.MachineID) *indexedNode {
 	n := &indexedNode{Node: placement.Node{Name: machine, HasImage: func(image string) bool { return x.images.has(machine, image) }}}
 	x.byName[machine] = n
@@ -123,7 +123,7 @@
 	return n
 }
 
-// remove drops a node that is counted nowhere any more. The last one takes its place.
+// remove removes a node that has been uncounted. The last node takes over its ordinal.
 func (x *nodeIndex) remove(n *indexedNode) {
 	last := x.all[len(x.all)-1]
 	x.all[n.Ordinal-1] = last
@@ -132,8 +132,8 @@
 	delete(x.byName, n.Name)
 }
 
-// count adds a node to the sums and lists. A scheduling cycle changes nodes for a while, so
-// what is added is kept.
+// count adds a node to the sums and lists. It stores what it adds for uncount, since a scheduling
+// cycle modifies nodes in the meantime.
 func (x *nodeIndex) count(n *indexedNode, rec *statecache.Machine) {
 	n.countedTasks, n.countedPool = n.countedTasks[:0], nil
 	for _, t := range n.Tasks {
@@ -150,14 +150,14 @@
 		n.capacityPosition = len(x.withCapacity)
 	}
 	if rec.Incarnation == 0 && rec.DrainReason == "" {
-		x.starting[n.Name] = &n.Node
+		x.booting[n.Name] = &n.Node
 	}
 }
 
-// uncount takes back what count has added.
+// uncount removes from the sums and lists what count added.
 func (x *nodeIndex) uncount(n *indexedNode) {
 	x.addToSums(n, -1)
-	delete(x.starting, n.Name)
+	delete(x.booting, n.Name)
 	position := n.capacityPosition - 1
 	if position < 0 {
 		return
@@ -169,7 +169,7 @@
 	x.withCapacity = x.withCapacity[:len(x.withCapacity)-1]
 }
 
-// addToSums adds what is counted of a node to the sums, or with sign -1 takes it out of them.
+// addToSums adds a node's counted tasks and pool to the sums, or subtracts them if sign is -1.
 func (x *nodeIndex) addToSums(n *indexedNode, sign float64) {
 	for _, job := range n.countedTasks {
 		x.usage[job.Team] = x.usage[job.Team].Plus(resources.OfTask(job), sign)
@@ -187,7 +187,7 @@
 	x.pools[*n.countedPool] = pool
 }
 
-// loadRecord makes a node say what a machine record does. The sums and lists are left alone.
+// loadRecord sets a node's fields from a machine's record. It does not update the sums and lists.
 func (x *nodeIndex) loadRecord(n *placement.Node, rec *statecache.Machine) {
 	old := n.Tasks
 	n.Group, n.MachineType, n.Zone, n.Spot, n.Schedulable = rec.Group, x.machineTypes[rec.MachineType], rec.Zone, rec.Spot, rec.Schedulable()
@@ -197,8 +197,8 @@
 		task := placement.RunningTask{TaskIndex: binding.TaskIndex, Stopping: binding.StopToken > 0, BoundSince: time.Now()}
 		if job := x.view.Jobs[binding.Job]; job != nil && job.Spec != nil {
 			task.Job = job.Spec
-			// What is to stop without a checkpoint has ended before a launch in the same
-			// batch of commands is carried out.
+			// A task that is stopped without a grace period counts as free capacity: it has
+			// ended before a launch in the same batch of commands is carried out.
 			if binding.StopToken == 0 || binding.GraceSeconds > 0 {
 				n.Used = n.Used.Plus(resources.OfTask(job.Spec), 1)
 			}
@@ -212,8 +212,8 @@
 	}
 }
 
-// slotsFor is how many tasks of a job the machines that are up could run at once if they had
-// nothing else to do but to keep the replicas that they run.
+// slotsFor returns how many tasks of a job the schedulable machines could run at once if they ran
+// nothing else but their present replicas of services. One is added so that it is never 0.
 func (x *nodeIndex) slotsFor(job *wire.Job) float64 {
 	slots := 1.0
 	for pool, capacity := range x.pools {
@@ -226,9 +226,11 @@
 	return slots
 }
 
-// shouldWaitForBoot reports whether a job that could go elsewhere had better wait for a machine that
-// is booting than take capacity in a zone that offers few machine types: that is for jobs that
-// must spread into it. Only a cluster that begins waits: later a replica can be moved.
+// shouldWaitForBoot reports whether a task that could be placed on the on-demand node n should wait
+// for a machine that is booting in a zone with more machine types. That holds for jobs that are free
+// to choose their zones: the zone with fewer types is left to jobs that must spread into it. Jobs
+// wait only while a cluster starts, with no on-demand machine up in a zone with more types; later a
+// replica can be moved instead.
 func (x *nodeIndex) shouldWaitForBoot(job *wire.Job, n *placement.Node, now time.Time) bool {
 	if n.Spot || job.SpreadZones && job.TaskCount > 1 || job.Zone != "" {
 		return false
@@ -238,17 +240,16 @@
 			return false
 		}
 	}
-	for name, booting := range x.starting {
-		if !booting.Spot && x.offers[booting.Zone] > x.offers[n.Zone] && booting.AllowedFor(job) &&
-			resources.OfTask(job).Fits(resources.OfMachineType(booting.MachineType)) && x.bootsInTime(name, booting.MachineType, now) {
+	for name, node := range x.booting {
+		if !node.Spot && x.offers[node.Zone] > x.offers[n.Zone] && node.AllowedFor(job) &&
+			resources.OfTask(job).Fits(resources.OfMachineType(node.MachineType)) && x.bootsInTime(name, node.MachineType, now) {
 			return true
 		}
 	}
 	return false
 }
 
-// bootsInTime reports whether a machine that is booting has not taken longer than machines
-// usually do.
+// bootsInTime reports whether a booting machine is still within the usual boot time of its type.
 func (x *nodeIndex) bootsInTime(machine wire.MachineID, machineType *wire.MachineType, now time.Time) bool {
 	provisionedAt := x.view.Machines[machine].ProvisionedAt.Time()
 	return now.Sub(provisionedAt) < config.Seconds(estimate.UsualBootFactor*float64(machineType.BootTime))
--- a/internal/scheduler/node_index_test.go
+++ b/internal/scheduler/node_index_test.go
@@ -78,13 +78,13 @@
 	set("i-2", &statecache.Machine{Name: "i-2", MachineType: "s", Zone: "a"})
 	set("i-3", machine("i-3", 1))
 	set("i-4", &statecache.Machine{Name: "i-4", MachineType: "unknown", Zone: "a"})
-	if len(x.all) != 3 || x.node("i-4") != nil || x.usage["red"].CPUs != 6 || x.pools[pool].serviceUsage.CPUs != 6 || len(x.starting) != 1 {
-		t.Errorf("%d nodes, %d starting, usage %v, pool %+v", len(x.all), len(x.starting), x.usage, x.pools[pool])
+	if len(x.all) != 3 || x.node("i-4") != nil || x.usage["red"].CPUs != 6 || x.pools[pool].serviceUsage.CPUs != 6 || len(x.booting) != 1 {
+		t.Errorf("%d nodes, %d booting, usage %v, pool %+v", len(x.all), len(x.booting), x.usage, x.pools[pool])
 	}
 	set("i-2", machine("i-2"))
 	set("i-1", nil)
-	if len(x.all) != 2 || x.usage["red"].CPUs != 3 || x.pools[pool].schedulableNodes != len(x.withCapacity) || len(x.starting) != 0 {
-		t.Errorf("%d nodes, %d starting, usage %v, pool %+v", len(x.all), len(x.starting), x.usage, x.pools[pool])
+	if len(x.all) != 2 || x.usage["red"].CPUs != 3 || x.pools[pool].schedulableNodes != len(x.withCapacity) || len(x.booting) != 0 {
+		t.Errorf("%d nodes, %d booting, usage %v, pool %+v", len(x.all), len(x.booting), x.usage, x.pools[pool])
 	}
 	if x.offers["a"] != 1 || x.offers["b"] != 0.5 {
 		t.Errorf("offers %v", x.offers)
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -10,11 +10,13 @@
 	"lynxledge/wire"
 )
 
-// maxVictimSearches is how many of the queued jobs of a priority look for victims in a cycle,
-// drawn anew each time: to look costs far more than to find that there is no free capacity.
+// maxVictimSearches is how many of the queued jobs of a priority on average may search for victims
+// in a cycle. They are drawn at random in each cycle. A search costs far more than finding that
+// there is no free capacity.
 const maxVictimSearches = 64
 
-// victimSearchShares is the part of the queued jobs of each priority that may look for victims.
+// victimSearchShares returns the share of the queued jobs of each priority that may search for
+// victims.
 func victimSearchShares(queue []queuedJob) map[wire.Priority]float64 {
 	shares := map[wire.Priority]float64{}
 	for i := range queue {
@@ -26,15 +28,17 @@
 	return shares
 }
 
-// victimFacts is what a cycle knows for choices of victims. It is gathered when first needed.
+// victimFacts holds a cycle's data for the search for victims. guaranteed, updated and replicaSets
+// are filled when first needed.
 type victimFacts struct {
-	searchShares map[wire.Priority]float64 // part of the jobs that may look for victims
+	searchShares map[wire.Priority]float64 // share of the jobs that may search for victims
 	guaranteed   map[wire.JobID]bool       // jobs within their teams' guarantees
-	updated      map[*placement.Node]bool  // nodes whose tasks are up to date
+	updated      map[*placement.Node]bool  // nodes whose tasks have been updated in this cycle
 	replicaSets  map[wire.JobID]*placement.ReplicaSet
 }
 
-// updateVictimFacts brings up to date what a choice of victims looks at.
+// updateVictimFacts updates the fields of the nodes' tasks that the search for victims uses, once a
+// cycle for each node.
 func (c *cycle) updateVictimFacts(nodes []*placement.Node) {
 	if c.victims.guaranteed == nil {
 		c.victims.guaranteed = c.jobs.withinGuarantee(c.teamQuota)
@@ -61,17 +65,18 @@
 	}
 }
 
-// maxImageFetchShare is the part of the time until a start is due that a fetch may take.
+// maxImageFetchShare is the share of a class's start objective that fetching the image may take.
 const maxImageFetchShare = 0.6
 
-// fetchesTooLong reports whether a task would start too late for the objective of its class
-// because the node lacks its image.
+// fetchesTooLong reports whether a task would miss the start objective of its class because the
+// node has to fetch its image first.
 func (c *cycle) fetchesTooLong(job *wire.Job, n *placement.Node) bool {
 	within, ofClass := c.config.StartObjective(job.Class)
 	return ofClass && fetchTime(job, n).Seconds() > within.Seconds()*maxImageFetchShare
 }
 
-// fetchTime is how long a node takes to fetch a job's image; 0 if it has it, or that is unknown.
+// fetchTime returns how long a node takes to fetch a job's image; 0 if it has the image or its fetch
+// rate is unknown.
 func fetchTime(job *wire.Job, n *placement.Node) time.Duration {
 	if n.HasImage(job.Image) || n.MachineType.ImageFetchGBps <= 0 {
 		return 0
@@ -79,10 +84,11 @@
 	return config.Seconds(job.ImageGB / n.MachineType.ImageFetchGBps)
 }
 
-// stopBytes is what stopping a task adds to a record.
+// stopBytes is the estimated size that stopping a task adds to a record.
 const stopBytes = 12
 
-// preempt stops victims in the record that binds their successor, a task of a job.
+// preempt stops the victims on a node, in the same group record that will bind their successor, a
+// task of the given job. If the victims have a target node, it starts the move to it.
 func (c *cycle) preempt(update *groupUpdate, victims *placement.Victims, successor *wire.Job) {
 	rec := update.UpdateMachine(victims.Node.Name)
 	for _, i := range victims.Tasks {
@@ -115,7 +121,7 @@
 	}
 }
 
-// preemptionReason is why a task is stopped for another, as the log shows it.
+// preemptionReason is the reason for which a task is preempted, as logged.
 type preemptionReason string
 
 const (
--- a/internal/scheduler/quota_claims.go
+++ b/internal/scheduler/quota_claims.go
@@ -18,14 +18,13 @@
 	RemainingTasks int // not yet completed
 }
 
-// compareClaims orders claims by the time from which they count.
+// compareClaims orders claims by the time since which their jobs could run, then by job ID.
 func compareClaims(a, b quotaClaim) int {
 	return cmp.Or(cmp.Compare(a.RunnableSince, b.RunnableSince), strings.Compare(string(a.Job.ID), string(b.Job.ID)))
 }
 
-// jobsWithinGuarantee tells which jobs are within their teams' guarantees: those that fit
-// together with the team's earlier unfinished jobs. What a team runs beyond its guarantee is
-// the rest. It sorts the claims.
+// jobsWithinGuarantee returns the jobs that fit into their teams' guarantees together with the
+// team's earlier unfinished jobs. A team's other jobs are beyond its guarantee. It sorts the claims.
 func jobsWithinGuarantee(claims []quotaClaim, quotaOf func(wire.TeamName) config.TeamQuota) map[wire.JobID]bool {
 	slices.SortFunc(claims, compareClaims)
 	used := resources.Usage{}
@@ -40,14 +39,15 @@
 	return guaranteed
 }
 
-// quotaClaims keeps the claims of jobs in order from one scheduling cycle to the next: cycles
-// are many more than jobs that come and end.
+// quotaClaims caches the sorted claims of the active jobs between scheduling cycles, since the jobs
+// change in few of them.
 type quotaClaims struct {
 	claims   []quotaClaim
-	outdated bool // the jobs have changed
+	outdated bool // the set of jobs has changed
 }
 
-// current is the claims of jobs as they are now.
+// current returns the claims of jobs with their remaining tasks. completed returns a job's number
+// of completed tasks.
 func (q *quotaClaims) current(jobs map[wire.JobID]*statecache.Job, completed func(job wire.JobID) int) []quotaClaim {
 	if q.outdated {
 		q.claims = q.claims[:0]
--- a/internal/scheduler/record_limits.go
+++ b/internal/scheduler/record_limits.go
@@ -2,27 +2,28 @@
 
 import "lynxledge/internal/config"
 
-// Parts of the store's limit of a value. Bound tasks may fill the first; the rest is for what a
-// record says when they end.
+// Sizes of a group's record as shares of the store's limit of a value. Bindings may fill it up to
+// bindingFillShare or highPriorityFillShare; the rest is for completions and terminations when the
+// tasks end.
 const (
 	bindingFillShare      = 0.8
-	highPriorityFillShare = 0.9 // for tasks of priority high and above: the others must not leave them without a record
-	compactionFillShare   = 0.7 // completions are moved out of a record beyond
-	mergeFillShare        = 0.6 // groups are merged up to here
-	splitFillShare        = 0.9 // a record beyond is split
-	fullSplitFillShare    = 0.7 // a record beyond that takes no more tasks is split too
+	highPriorityFillShare = 0.9 // for tasks of priority high and above, so that others don't use up their room
+	compactionFillShare   = 0.7 // above it completions are moved to completion chunks
+	mergeFillShare        = 0.6 // groups are merged up to this size
+	splitFillShare        = 0.9 // above it a record is split
+	fullSplitFillShare    = 0.7 // above it a record without room for another binding is split too
 )
 
-// recordLimits is how much the store takes in a record and in a transaction. The limits may
-// fall while the process runs.
+// recordLimits holds the limits of records and transactions in the store. They may be lowered while
+// the process runs.
 type recordLimits struct {
 	store *config.StoreLimits
 }
 
-// valueBytes is a part of the limit of a value.
-func (l recordLimits) valueBytes(part float64) int {
-	return int(float64(l.store.ValueSizeLimit()) * part)
+// valueBytes returns a share of the limit of a value in bytes.
+func (l recordLimits) valueBytes(share float64) int {
+	return int(float64(l.store.ValueSizeLimit()) * share)
 }
 
-// txnOps is the limit of writes of a transaction.
+// txnOps returns the limit of writes in a transaction.
 func (l recordLimits) txnOps() int { return l.store.TxnOpsLimit() }
--- a/internal/scheduler/replica_moves.go
+++ b/internal/scheduler/replica_moves.go
@@ -11,13 +11,13 @@
 	"lynxledge/wire"
 )
 
-// replicaMoves is the replicas that were stopped to be placed elsewhere. Until one is bound
-// again, or its move has failed, capacity is held for it on the node that was found for it, and
-// what its team may use. Of each service at most one replica is on the move.
+// replicaMoves holds the replicas that were stopped to be placed on another node. Until a replica is
+// bound again, or its move has failed, capacity on its target node and its team's quota are held for
+// it. At most one replica of a service is on the move.
 type replicaMoves struct {
-	holdTime time.Duration // after which a move has failed
+	holdTime time.Duration // time after which a move has failed
 	active   map[wire.JobID]*activeMove
-	claimed  []*placement.Node // those with claims
+	claimed  []*placement.Node // nodes with claims
 }
 
 // activeMove is one replica on the move.
@@ -36,10 +36,11 @@
 // isMoving reports whether a replica of a service is on the move.
 func (m *replicaMoves) isMoving(service wire.JobID) bool { return m.active[service] != nil }
 
-// forget drops the move of a service.
+// forget drops the move of a service's replica.
 func (m *replicaMoves) forget(service wire.JobID) { delete(m.active, service) }
 
-// renewClaims drops the moves that have ended, and holds on the nodes what the others claim.
+// renewClaims drops the moves that have ended or failed, and sets the claims of the others on their
+// target nodes.
 func (m *replicaMoves) renewClaims(view *statecache.View, nodes *nodeIndex, now time.Time) {
 	for _, n := range m.claimed {
 		n.Claims = nil
@@ -61,7 +62,8 @@
 	}
 }
 
-// isRebound reports whether the replica is bound to a machine where it was not stopped.
+// isRebound reports whether the replica has a binding other than the one that was stopped, or that
+// one was not stopped after all.
 func (m *activeMove) isRebound(view *statecache.View) bool {
 	machine, bound := view.Bindings[m.service.ID][m.task]
 	if !bound {
@@ -71,7 +73,8 @@
 	return machine != m.source || binding.Attempt != m.attempt || binding.StopToken == 0
 }
 
-// moveTarget is the node that is held for a replica of a service; nil if none is on the move.
+// moveTarget returns the node with capacity held for a service's replica on the move; nil if there
+// is no such replica or node.
 func (c *cycle) moveTarget(service wire.JobID) *placement.Node {
 	move := c.moves.active[service]
 	if move == nil {
@@ -80,7 +83,7 @@
 	return c.nodes.node(move.target)
 }
 
-// startMove notes that a replica is stopped to be moved.
+// startMove records that a replica is stopped to be moved.
 func (c *cycle) startMove(victims *placement.Victims, task *placement.RunningTask, binding *statecache.TaskBinding) {
 	c.moves.active[task.Job.ID] = &activeMove{
 		task:     task.TaskIndex,
@@ -92,8 +95,8 @@
 	}
 }
 
-// moveNodes are nodes to move a replica from, and to, for the job: those to preempt on, and a
-// sample of those with capacity.
+// moveNodes returns the nodes to move a replica from or to so that the job gets capacity: the nodes
+// to search for victims and a sample of those with capacity.
 func (p *jobPlacement) moveNodes() []*placement.Node {
 	list := slices.Clone(p.occupiedNodes())
 	listed := make(map[*placement.Node]bool, len(list))
@@ -110,14 +113,15 @@
 	return list
 }
 
-// anyNodeFits reports whether a node has room for a task of the job that was not among those drawn,
-// or is not in the groups that a full transaction writes.
+// anyNodeFits reports whether any node has capacity for a task of the job. Such a node may have been
+// missed by the samples, or its group may not be in a transaction that is full.
 func (p *jobPlacement) anyNodeFits() bool {
 	return slices.ContainsFunc(p.nodes.withCapacity, p.fits)
 }
 
-// findReplicaToMove finds a replica that makes room for a task of the job by going elsewhere; nil
-// if there is none or no need, or the job has not waited for as long as the replica would.
+// findReplicaToMove returns a replica whose move to another node frees capacity for a task of the
+// job. It returns nil if there is none, if a node has capacity without a move, or if the job has
+// waited for less time than the replica's target takes to fetch its image.
 func (p *jobPlacement) findReplicaToMove() *placement.Victims {
 	victims := placement.FindReplicaToMove(p.spec, p.zones, p.moveNodes())
 	if victims == nil {
@@ -132,7 +136,7 @@
 	return victims
 }
 
-// replicaSet is what a choice of victims has to know of a service. It is gathered once a cycle.
+// replicaSet returns the data on a service that the search for victims needs, gathered once a cycle.
 func (c *cycle) replicaSet(service *statecache.Job) *placement.ReplicaSet {
 	id := service.Spec.ID
 	set := c.victims.replicaSets[id]
@@ -152,14 +156,15 @@
 	return set
 }
 
-// canRebindReplica reports whether a replica of a service that is stopped could be bound again at
-// once: nothing delays the service, and its team is within its limit.
+// canRebindReplica reports whether a stopped replica of a service could be bound again immediately:
+// none is on the move already, the service is not in backoff, and its team is within its limit.
 func (c *cycle) canRebindReplica(service *statecache.Job) bool {
 	return !c.moves.isMoving(service.Spec.ID) && !c.backoff.delays(service.Spec.ID, c.now) &&
 		c.usage.WithinLimit(c.teamQuota(service.Spec.Team), resources.Vector{})
 }
 
-// keepsReplica reports whether a machine stays, and goes on running a replica that is bound to it.
+// keepsReplica reports whether a machine is schedulable and a replica bound to it is not being
+// stopped or terminated.
 func (c *cycle) keepsReplica(rec *statecache.Machine, service wire.JobID, task int) bool {
 	if !rec.Schedulable() {
 		return false
@@ -168,14 +173,15 @@
 	return binding != nil && binding.StopToken == 0 && c.remainsBound(rec.Name, service, task)
 }
 
-// remainsBound reports whether the next record of a machine still binds a task that is bound to it.
+// remainsBound reports whether a task that is bound to a machine is still bound to it in the
+// machine's next record.
 func (c *cycle) remainsBound(machine wire.MachineID, job wire.JobID, task int) bool {
 	update := c.groupUpdates[c.view.Machines[machine].Group]
 	return update == nil || update.hasBinding(machine, job, task)
 }
 
-// holdMovingQuota counts replicas on the move that are bound to no machine towards their teams'
-// usage, so that nothing else takes up the limit that they are to be bound within.
+// holdMovingQuota counts unbound replicas on the move towards their teams' usage, so that other
+// tasks don't use up the limit within which they are to be bound.
 func (c *cycle) holdMovingQuota() {
 	for id, move := range c.moves.active {
 		if machine, bound := c.view.Bindings[id][move.task]; bound && c.remainsBound(machine, id, move.task) {
@@ -191,8 +197,8 @@
 	c.heldQuota[service.ID] = true
 }
 
-// releaseHeldQuota gives a service the quota that is held for its replica on the move; false if
-// there is none.
+// releaseHeldQuota releases the quota held for a service's replica on the move, for the service to
+// use. It reports whether any was held.
 func (c *cycle) releaseHeldQuota(service *wire.Job) bool {
 	if !c.heldQuota[service.ID] {
 		return false
--- a/internal/scheduler/shortages.go
+++ b/internal/scheduler/shortages.go
@@ -8,24 +8,24 @@
 	"lynxledge/wire"
 )
 
-// shortages is the services that found no node for a replica, each since it last did.
+// shortages holds the services that currently find no node for a replica.
 type shortages struct {
 	byService      map[wire.JobID]*shortage
-	reportAfter    time.Duration // a shorter one is not worth a log line
-	reportInterval time.Duration // between two lines on a service
+	reportAfter    time.Duration // shorter shortages are not logged
+	reportInterval time.Duration // between two log lines on the same service
 }
 
 // shortage is one service's lack of a node.
 type shortage struct {
 	since    time.Time
-	reportAt time.Time // the next log line is due
+	reportAt time.Time // when the next log line is due
 }
 
 func newShortages(reportAfter, reportInterval time.Duration) *shortages {
 	return &shortages{byService: map[wire.JobID]*shortage{}, reportAfter: reportAfter, reportInterval: reportInterval}
 }
 
-// record adds a service that finds no node, and reports whether a log line is due.
+// record records that a service finds no node. It returns since when, and whether a log line is due.
 func (s *shortages) record(service wire.JobID, now time.Time) (since time.Time, due bool) {
 	short := s.byService[service]
 	if short == nil {
@@ -39,7 +39,7 @@
 	return short.since, true
 }
 
-// waitingTime is for how long a service has found no node.
+// waitingTime returns for how long a service has found no node.
 func (s *shortages) waitingTime(service wire.JobID, now time.Time) time.Duration {
 	short := s.byService[service]
 	if short == nil {
@@ -48,17 +48,18 @@
 	return now.Sub(short.since)
 }
 
-// forget drops a service that found a node, or is over.
+// forget drops a service that found a node, has ended or is blocked.
 func (s *shortages) forget(service wire.JobID) { delete(s.byService, service) }
 
-// forgetShortageOnCommit has the service's lack of a node forgotten once what is planned is committed.
+// forgetShortageOnCommit ends the job's shortage, if any, once the cycle is committed.
 func (p *jobPlacement) forgetShortageOnCommit() {
 	if p.shortages.byService[p.id] != nil {
 		p.onCommitted = append(p.onCommitted, func() { p.shortages.forget(p.id) })
 	}
 }
 
-// recordShortage notes that a service found no node for a replica, and logs now and then why.
+// recordShortage records that a service found no node for a replica, and logs the reasons at
+// intervals.
 func (p *jobPlacement) recordShortage() {
 	if !p.spec.IsService() {
 		return
--- a/internal/scheduler/transaction.go
+++ b/internal/scheduler/transaction.go
@@ -5,21 +5,21 @@
 	"lynxledge/wire"
 )
 
-// transaction is a commit in the making: all that concerns a group in one write. It counts its
-// writes and bytes while it is put together, so that what is planned can be committed.
+// transaction builds a commit, with a single write for all changes of a group. It tracks the writes
+// and bytes planned so far, so that the plan stays within the store's limits.
 type transaction struct {
-	limit                   int // of writes
+	limit                   int // most writes
 	groupUpdates            map[string]*groupUpdate
 	completionChunks        map[string]*statecache.CompletionChunk // by key
-	finishedJobs            map[wire.JobID]int                     // jobs that are done: the writes that takes
-	splitParts              map[string]int                         // groups to split: new records at most
-	cancellations           map[wire.JobID]*statecache.Job         // jobs whose cancellation is stored
-	jobPreconditions        map[wire.JobID]uint64                  // revisions that jobs must have
-	assignmentPreconditions map[wire.TeamName]uint64               // revisions that assignments must have
-	terminationBytes        int                                    // of what group records say of terminated tasks
+	finishedJobs            map[wire.JobID]int                     // jobs to mark as done, with the number of writes for each
+	splitParts              map[string]int                         // groups to split, with the most new records for each
+	cancellations           map[wire.JobID]*statecache.Job         // records of cancelled jobs to store
+	jobPreconditions        map[wire.JobID]uint64                  // required revisions of job records
+	assignmentPreconditions map[wire.TeamName]uint64               // required revisions of assignments
+	terminationBytes        int                                    // size of the terminations in group records
 }
 
-// newTransaction begins a transaction of at most so many writes.
+// newTransaction returns an empty transaction of at most limit writes.
 func newTransaction(limit int) transaction {
 	return transaction{
 		limit:                   limit,
@@ -36,10 +36,10 @@
 // groupUpdate is the next record of a machine group.
 type groupUpdate struct {
 	*statecache.GroupUpdate
-	size int // of the record in bytes, at most
+	size int // upper bound on the record's size in bytes
 }
 
-// ops is the number of writes, at most.
+// ops returns an upper bound on the number of writes.
 func (t *transaction) ops() int {
 	n := len(t.groupUpdates) + len(t.completionChunks) + len(t.cancellations)
 	for _, parts := range t.splitParts {
@@ -51,11 +51,11 @@
 	return n
 }
 
-// cancelledJobBytes is the most that the record of a cancelled job takes.
+// cancelledJobBytes is the maximum size of the record of a cancelled job.
 const cancelledJobBytes = 1024
 
-// bytes is the size of the commit, at most. Records may have a size at which a transaction
-// reaches the limit of a request body long before that of its writes.
+// bytes returns an upper bound on the size of the commit. With large records a transaction reaches
+// the limit of a request body long before the limit of writes.
 func (t *transaction) bytes() int {
 	n := t.terminationBytes
 	for _, update := range t.groupUpdates {
@@ -68,12 +68,12 @@
 	return n + statecache.WriteOverheadBytes*(len(t.jobPreconditions)+len(t.assignmentPreconditions))
 }
 
-// isFull tells that no more groups can be written.
+// isFull reports whether no more groups can be added.
 func (t *transaction) isFull() bool {
 	return t.ops() >= t.limit || t.bytes() >= statecache.MaxTxnRecordBytes
 }
 
-// machines lists the machines of all groups that are written.
+// machines returns the machines of all groups in the transaction.
 func (t *transaction) machines() []wire.MachineID {
 	var out []wire.MachineID
 	for _, update := range t.groupUpdates {
