--- a/internal/scheduler/advisor_test.go
+++ b/internal/scheduler/advisor_test.go
@@ -13,12 +13,12 @@
 	"lynxledge/wire"
 )
 
-// idleAdvisor never has any advice.
+// idleAdvisor never gives advice.
 type idleAdvisor struct{}
 
 func (idleAdvisor) Advise(time.Time, placement.ClusterState) placement.Advice { return nil }
 
-// zoneAdvice withholds a zone from arrays, and reserves capacity on machines.
+// zoneAdvice keeps arrays out of a zone, and reserves capacity on nodes.
 type zoneAdvice struct {
 	zone     wire.Zone
 	reserved map[*placement.Node]resources.Vector
@@ -37,8 +37,8 @@
 	return a
 }
 
-// newAdvisedScheduler makes a scheduler with machines in two zones, an urgent array of the highest
-// priority but one, and a service of the lowest.
+// newAdvisedScheduler returns a scheduler that doesn't run, with three machines in each of two
+// zones, an array of priority normal, and a service of the lowest priority.
 func newAdvisedScheduler(advisor Advisor) *Scheduler {
 	cfg := &config.Config{Operator: config.DefaultOperatorSettings()}
 	cfg.Params.Workers = config.WorkerTimings{HeartbeatInterval: 3 * time.Second, LeaseDuration: 34 * time.Second, CancellationDeadline: 64 * time.Second}
@@ -76,7 +76,7 @@
 	return s
 }
 
-// launchCounts counts what a cycle launches, by job and zone.
+// launchCounts returns the number of launches in a cycle by job and zone.
 func launchCounts(s *Scheduler) map[string]int {
 	out := map[string]int{}
 	for machine, commands := range s.planCycle(time.Now(), 24, true).commands.launches {
@@ -88,19 +88,19 @@
 	return out
 }
 
-// An advisor without advice changes nothing: the same cycles are planned as without one.
+// With an advisor that gives no advice, the same launches are planned as without an advisor.
 func TestNoAdviceChangesNothing(t *testing.T) {
 	without, idle := launchCounts(newAdvisedScheduler(nil)), launchCounts(newAdvisedScheduler(idleAdvisor{}))
 	if !reflect.DeepEqual(without, idle) || len(without) == 0 {
 		t.Errorf("%v, not %v", idle, without)
 	}
 	if n := without["req-000002 a"] + without["req-000002 b"]; n != 0 {
-		t.Errorf("%d replicas of the lowest priority went first", n)
+		t.Errorf("%d replicas of the lowest priority were placed first", n)
 	}
 }
 
-// With advice, services go first whatever their priority; arrays keep out of machines that are
-// withheld, and out of capacity that is reserved.
+// With advice, services are placed first whatever their priority, and arrays use neither nodes
+// that the advice doesn't admit nor reserved capacity.
 func TestAdviceIsFollowed(t *testing.T) {
 	advice := zoneAdvice{zone: "a"}
 	s := newAdvisedScheduler(advice)
@@ -120,7 +120,7 @@
 	}
 }
 
-// fallbackAdvice admits services to no machine, but to all as a fallback.
+// fallbackAdvice admits services to no node except as a fallback, and arrays to all.
 type fallbackAdvice struct{ zoneAdvice }
 
 func (a fallbackAdvice) Advise(time.Time, placement.ClusterState) placement.Advice { return a }
@@ -129,8 +129,9 @@
 	return j.IsService()
 }
 
-// A machine of a group that the cycle itself opens, to apply evidence, is not among those with
-// capacity yet: an array got it, while a service that could go nowhere else was not shown it.
+// Fallback nodes include those of groups that the cycle itself updates. Such a node is not in
+// nodeIndex.withCapacity yet; when it was left out, an array took the capacity although a service
+// had no other node.
 func TestFallbackInUpdatedGroups(t *testing.T) {
 	s := newAdvisedScheduler(fallbackAdvice{})
 	s.consultAdvisor(time.Now())
@@ -138,19 +139,19 @@
 	c := s.newCycle(time.Now(), 24, resources.Usage{})
 	service := s.jobs.active["req-000002"].Spec
 	if n := len(c.fallbackNodes(service)); n != 0 {
-		t.Errorf("%d machines before any is opened", n)
+		t.Errorf("%d machines before any group is opened", n)
 	}
 	c.openGroup("b")
 	if n := len(c.fallbackNodes(service)); n != 3 {
-		t.Errorf("%d of the three machines that the cycle writes", n)
+		t.Errorf("%d of the three machines of the opened group", n)
 	}
 	if n := len(c.fallbackNodes(s.jobs.active["req-000001"].Spec)); n != 0 {
 		t.Errorf("%d machines for an array", n)
 	}
 }
 
-// Replicas whose termination a cycle writes leave their zone in that cycle: else their service
-// could not have the capacity that they leave, and an array took it.
+// While zones recover, replicas whose termination a cycle writes don't count towards their zone in
+// that cycle. When they did, their service could not use the freed capacity, and an array took it.
 func TestReplicasTerminatedInThisCycle(t *testing.T) {
 	s := newAdvisedScheduler(fallbackAdvice{})
 	s.consultAdvisor(time.Now())
--- a/internal/scheduler/backoff_test.go
+++ b/internal/scheduler/backoff_test.go
@@ -10,8 +10,8 @@
 	"lynxledge/wire"
 )
 
-// However often a job's tasks have failed, it is tried again before it has waited
-// for long beside machines with capacity.
+// The delay of a job is at most a lease, however often its tasks have failed, so that it doesn't
+// wait for long while machines have capacity.
 func TestBackoffIsBounded(t *testing.T) {
 	withScheduler(t, map[string]int{"a": 1}, func(_ *statecache.Cache, s *Scheduler) {
 		inActor(s, func() {
@@ -20,14 +20,14 @@
 				s.backoff.recordFailure("req-000001", "i-a000", wire.ReasonError, now)
 			}
 			if wait := s.backoff.failures["req-000001"].until.Sub(now); wait != 44*time.Second {
-				t.Errorf("%v after 20 failures, not a lease", wait)
+				t.Errorf("delay of %v after 20 failures, want the lease duration", wait)
 			}
 		})
 	})
 }
 
-// Refusals for want of capacity keep tasks away from the machine, real failures delay the job,
-// which is probed after some; a success ends both.
+// After a refusal for insufficient capacity the machine is avoided; failures delay the job, whose
+// tasks are tried one at a time after some of them. A success ends the delay.
 func TestBackoffFollowsTheReason(t *testing.T) {
 	workers := config.WorkerTimings{HeartbeatInterval: 8 * time.Second, LeaseDuration: 44 * time.Second}
 	b := newBackoff(workers)
@@ -37,7 +37,7 @@
 	}
 	end("i-1", wire.ReasonInsufficientCapacity)
 	if !b.avoids("i-1", now) || b.avoids("i-1", now.Add(8*time.Second)) || b.delays("req-000001", now) {
-		t.Error("a refusal is not an avoided machine for one heartbeat")
+		t.Error("after a refusal the machine is not avoided for just one heartbeat interval, or the job is delayed")
 	}
 	for i := range probeAfter {
 		if b.probes("req-000001") {
@@ -61,8 +61,8 @@
 	}
 }
 
-// A service goes back to the node on which it failed when its zones leave it no other (guards
-// against replicas that wait for ever beside room after one refusal).
+// A replica is placed on the node that refused it if the zones of the other replicas allow no other
+// node. Guards against replicas that wait for ever despite free capacity after one refusal.
 func TestFailedNodeIsUsedWhenZonesLeaveNoOther(t *testing.T) {
 	f := newMoveFixture()
 	f.bindTo("i-b2", "b", "")
--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -14,18 +14,18 @@
 	"lynxledge/wire"
 )
 
-// Sizes at which costs are measured: the smaller and the larger grown deployment, and what
-// the software has to hold.
+// Numbers of machines in the benchmarks: the smaller and the larger deployment after growth, and
+// the size that the software has to support.
 var benchFleets = []int{250, 1830, 4000}
 
 const (
-	benchGroupSize  = 40 // machines of a group
+	benchGroupSize  = 40 // machines per group
 	machinesPerJob  = 30
-	benchCycleLimit = 4 // writes, as the cycles of a busy day have
+	benchCycleLimit = 4 // writes per cycle, as on a busy day
 )
 
-// busyScheduler is a scheduler that doesn't run, for a fleet whose machines all run a task, and a
-// queue that grows with the fleet.
+// busyScheduler returns a scheduler that doesn't run, for a fleet whose machines all run a task,
+// with a number of queued jobs proportional to the fleet.
 func busyScheduler(machines int) *Scheduler {
 	slog.SetDefault(slog.New(slog.NewTextHandler(io.Discard, nil)))
 	cfg := &config.Config{Operator: config.DefaultOperatorSettings()}
@@ -63,7 +63,7 @@
 	return s
 }
 
-// addCompletionEvidence adds the evidence that the tasks of some machines of a group have completed.
+// addCompletionEvidence adds evidence that the tasks of a group's first machines have completed.
 func (s *Scheduler) addCompletionEvidence(group string, machines int, now time.Time) {
 	for _, rec := range s.view.Groups[group].Machines[:machines] {
 		heartbeat := &wire.Heartbeat{Machine: rec.Name, Incarnation: 1, Sequence: 1, FencingToken: 9}
@@ -74,8 +74,8 @@
 	}
 }
 
-// benchCycle plans one cycle: in each of four groups a quarter of the machines have completed
-// their tasks, and get others.
+// benchCycle plans one cycle after a quarter of the machines in each of four groups have completed
+// their tasks, and restores the nodes.
 func (s *Scheduler) benchCycle() *cycle {
 	now := time.Now()
 	for i := range benchCycleLimit {
@@ -90,7 +90,7 @@
 	return c
 }
 
-// tasksPlaced is how many tasks a cycle binds.
+// tasksPlaced returns the number of tasks that a cycle binds.
 func tasksPlaced(c *cycle) int {
 	total := 0
 	for _, n := range c.placed {
@@ -99,7 +99,7 @@
 	return total
 }
 
-// BenchmarkSchedulingCycle is a scheduling cycle, up to its commit.
+// BenchmarkSchedulingCycle measures the planning of a scheduling cycle without its commit.
 func BenchmarkSchedulingCycle(b *testing.B) {
 	for _, machines := range benchFleets {
 		b.Run(fmt.Sprintf("machines=%d", machines), func(b *testing.B) {
@@ -112,8 +112,8 @@
 	}
 }
 
-// What a cycle allocates follows the groups that it writes and the queued jobs: sixteen times
-// the machines, with as many jobs, take no more than that.
+// A cycle's allocations depend on the groups that it writes and the queued jobs, not on the size of
+// the fleet: with sixteen times the machines and equally many jobs they are nearly the same.
 func TestAllocationsOfACycle(t *testing.T) {
 	const fewJobs = 1000 / machinesPerJob
 	cycles := func(machines int) float64 {
@@ -123,7 +123,8 @@
 				delete(s.jobs.active, id)
 			}
 		}
-		// A quarter of the writes is left for groups without evidence.
+		// A quarter of the writes is left for groups with free capacity, so only three of the four
+		// groups are updated.
 		if placed := tasksPlaced(s.benchCycle()); placed != (benchCycleLimit-1)*benchGroupSize/4 {
 			t.Fatalf("%d tasks placed", placed)
 		}
--- a/internal/scheduler/commands_test.go
+++ b/internal/scheduler/commands_test.go
@@ -10,8 +10,8 @@
 	"lynxledge/wire"
 )
 
-// A commit that took long, or a process that stood still behind it, launches
-// nothing itself: the job may have been cancelled meanwhile.
+// After a slow commit, or a pause of the process since, the scheduler sends no commands: the job
+// may have been cancelled meanwhile.
 func TestNoLaunchLongAfterTheCycle(t *testing.T) {
 	withScheduler(t, map[string]int{"a": 1}, func(_ *statecache.Cache, s *Scheduler) {
 		launched := func(ago time.Duration) (n int) {
@@ -28,12 +28,12 @@
 			return len(sent)
 		}
 		if launched(time.Second) != 1 || launched(7*time.Second) != 0 {
-			t.Error("not launched by the cycle's age")
+			t.Error("want a launch one second after the cycle began, and none after seven")
 		}
 	})
 }
 
-// commandRecorder takes what is sent to workers.
+// commandRecorder records the commands sent to workers.
 type commandRecorder chan wire.CommandBatch
 
 func (r commandRecorder) SendCommands(_ context.Context, _ string, batch wire.CommandBatch) (*wire.Heartbeat, error) {
--- a/internal/scheduler/completed_jobs_test.go
+++ b/internal/scheduler/completed_jobs_test.go
@@ -8,7 +8,7 @@
 	"lynxledge/wire"
 )
 
-// A job is completed when all its tasks are, since the first time that was seen.
+// A job is listed once all its tasks are completed, with the first time at which that was observed.
 func TestCompletedJobs(t *testing.T) {
 	view := statecache.NewUnfinishedView(8)
 	view.Apply(statecache.Change{Kind: statecache.KindJob, Name: "req-000001", Record: &statecache.Job{TaskCount: 2, Spec: &wire.Job{ID: "req-000001", TaskCount: 2}}})
--- a/internal/scheduler/completions_test.go
+++ b/internal/scheduler/completions_test.go
@@ -11,8 +11,8 @@
 	"lynxledge/wire"
 )
 
-// What a record says of tasks that have just terminated is gone with the next write: no
-// completions are moved out to make room for it.
+// No completions are moved out of a record that is large only because of its terminations, which the
+// next write drops.
 func TestCompactionIgnoresTerminations(t *testing.T) {
 	withScheduler(t, map[string]int{"a": 30}, func(_ *statecache.Cache, s *Scheduler) {
 		chunks := func(fill func(update *groupUpdate)) (n int) {
@@ -46,8 +46,8 @@
 	})
 }
 
-// Completions go to whole chunks until the store refuses their size; then what doesn't fit goes
-// to parts, beside what whole chunks hold already.
+// Completions are added to whole chunks until the store rejects a size. After that those beyond what
+// fits into a whole chunk are added to parts; so are all of a chunk that is already too large.
 func TestCompletionsGoToPartsUnderALowerLimit(t *testing.T) {
 	withScheduler(t, map[string]int{"a": 1}, func(_ *statecache.Cache, s *Scheduler) {
 		inActor(s, func() {
@@ -57,19 +57,19 @@
 			c := s.newCycle(time.Now(), 8, resources.Usage{})
 			for _, task := range []int{0, part - 1, part, 9000} {
 				if id := c.completionChunkFor("req-000001", task); id != (statecache.CompletionChunkID{FirstTask: statecache.WholeChunk}) {
-					t.Errorf("before: task %d goes to %v", task, id)
+					t.Errorf("before a size was rejected: task %d is added to %v", task, id)
 				}
 			}
 			s.storeLimits.ObserveLowerSizeLimit()
 			for task, from := range map[int]int{0: statecache.WholeChunk, part - 1: statecache.WholeChunk, part: part, 9000: 9000 / part * part} {
 				if id := c.completionChunkFor("req-000001", task); id != (statecache.CompletionChunkID{FirstTask: from}) {
-					t.Errorf("after: task %d goes to %v", task, id)
+					t.Errorf("after a size was rejected: task %d is added to %v", task, id)
 				}
 			}
 			var whole *statecache.CompletionChunk
 			s.view.CompletionChunks["req-000001"] = map[statecache.CompletionChunkID]*statecache.CompletionChunk{{FirstTask: statecache.WholeChunk}: whole.With(part + 100)}
 			if id := c.completionChunkFor("req-000001", 0); id != (statecache.CompletionChunkID{FirstTask: 0}) {
-				t.Errorf("beside a whole chunk that is too large: %v", id)
+				t.Errorf("with a whole chunk that is too large: task 0 is added to %v", id)
 			}
 		})
 	})
--- a/internal/scheduler/deadline_choice_test.go
+++ b/internal/scheduler/deadline_choice_test.go
@@ -11,8 +11,8 @@
 	_ "lynxledge/internal/rapidseed"
 )
 
-// onTime is how many of the jobs in a set are on time when they run one after the other in order
-// of their latest starts.
+// onTime returns how many of the jobs in a set, given as a bitmask, meet their first deadline when
+// they run one after the other in order of their latest starts.
 func onTime(jobs []deadlineCandidate, set uint, freeSeconds float64) int {
 	var chosen []deadlineCandidate
 	for i := range jobs {
@@ -32,9 +32,9 @@
 	return n
 }
 
-// As many jobs as possible are to keep their first deadline, and those that are
-// can: plain earliest deadline first made nearly all of them late.
-func TestStagesKeepAsManyAsCanBe(t *testing.T) {
+// The largest possible number of jobs is chosen to meet the first deadline, and all of these can.
+// Guards against plain earliest-deadline-first order, which made nearly all of them late.
+func TestChosenDeadlinesMinimizeLateJobs(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		freeSeconds := rapid.Float64Range(0, 20).Draw(t, "from")
 		jobs := make([]deadlineCandidate, rapid.IntRange(1, 7).Draw(t, "jobs"))
@@ -42,14 +42,14 @@
 			d := rapid.Float64Range(-10, 100).Draw(t, "due")
 			jobs[i] = deadlineCandidate{clusterSeconds: rapid.Float64Range(0.1, 30).Draw(t, "work"), runtimeSeconds: rapid.Float64Range(0, 20).Draw(t, "run"), deadlineSeconds: []float64{d, 2 * max(d, 1)}}
 		}
-		stages, _ := chooseDeadlines(jobs, freeSeconds)
+		chosen, _ := chooseDeadlines(jobs, freeSeconds)
 		var kept uint
-		for i, stage := range stages {
-			if stage == 0 {
+		for i, deadline := range chosen {
+			if deadline == 0 {
 				kept |= 1 << i
 			}
-			if stage > 2 {
-				t.Fatalf("stage %d of 2", stage)
+			if deadline > 2 {
+				t.Fatalf("deadline index %d of 2", deadline)
 			}
 		}
 		if n := onTime(jobs, kept, freeSeconds); n != bits.OnesCount(kept) {
--- a/internal/scheduler/evidence_queue_test.go
+++ b/internal/scheduler/evidence_queue_test.go
@@ -11,10 +11,10 @@
 	"lynxledge/wire"
 )
 
-// While some process writes evidence, one that doesn't place leaves it to that one, however
-// long it takes: each write of its own would make the writer's preconditions fail. Once nobody
-// writes any more, it does.
-func TestSlowWriterIsLeftAlone(t *testing.T) {
+// While another process still writes evidence, even slowly, a process without assigned teams writes
+// none for up to a lease, since its writes would make the other's preconditions fail. It writes
+// once no process has written for a heartbeat interval.
+func TestEvidenceIsLeftToASlowWriter(t *testing.T) {
 	withScheduler(t, map[string]int{"a": 1, "b": 1}, func(cache *statecache.Cache, s *Scheduler) {
 		terminated := func() (out bool) {
 			inActor(s, func() { out = len(s.view.Machines["i-a000"].Bindings) == 0 })
@@ -28,17 +28,17 @@
 			time.Sleep(3 * time.Second)
 		}
 		if terminated() {
-			t.Error("written while the writer was at work")
+			t.Error("written while another process was still writing")
 		}
 		time.Sleep(12 * time.Second)
 		if !terminated() {
-			t.Error("not written though nobody writes")
+			t.Error("not written though no other process writes")
 		}
 	})
 }
 
-// A cycle with few writes takes the groups whose capacity has been idle longest, all taken
-// together; but none waits for more than a heartbeat.
+// A cycle with few writes applies the evidence of the groups with the longest total idle time, but
+// evidence that has waited for more than a heartbeat interval first.
 func TestGroupsIdleLongestFirst(t *testing.T) {
 	withScheduler(t, map[string]int{"a": 1, "b": 30}, func(_ *statecache.Cache, s *Scheduler) {
 		pick := func(waitA, waitB time.Duration) (first []string) {
@@ -69,8 +69,8 @@
 	})
 }
 
-// Evidence goes to the peer transport, and to this scheduler, which may merge it with an earlier
-// one: a map that both held ended the process.
+// Merging evidence with earlier evidence does not modify the map of the sender, which the peer
+// transport may be encoding: concurrent access to a shared map crashed the process.
 func TestEvidenceOfSenderIsNotModified(t *testing.T) {
 	withScheduler(t, map[string]int{"a": 1}, func(_ *statecache.Cache, s *Scheduler) {
 		first, second := completionEvidence(groupOf("a", 1), 0), completionEvidence(groupOf("a", 1), 0)
@@ -90,8 +90,8 @@
 	})
 }
 
-// A record that is full takes tasks in place of those that terminate, in the same write: counted
-// as full until the next one, it left its machines idle for as long as that took.
+// Tasks that terminate in a full record make room for new bindings in the same write. When the
+// record counted as full until the next write, its machines were idle until then.
 func TestTerminatedTasksMakeRoomInRecord(t *testing.T) {
 	const machines = 130
 	withScheduler(t, map[string]int{"a": machines}, func(_ *statecache.Cache, s *Scheduler) {
@@ -103,7 +103,7 @@
 			}
 			c := s.newCycle(time.Now(), 8, resources.Usage{})
 			if full := s.view.Groups["a"].RetainedSize(); full < s.limits.valueBytes(bindingFillShare)*9/10 {
-				t.Errorf("%d bytes: the record has room anyhow", full)
+				t.Errorf("%d bytes: the record is not full", full)
 			}
 			c.applyPendingEvidence(true, false)
 			entry := queuedJob{id: "req-000001", job: s.view.Jobs["req-000001"]}
@@ -113,7 +113,7 @@
 					bound++
 				}
 			}
-			// A task is counted with what it may grow by, so not all of them find room.
+			// A new binding is counted with its maximum size, so not all of them find room.
 			if bound < machines/2 {
 				t.Errorf("room for %d tasks in place of %d", bound, machines)
 			}
@@ -124,8 +124,8 @@
 	})
 }
 
-// Of a machine's heartbeats the latest is kept, to be written when the first one was due; what is
-// of no use any more isn't.
+// The evidence from a machine's latest heartbeat is kept, and is due when the first one was. Older
+// evidence and that of unknown machines is dropped.
 func TestEvidenceQueueKeepsTheLatest(t *testing.T) {
 	view := statecache.NewUnfinishedView(8)
 	view.Jobs["req-000001"] = &statecache.Job{TaskCount: 10, Spec: &wire.Job{ID: "req-000001"}}
@@ -140,13 +140,13 @@
 		return q.add(evidence, applyAt)
 	}
 	if !add(5, now.Add(time.Second)) || !add(6, now.Add(time.Minute)) || add(6, now) || add(4, now) {
-		t.Error("not the later heartbeats are kept")
+		t.Error("not just the later heartbeats are kept")
 	}
 	if e := q.byGroup["a"][rec.Name]; e.Heartbeat.Sequence != 6 || !e.applyAt.Equal(now.Add(time.Second)) || e.exitedTasks != 1 {
 		t.Errorf("%+v", e)
 	}
 	if due := q.due(now, false); len(due) != 0 {
-		t.Errorf("%v is due for one that doesn't place", due)
+		t.Errorf("%v is due without assigned teams", due)
 	}
 	if due := q.due(now.Add(10*time.Second), true); len(due) != 1 || !due[0].late || due[0].idleSeconds != 9 {
 		t.Errorf("%+v", due)
--- a/internal/scheduler/group_layout_test.go
+++ b/internal/scheduler/group_layout_test.go
@@ -12,8 +12,9 @@
 	"lynxledge/wire"
 )
 
-// Two groups of a pool that a cycle writes become one only if their machines are full: new ones
-// would fill the record before their machines, and replicas waited beside machines with capacity.
+// Two groups of a pool that a cycle writes are merged only if their machines have no capacity left.
+// When new groups were merged, the record was full before the machines, and replicas waited although
+// machines had capacity.
 func TestOnlyFullGroupsMerge(t *testing.T) {
 	withScheduler(t, map[string]int{"a": 4, "b": 2}, func(_ *statecache.Cache, s *Scheduler) {
 		merged := func(cpus float64) bool {
@@ -44,8 +45,8 @@
 	})
 }
 
-// A record that is full before its machines are is split by whoever places for all teams, and
-// one that no longer fits the limit, in a cycle that has the writes for it.
+// A process that all teams are assigned to splits full records and those beyond the limit of a
+// value, in a cycle with enough writes. Contents that fit into one record are not split.
 func TestFullRecordsAreSplit(t *testing.T) {
 	withScheduler(t, map[string]int{"a": 20}, func(cache *statecache.Cache, s *Scheduler) {
 		inActor(s, func() {
@@ -58,7 +59,7 @@
 		})
 		time.Sleep(5 * time.Second)
 		inActor(s, func() {
-			if len(s.view.Groups) != 1 { // it fits into one
+			if len(s.view.Groups) != 1 { // the contents fit into one record
 				t.Errorf("%d groups", len(s.view.Groups))
 			}
 			s.config.Params.Store.Upcoming = &config.UpcomingStoreLimits{WriteRate: 15, MaxValueKB: 0.5, MaxTxnOps: 4}
@@ -83,9 +84,9 @@
 	})
 }
 
-// Machine records grow when they are rewritten in a later term. A group record that a cycle
-// makes too large that way is split by the next one: tried again as it is, the evidence for it
-// would never be written.
+// Machine entries grow when they are rewritten in a later term. A group record that becomes too
+// large that way in a cycle is split by the next one. Guards against retries of the same record,
+// which would never write the group's evidence.
 func TestRecordThatACycleMakesTooLargeIsSplit(t *testing.T) {
 	withScheduler(t, map[string]int{}, func(cache *statecache.Cache, s *Scheduler) {
 		limit := s.config.Params.Store.ValueSizeLimit()
@@ -126,7 +127,7 @@
 	})
 }
 
-// A group is oversized by its latest record, and forgotten with it.
+// Whether a group is oversized follows from its latest record; a deleted group is forgotten.
 func TestGroupLayoutFollowsRecords(t *testing.T) {
 	l := newGroupLayout(recordLimits{&config.StoreLimits{MaxValueKB: 1, MaxTxnOps: 8}})
 	large, small := groupOf("a", 40), groupOf("a", 2)
@@ -136,9 +137,9 @@
 	}
 	l.full["a"] = true
 	if l.observe("a", small); l.oversized["a"] || !l.full["a"] {
-		t.Errorf("oversized %v, crowded %v with %d bytes", l.oversized["a"], l.full["a"], small.RetainedSize())
+		t.Errorf("oversized %v, full %v with %d bytes", l.oversized["a"], l.full["a"], small.RetainedSize())
 	}
 	if l.observe("a", nil); l.full["a"] {
-		t.Error("crowded though it is gone")
+		t.Error("full though it was deleted")
 	}
 }
--- a/internal/scheduler/helpers_test.go
+++ b/internal/scheduler/helpers_test.go
@@ -15,8 +15,9 @@
 	"lynxledge/wire"
 )
 
-// withScheduler runs a scheduler over a store that holds groups of machines, with one task of
-// one job on every machine.
+// withScheduler calls f with a running scheduler. The store holds the given groups (name to number
+// of machines), with one task of one job on every machine; the job's team is assigned to another
+// process.
 func withScheduler(t *testing.T, groups map[string]int, f func(cache *statecache.Cache, s *Scheduler)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -35,7 +36,7 @@
 			{Key: statecache.Key(statecache.KindJob, "req-000001"), Record: &statecache.Job{TaskCount: 10000, SubmittedAt: statecache.TimestampOf(time.Now()), Spec: &wire.Job{
 				ID: "req-000001", Team: "red", Kind: wire.KindArray, TaskCount: 10000, CPUs: 4, MemoryGB: 1, EstimatedRuntime: 50,
 			}}},
-			// Another process places.
+			// The team is assigned to another process.
 			{Key: statecache.Key(statecache.KindAssignment, "red"), Record: &statecache.Assignment{Member: "n1", Incarnation: 1}},
 		}}
 		for name, n := range groups {
@@ -49,7 +50,7 @@
 	})
 }
 
-// groupOf makes a group of machines, with one task on each.
+// groupOf returns a group of machines with one task bound to each.
 func groupOf(name string, machines int) *statecache.MachineGroup {
 	group := &statecache.MachineGroup{Name: name, MachineType: "s", Zone: "a"}
 	for i := range machines {
@@ -61,7 +62,7 @@
 	return group
 }
 
-// completionEvidence is a heartbeat that a machine's one task has completed.
+// completionEvidence returns evidence that the only task of a group's i-th machine has completed.
 func completionEvidence(group *statecache.MachineGroup, i int) reconcile.Evidence {
 	rec := group.Machines[i]
 	return reconcile.Evidence{Heartbeat: &wire.Heartbeat{Machine: rec.Name, Address: "x:1", MachineType: "s", Zone: "a", Incarnation: 1, Sequence: 1, FencingToken: 9, Tasks: []wire.TaskStatus{
@@ -69,14 +70,14 @@
 	}}}
 }
 
-// inActor runs f in the scheduler's actor.
+// inActor runs f in the scheduler's actor and waits for it.
 func inActor(s *Scheduler, f func()) {
 	done := make(chan bool)
 	s.Send(func() { f(); done <- true })
 	<-done
 }
 
-// addLoad adds groups of 50 machines, and services that fit on none.
+// addLoad adds machines in groups of 50, and services whose replicas fit on none of them.
 func addLoad(cache *statecache.Cache, machines, jobs int) {
 	var puts []statecache.Put
 	for i := range machines / 50 {
--- a/internal/scheduler/image_caches_test.go
+++ b/internal/scheduler/image_caches_test.go
@@ -6,8 +6,7 @@
 	"lynxledge/wire"
 )
 
-// A machine keeps the images that it used last, as far as its cache holds them, and always the
-// last one.
+// A machine keeps the most recently used images that fit into its cache, and always the latest one.
 func TestImageCachesKeepTheLatest(t *testing.T) {
 	caches := newImageCaches()
 	machineType := &wire.MachineType{Name: "s", CacheGB: 10}
@@ -17,7 +16,7 @@
 	}{
 		{cachedImage{"x", 4}, "x"},
 		{cachedImage{"y", 4}, "xy"},
-		{cachedImage{"x", 4}, "xy"}, // the latest again
+		{cachedImage{"x", 4}, "xy"}, // makes x the latest again
 		{cachedImage{"z", 4}, "xz"},
 		{cachedImage{"w", 20}, "w"},
 	} {
--- a/internal/scheduler/job_queue_test.go
+++ b/internal/scheduler/job_queue_test.go
@@ -9,8 +9,8 @@
 	"lynxledge/wire"
 )
 
-// Jobs go by priority, then those that are starved with one task, then by their deadlines; those
-// that nobody assigned, or that are delayed, not at all.
+// Jobs are queued by priority; within a priority starved jobs come first, with one task, then the
+// others by deadline. Jobs of teams not assigned to this process and delayed jobs are not queued.
 func TestQueueOrder(t *testing.T) {
 	cfg := &config.Config{Operator: config.DefaultOperatorSettings()}
 	cfg.Params.Workers = config.WorkerTimings{HeartbeatInterval: 8 * time.Second, LeaseDuration: 44 * time.Second}
--- a/internal/scheduler/node_index_test.go
+++ b/internal/scheduler/node_index_test.go
@@ -13,7 +13,7 @@
 	"lynxledge/wire"
 )
 
-// What one changed machine costs does not grow with the fleet.
+// The allocations caused by one changed machine do not grow with the fleet.
 func TestMachineChangeCostIsIndependentOfFleet(t *testing.T) {
 	allocs := func(machines int) (n float64) {
 		withScheduler(t, map[string]int{"z": 50}, func(cache *statecache.Cache, s *Scheduler) {
@@ -42,8 +42,8 @@
 	}
 }
 
-// The index follows its machines: what is counted of one is taken back when it changes or goes,
-// and the positions in its lists stay those of the nodes.
+// When a machine changes or is removed, the index's sums no longer include its former record, and
+// the ordinals and list positions of all nodes stay correct.
 func TestNodeIndexFollowsMachines(t *testing.T) {
 	view := statecache.NewUnfinishedView(8)
 	view.Jobs["req-000001"] = &statecache.Job{Spec: &wire.Job{ID: "req-000001", Team: "red", Kind: wire.KindService, CPUs: 3, MemoryGB: 1}}
@@ -91,8 +91,8 @@
 	}
 }
 
-// The order of the nodes follows the names of the machines when the machine types come after
-// them (guards against equal choices that differ from one start of a process to the next).
+// Nodes are ordered by machine name when the machine types become known after the machines. Guards
+// against ties that are decided differently after each start of a process.
 func TestOrdinalsFollowMachineNames(t *testing.T) {
 	view := statecache.NewUnfinishedView(8)
 	for i := range 40 {
--- a/internal/scheduler/quota_claims_test.go
+++ b/internal/scheduler/quota_claims_test.go
@@ -7,8 +7,8 @@
 	"lynxledge/wire"
 )
 
-// A team's early replicas are guaranteed to it however much batch work it runs beyond its
-// guarantee later: they were stopped for other teams' replicas.
+// A team's earlier jobs stay within its guarantee however much batch work it runs beyond the
+// guarantee later. When they did not, its replicas were preempted for those of other teams.
 func TestEarlierJobsAreGuaranteed(t *testing.T) {
 	team := func(wire.TeamName) config.TeamQuota { return config.TeamQuota{Name: "a", GuaranteedCPUs: 10} }
 	job := func(id wire.JobID, cpus float64) *wire.Job { return &wire.Job{ID: id, Team: "a", CPUs: cpus} }
--- a/internal/scheduler/replica_bench_test.go
+++ b/internal/scheduler/replica_bench_test.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	benchReplicas        = 4  // of each service
-	benchShortServices   = 64 // that lack a replica each
+	benchReplicas        = 4  // per service
+	benchShortServices   = 64 // services without any bound replica
 	replicasPerBenchNode = 2
 )
 
 var benchZones = []wire.Zone{"a", "b", "c"}
 
-// replicaScheduler is a scheduler that doesn't run, for a fleet that is full of replicas of
-// services that spread, of which some lack one and find no node for it.
+// replicaScheduler returns a scheduler that doesn't run, for a fleet that is full of replicas of
+// services that spread over zones. Some more services find no node for their replicas.
 func replicaScheduler(machines int) *Scheduler {
 	s := busyScheduler(0)
 	s.nodes.setMachineTypes([]wire.MachineType{{Name: "s", CPUs: 4, MemoryGB: 32, Zones: benchZones}})
@@ -53,7 +53,7 @@
 	return s
 }
 
-// BenchmarkSchedulingCycleShortOfReplicas is a scheduling cycle in which many services lack
+// BenchmarkSchedulingCycleShortOfReplicas measures a scheduling cycle in which many services lack
 // replicas, and search for other replicas to preempt or to move.
 func BenchmarkSchedulingCycleShortOfReplicas(b *testing.B) {
 	for _, machines := range benchFleets {
@@ -69,13 +69,13 @@
 	}
 }
 
-// A search for a replica to move looks at a sample of the nodes, however many there are, and at
-// those with capacity.
+// A search for a replica to move considers two samples, of all nodes and of those with capacity,
+// however many nodes there are.
 func TestMoveSearchIsBounded(t *testing.T) {
 	s := replicaScheduler(2000)
 	c := s.newCycle(time.Now(), 8, s.nodes.usage)
 	p := &jobPlacement{cycle: c, spec: s.jobs.active["req-100000"].Spec}
 	if nodes := len(p.moveNodes()); nodes > 2*placement.MaxSample {
-		t.Errorf("%d nodes looked at", nodes)
+		t.Errorf("%d nodes considered", nodes)
 	}
 }
--- a/internal/scheduler/replica_moves_test.go
+++ b/internal/scheduler/replica_moves_test.go
@@ -14,21 +14,22 @@
 )
 
 const (
-	blockingService wire.JobID = "req-000001" // has two replicas in each of zones b and c, which it fills
-	blockedService  wire.JobID = "req-000002" // has one replica in zone a, and lacks one
+	blockingService wire.JobID = "req-000001" // has two replicas in each of zones b and c, whose machines they fill
+	blockedService  wire.JobID = "req-000002" // has one replica in zone a, and one that is pending
 )
 
-// moveFixture is a scheduler that doesn't run, for a machine of four processors in each of
-// three zones, and a service that gets its last replica only if one of another is moved.
+// moveFixture is a scheduler that doesn't run, with a machine of four CPUs in each of three zones
+// and a service whose last replica can be placed only if a replica of another service is moved.
 type moveFixture struct {
 	*Scheduler
 	now      time.Time
 	revision uint64
 }
 
-// newMoveFixture makes a scheduler for teams, the first of which has the blocking service.
+// newMoveFixture returns a fixture with the given team quotas. The first team owns the blocking
+// service, by default team red, which owns all other jobs.
 func newMoveFixture(teams ...config.TeamQuota) *moveFixture {
-	teams = append(teams, config.TeamQuota{Name: "red"}) // the first of a name counts
+	teams = append(teams, config.TeamQuota{Name: "red"}) // of equal names the first quota counts
 	cfg := &config.Config{Operator: config.DefaultOperatorSettings()}
 	cfg.Params.Workers = config.WorkerTimings{HeartbeatInterval: 8 * time.Second, LeaseDuration: 44 * time.Second, CancellationDeadline: 74 * time.Second}
 	cfg.Params.Store = config.StoreLimits{MaxValueKB: 4, MaxTxnOps: 8, RequestRate: 200, WriteRate: 20}
@@ -46,13 +47,13 @@
 	return f
 }
 
-// put takes over a record of the store.
+// put applies a record as a change in the store.
 func (f *moveFixture) put(record statecache.Record, kind statecache.Kind, name string) {
 	f.revision++
 	f.apply(statecache.Update{Revision: f.revision, FreshAsOf: f.now, Changes: []statecache.Change{{Kind: kind, Name: name, Record: record, ModRevision: f.revision}}})
 }
 
-// submit adds a job of tasks that take half of a machine.
+// submit adds a job of team red whose tasks take half a machine each.
 func (f *moveFixture) submit(id wire.JobID, kind wire.JobKind, tasks int) {
 	f.submitFor("red", id, kind, tasks)
 }
@@ -64,12 +65,13 @@
 	}}, statecache.KindJob, string(id))
 }
 
-// bind has the first machine of a zone run just some tasks of a job.
+// bind replaces the bindings of the first machine of a zone by tasks of a job.
 func (f *moveFixture) bind(zone wire.Zone, job wire.JobID, tasks ...int) {
 	f.bindTo(wire.MachineID("i-"+zone), zone, job, tasks...)
 }
 
-// bindTo has a machine, which is the only one of its group, run just some tasks of a job.
+// bindTo replaces the bindings of a machine, the only one of its group, by tasks of a job. The
+// machine is added if it is new.
 func (f *moveFixture) bindTo(name wire.MachineID, zone wire.Zone, job wire.JobID, tasks ...int) {
 	group := strings.TrimPrefix(string(name), "i-")
 	machine := &statecache.Machine{
@@ -81,15 +83,14 @@
 	f.put(&statecache.MachineGroup{Name: group, MachineType: "s", Zone: zone, Machines: []*statecache.Machine{machine}}, statecache.KindMachineGroup, group)
 }
 
-// plan plans a scheduling cycle, and has the nodes say again what the records do, as if its
-// commit had failed.
+// plan plans a scheduling cycle, and resets the nodes to their records as after a failed commit.
 func (f *moveFixture) plan() *cycle {
 	c := f.planCycle(f.now, 8, true)
 	f.nodes.reset(c.machines())
 	return c
 }
 
-// commitCycle takes over what a planned cycle writes.
+// commitCycle applies the writes of a planned cycle.
 func (f *moveFixture) commitCycle(t *testing.T, c *cycle) {
 	t.Helper()
 	var txn statecache.Commit
@@ -102,7 +103,7 @@
 	}
 }
 
-// terminateStopped takes over records that no longer bind the tasks that were stopped.
+// terminateStopped applies records without the bindings of stopped tasks.
 func (f *moveFixture) terminateStopped() {
 	for name := range f.view.Groups {
 		update := f.view.UpdateGroup(name)
@@ -114,7 +115,8 @@
 	}
 }
 
-// move has a replica of the blocking service stopped to be moved to zone a, and terminated.
+// move runs a cycle that stops a replica of the blocking service to move it to zone a, and
+// terminates the replica.
 func (f *moveFixture) move(t *testing.T) {
 	t.Helper()
 	c := f.plan()
@@ -125,8 +127,8 @@
 	f.terminateStopped()
 }
 
-// The capacity that a replica is moved to is held for it until it is bound (guards against
-// other work that takes it while the replica is being stopped).
+// The capacity that a replica is moved to is held for it until it is bound. Guards against other
+// tasks that take the capacity while the replica is being stopped.
 func TestCapacityIsHeldForMovedReplica(t *testing.T) {
 	f := newMoveFixture()
 	f.move(t)
@@ -144,8 +146,8 @@
 	}
 }
 
-// What a team may use is held for a replica that is moved until it is bound (guards against a
-// replica that is stopped, and then waits at its team's limit).
+// Quota of its team is held for a replica on the move until it is bound. Guards against a replica
+// that is stopped and can't be bound again because of its team's limit.
 func TestQuotaIsHeldForMovedReplica(t *testing.T) {
 	f := newMoveFixture(config.TeamQuota{Name: "red", MaxCPUs: 12}) // six tasks
 	f.move(t)
@@ -157,8 +159,8 @@
 	}
 }
 
-// No replica is moved of a service whose team is above its limit: it could not be bound again
-// (guards against replicas stopped for nothing).
+// No replica is moved if its team is above its limit, since it could not be bound again. Guards
+// against replicas that are stopped in vain.
 func TestReplicaOfTeamAboveItsLimitIsNotMoved(t *testing.T) {
 	f := newMoveFixture(config.TeamQuota{Name: "blue", MaxCPUs: 6}) // of eight used
 	if c := f.plan(); len(c.commands.stops) > 0 {
@@ -166,8 +168,8 @@
 	}
 }
 
-// A move whose commit fails leaves nothing behind (guards against capacity that is counted as
-// used after that for as long as its machine's record does not change).
+// A move whose commit failed is dropped with its claim. Guards against capacity that stays claimed
+// until the record of its machine changes.
 func TestMoveThatIsNotCommittedIsDropped(t *testing.T) {
 	f := newMoveFixture()
 	if c := f.plan(); c.placed[blockedService] != 1 {
@@ -181,8 +183,8 @@
 	}
 }
 
-// Capacity is not held for a replica that does not come: its machine may be unreachable for long
-// (guards against free capacity that nobody may use).
+// Capacity is held for a replica on the move for at most a lease, since the machine that it is
+// stopped on may be unreachable for long. Guards against free capacity that no job may use.
 func TestCapacityIsHeldForALeaseAtMost(t *testing.T) {
 	f := newMoveFixture()
 	f.commitCycle(t, f.plan())
@@ -196,9 +198,9 @@
 	}
 }
 
-// Of a service one replica at a time is moved, and none while another is pending or on a machine
-// that is about to go (guards against a small service that is stopped as a whole).
-func TestServiceThatLacksReplicasSparesNone(t *testing.T) {
+// No replica of a service is moved while another is pending, stopping or on a machine that is
+// suspected or terminating. Guards against stopping all replicas of a small service.
+func TestReplicaOfIncompleteServiceIsNotMoved(t *testing.T) {
 	for name, disturb := range map[string]func(f *moveFixture){
 		"one is pending":          func(f *moveFixture) { f.bind("c", blockingService, 2) },
 		"a machine is suspected":  func(f *moveFixture) { f.view.Machines["i-c"].Suspected = true },
@@ -219,15 +221,15 @@
 	}
 }
 
-// Once a replica of a service is stopped in a cycle, none of the others is moved in it (guards
-// against all replicas of a small service stopped at once).
+// Once a replica of a service is stopped in a cycle, no other one is moved in the same cycle. Guards
+// against stopping all replicas of a small service at once.
 func TestSecondReplicaIsNotMovedInACycle(t *testing.T) {
 	f := newMoveFixture()
 	c := f.newCycle(f.now, 8, f.nodes.usage)
 	first, second := f.nodes.node("i-b"), f.nodes.node("i-c")
 	c.updateVictimFacts([]*placement.Node{first, second})
 	if set := second.Tasks[0].Service; set.Immovable || set.Running != 4 {
-		t.Fatalf("no replica may be moved: %+v", set)
+		t.Fatalf("replicas are immovable before any is stopped: %+v", set)
 	}
 	c.preempt(c.openGroup("b"), &placement.Victims{Node: first, Tasks: []int{0}, Target: f.nodes.node("i-a")}, f.view.Jobs[blockedService].Spec)
 	if set := second.Tasks[0].Service; !set.Immovable || set.Running != 3 {
@@ -235,8 +237,8 @@
 	}
 }
 
-// A replica is moved to a node that lacks its image only once the other service has waited for
-// as long as the fetch takes (guards against gaps that are longer than the shortage).
+// A replica is moved to a node without its image only after the other service has waited for as long
+// as fetching the image takes. Guards against moves that cost more than the shortage they end.
 func TestMoveWithoutImageWaitsForAsLongAsTheFetch(t *testing.T) {
 	f := newMoveFixture()
 	f.images.forget("i-a")
@@ -255,12 +257,12 @@
 	}
 }
 
-// No replica is moved while a node has room for the task, though it was not among those drawn
-// (guards against replicas stopped for nothing on large fleets).
-func TestNothingIsMovedBesideANodeWithRoom(t *testing.T) {
+// No replica is moved while any node has capacity for the task, even one that is not in the sample.
+// Guards against replicas that are stopped in vain on large fleets.
+func TestNoReplicaIsMovedWhileANodeHasCapacity(t *testing.T) {
 	f := newMoveFixture()
 	for i := range 10 * placement.MaxSample {
-		f.bindTo(wire.MachineID(fmt.Sprintf("i-a%04d", i)), "a", "") // where the service has its half
+		f.bindTo(wire.MachineID(fmt.Sprintf("i-a%04d", i)), "a", "") // in the zone of the bound replica, excluded by the spread
 	}
 	f.bindTo("i-b2", "b", "")
 	placed := 0
@@ -276,8 +278,8 @@
 	}
 }
 
-// A replica is not stopped to be moved where its machine's record has no room to bind what comes
-// in its place (guards against stops without a successor).
+// A replica is not stopped to be moved if the record of its machine has no room to bind the task
+// that replaces it. Guards against stops without a successor.
 func TestNothingIsStoppedWithoutRoomInTheRecord(t *testing.T) {
 	for _, room := range []int{0, statecache.BindingBytes(blockedService), 1 << 20} {
 		f := newMoveFixture()
@@ -296,12 +298,12 @@
 	}
 }
 
-// A task that has waited for a while finds the only node of a large fleet that has room for it
-// (guards against jobs that wait beside room that the samples of the nodes miss).
+// A task that has waited for a while finds the only node in a large fleet that has capacity for it.
+// Guards against jobs that wait because the samples miss such a node.
 func TestWaitingTaskFindsTheOnlyNodeWithRoom(t *testing.T) {
 	f := newMoveFixture()
 	for i := range 4000 {
-		f.bindTo(wire.MachineID(fmt.Sprintf("i-a%04d", i)), "a", "") // where the service has its half
+		f.bindTo(wire.MachineID(fmt.Sprintf("i-a%04d", i)), "a", "") // in the zone of the bound replica, excluded by the spread
 	}
 	f.bindTo("i-b2", "b", "")
 	f.now = f.now.Add(f.config.Params.Workers.Heartbeats(3))
--- a/internal/scheduler/shortages_test.go
+++ b/internal/scheduler/shortages_test.go
@@ -8,8 +8,8 @@
 	"lynxledge/wire"
 )
 
-// A shortage is reported once it has lasted for a while, then at intervals, each time with its
-// beginning; one that has ended begins anew.
+// A shortage is reported after it has lasted for a while, then at intervals, always with the time at
+// which it began. After its end a new one begins.
 func TestShortageIsReportedAtIntervals(t *testing.T) {
 	start := time.Now()
 	s := newShortages(8*time.Second, 44*time.Second)
@@ -24,11 +24,11 @@
 	}
 	s.forget(blockedService)
 	if since, due := s.record(blockedService, start.Add(time.Minute)); due || !since.Equal(start.Add(time.Minute)) {
-		t.Error("a shortage that ended goes on")
+		t.Error("a shortage continues after its end")
 	}
 }
 
-// The log says why a task was stopped for another.
+// The logged reason of a preemption depends on the target of a move, then on the priorities.
 func TestPreemptionReason(t *testing.T) {
 	job := func(priority wire.Priority) *wire.Job { return &wire.Job{Priority: priority} }
 	moved := &placement.Victims{Target: &placement.Node{}}
@@ -48,7 +48,7 @@
 	}
 }
 
-// A task that finds no node is told what keeps it from each.
+// Nodes that can't take a replica are counted by the reason.
 func TestObstaclesOfABlockedReplica(t *testing.T) {
 	f := newMoveFixture()
 	f.bindTo("i-b2", "b", "")
--- a/internal/scheduler/transaction_test.go
+++ b/internal/scheduler/transaction_test.go
@@ -6,7 +6,8 @@
 	"lynxledge/internal/statecache"
 )
 
-// A transaction counts all that it will write, before it is assembled, and is full at its limit.
+// A transaction counts its planned writes and bytes before the commit is built, and is full at the
+// limit of either.
 func TestTransactionCountsItsWrites(t *testing.T) {
 	txn := newTransaction(8)
 	for _, step := range []struct {
--- a/internal/scheduler/write_budget_test.go
+++ b/internal/scheduler/write_budget_test.go
@@ -7,8 +7,8 @@
 	"lynxledge/internal/config"
 )
 
-// The scheduler may use the writes that the others leave, never less than its own share, and its
-// own writes are not taken for theirs.
+// The scheduler may use the writes that others leave unused, never less than its own share, and its
+// own writes don't count as others'.
 func TestBudgetIsWhatOthersLeave(t *testing.T) {
 	const limit = 20.0
 	for _, test := range []struct {
@@ -32,7 +32,7 @@
 			budget.observe(8, now)
 			budget.observe(test.others, now)
 		}
-		// A smoothed rate is a little too high just after a count.
+		// The moving average is slightly too high right after writes were counted.
 		if got := budget.rate(now); got > test.want+0.01*limit || got < test.want-0.04*limit {
 			t.Errorf("%s: %.2f writes a second, want about %.2f", test.name, got, test.want)
 		}
