--- a/internal/scheduler/backoff_test.go
+++ b/internal/scheduler/backoff_test.go
@@ -62,7 +62,7 @@
 }
 
 // A replica is placed on the node that refused it if the zones of the other replicas allow no other
-// node. Guards against replicas that wait for ever despite free capacity after one refusal.
+// node. Guards against replicas that wait forever despite free capacity after one refusal.
 func TestFailedNodeIsUsedWhenZonesLeaveNoOther(t *testing.T) {
 	f := newMoveFixture()
 	f.bindTo("i-b2", "b", "")
--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -74,8 +74,8 @@
 	}
 }
 
-// benchCycle plans one cycle after a quarter of the machines in each of four groups have completed
-// their tasks, and restores the nodes.
+// benchCycle plans one cycle, in which a quarter of the machines in each of four groups have
+// completed their tasks and get others, and restores the nodes.
 func (s *Scheduler) benchCycle() *cycle {
 	now := time.Now()
 	for i := range benchCycleLimit {
--- a/internal/scheduler/commit.go
+++ b/internal/scheduler/commit.go
@@ -113,5 +113,5 @@
 		"cancellations", len(c.cancellations),
 		"tasks_placed", placed,
 		"tasks_terminated", c.terminated,
-		"groups_pending", c.evidence.groups())
+		"groups_pending", c.evidence.groupCount())
 }
--- a/internal/scheduler/evidence_queue.go
+++ b/internal/scheduler/evidence_queue.go
@@ -32,8 +32,8 @@
 	return &evidenceQueue{workers: workers, view: view, byGroup: map[string]map[wire.MachineID]*pendingEvidence{}}
 }
 
-// groups returns the number of groups with pending evidence.
-func (q *evidenceQueue) groups() int { return len(q.byGroup) }
+// groupCount returns the number of groups with pending evidence.
+func (q *evidenceQueue) groupCount() int { return len(q.byGroup) }
 
 // add queues evidence to be written at applyAt, or earlier if older evidence of the machine is due
 // earlier. It returns false if the machine is unknown or the queue already has evidence from the
@@ -118,8 +118,8 @@
 }
 
 // due returns the groups with evidence to write now, the most urgent first: late ones, then by
-// descending idle time. With assigned teams this process writes all evidence, without only what
-// has reached its applyAt.
+// descending idle time. A process with assigned teams writes all evidence, any other only evidence
+// whose applyAt has passed.
 func (q *evidenceQueue) due(now time.Time, hasAssignments bool) []dueGroup {
 	// A process without assignments waits while some process still writes terminations, for at
 	// most a lease: a slow writer is still alive, and writes by others made its preconditions fail
--- a/internal/scheduler/evidence_queue_test.go
+++ b/internal/scheduler/evidence_queue_test.go
@@ -152,7 +152,7 @@
 		t.Errorf("%+v", due)
 	}
 	q.moveMachine(rec.Name, "a", "b")
-	if rec.Group = "b"; q.byGroup["b"][rec.Name] == nil || len(q.due(now.Add(10*time.Second), true)) != 1 || q.groups() != 1 {
+	if rec.Group = "b"; q.byGroup["b"][rec.Name] == nil || len(q.due(now.Add(10*time.Second), true)) != 1 || q.groupCount() != 1 {
 		t.Error("the evidence doesn't follow its machine")
 	}
 	unknown := completionEvidence(groupOf("c", 1), 0)
--- a/internal/scheduler/group_layout.go
+++ b/internal/scheduler/group_layout.go
@@ -33,7 +33,7 @@
 
 // openOversizedGroups adds the groups to be split to the transaction, as far as it has room: those
 // whose records are, or may become, too large to be written, by growth or because the limit of a
-// value has been lowered, and those whose records are full.
+// value has been lowered, and in the same cycle those whose records are full.
 func (c *cycle) openOversizedGroups() {
 	if len(c.layout.oversized) == 0 || !c.ownsAllTeams() {
 		return
--- a/internal/scheduler/group_layout_test.go
+++ b/internal/scheduler/group_layout_test.go
@@ -45,8 +45,8 @@
 	})
 }
 
-// A process that all teams are assigned to splits full records and those beyond the limit of a
-// value, in a cycle with enough writes. Contents that fit into one record are not split.
+// A record that no longer fits the limit of a value is split by a process that all teams are
+// assigned to, in a cycle with enough writes. A full record that fits the limit is not split alone.
 func TestFullRecordsAreSplit(t *testing.T) {
 	withScheduler(t, map[string]int{"a": 20}, func(cache *statecache.Cache, s *Scheduler) {
 		inActor(s, func() {
--- a/internal/scheduler/job_queue.go
+++ b/internal/scheduler/job_queue.go
@@ -57,7 +57,7 @@
 	id            wire.JobID
 	job           *statecache.Job
 	assignment    uint64 // revision of the team's assignment
-	maxTasks      int    // most tasks to place in this cycle
+	maxTasks      int    // maximum number of tasks to place in this cycle
 	recoversFirst bool   // it is a service, and zones are recovering
 	deadlineIndex int    // index of the deadline to meet; the number of deadlines if it can't meet any; -1 if starved
 	// orderKey orders the jobs of the same priority and deadlineIndex: by the deadline to meet, by
--- a/internal/scheduler/shortages.go
+++ b/internal/scheduler/shortages.go
@@ -17,7 +17,7 @@
 
 // shortage is one service's lack of a node.
 type shortage struct {
-	since    time.Time
+	since    time.Time // when the service first found no node since it last found one
 	reportAt time.Time // when the next log line is due
 }
 
--- a/internal/scheduler/transaction.go
+++ b/internal/scheduler/transaction.go
@@ -8,7 +8,7 @@
 // transaction builds a commit, with a single write for all changes of a group. It tracks the writes
 // and bytes planned so far, so that the plan stays within the store's limits.
 type transaction struct {
-	limit                   int // most writes
+	limit                   int // maximum number of writes
 	groupUpdates            map[string]*groupUpdate
 	completionChunks        map[string]*statecache.CompletionChunk // by key
 	finishedJobs            map[wire.JobID]int                     // jobs to mark as done, with the number of writes for each
--- a/internal/scheduler/write_budget.go
+++ b/internal/scheduler/write_budget.go
@@ -100,7 +100,7 @@
 	txnOps := s.limits.txnOps()
 	limit = s.writes.available(now)
 	switch {
-	case limit < txnOps/2 && (s.evidence.groups() > 1 || s.completedJobs.count() > 1):
+	case limit < txnOps/2 && (s.evidence.groupCount() > 1 || s.completedJobs.count() > 1):
 		// Large transactions cost less than many small ones. Waiting for one does not delay the
 		// oldest changes, since the write rate is the bottleneck.
 		return 0, s.writes.timeFor(txnOps/2 - limit)
