--- a/internal/scheduler/node_index_test.go
+++ b/internal/scheduler/node_index_test.go
@@ -13,7 +13,7 @@
 	"lynxledge/wire"
 )
 
-// What one changed machine costs does not grow with the fleet.
+// The allocations caused by one changed machine do not grow with the fleet.
 func TestMachineChangeCostIsIndependentOfFleet(t *testing.T) {
 	allocs := func(machines int) (n float64) {
 		withScheduler(t, map[string]int{"z": 50}, func(cache *statecache.Cache, s *Scheduler) {
@@ -42,8 +42,8 @@
 	}
 }
 
-// The index follows its machines: what is counted of one is taken back when it changes or goes,
-// and the positions in its lists stay those of the nodes.
+// When a machine changes or is removed, the index's sums no longer include its former record, and
+// the ordinals and list positions of all nodes stay correct.
 func TestNodeIndexFollowsMachines(t *testing.T) {
 	view := statecache.NewUnfinishedView(8)
 	view.Jobs["req-000001"] = &statecache.Job{Spec: &wire.Job{ID: "req-000001", Team: "red", Kind: wire.KindService, CPUs: 3, MemoryGB: 1}}
@@ -78,21 +78,21 @@
 	set("i-2", &statecache.Machine{Name: "i-2", MachineType: "s", Zone: "a"})
 	set("i-3", machine("i-3", 1))
 	set("i-4", &statecache.Machine{Name: "i-4", MachineType: "unknown", Zone: "a"})
-	if len(x.all) != 3 || x.node("i-4") != nil || x.usage["red"].CPUs != 6 || x.pools[pool].serviceUsage.CPUs != 6 || len(x.starting) != 1 {
-		t.Errorf("%d nodes, %d starting, usage %v, pool %+v", len(x.all), len(x.starting), x.usage, x.pools[pool])
+	if len(x.all) != 3 || x.node("i-4") != nil || x.usage["red"].CPUs != 6 || x.pools[pool].serviceUsage.CPUs != 6 || len(x.booting) != 1 {
+		t.Errorf("%d nodes, %d booting, usage %v, pool %+v", len(x.all), len(x.booting), x.usage, x.pools[pool])
 	}
 	set("i-2", machine("i-2"))
 	set("i-1", nil)
-	if len(x.all) != 2 || x.usage["red"].CPUs != 3 || x.pools[pool].schedulableNodes != len(x.withCapacity) || len(x.starting) != 0 {
-		t.Errorf("%d nodes, %d starting, usage %v, pool %+v", len(x.all), len(x.starting), x.usage, x.pools[pool])
+	if len(x.all) != 2 || x.usage["red"].CPUs != 3 || x.pools[pool].schedulableNodes != len(x.withCapacity) || len(x.booting) != 0 {
+		t.Errorf("%d nodes, %d booting, usage %v, pool %+v", len(x.all), len(x.booting), x.usage, x.pools[pool])
 	}
 	if x.offers["a"] != 1 || x.offers["b"] != 0.5 {
 		t.Errorf("offers %v", x.offers)
 	}
 }
 
-// The order of the nodes follows the names of the machines when the machine types come after
-// them (guards against equal choices that differ from one start of a process to the next).
+// Nodes are ordered by machine name when the machine types become known after the machines. Guards
+// against ties that are decided differently after each start of a process.
 func TestOrdinalsFollowMachineNames(t *testing.T) {
 	view := statecache.NewUnfinishedView(8)
 	for i := range 40 {
