--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -17,15 +17,15 @@
 // idleConns is the number of idle connections to the store that are kept open.
 const idleConns = 8
 
-// Client is the client of the key-value store.
+// Client is a client for the key-value store.
 type Client struct {
 	service      *httpjson.Service
 	writeLimiter *rate.Limiter
 	timeout      time.Duration
 }
 
-// New returns a client that never exceeds the store's rates of requests and writes. That the
-// controllers together keep to them is the callers' concern.
+// New returns a client that never exceeds the given rates of requests and writes. Callers must
+// see to it that all controllers together stay within the store's rates.
 func New(addr string, requestRate, writeRate float64, maxTxnOps int, timeout time.Duration) *Client {
 	return &Client{
 		service:      httpjson.NewService(addr, requestRate, timeout, idleConns),
@@ -38,7 +38,8 @@
 	return translate(c.service.Call(ctx, timeout, method, path, in, out))
 }
 
-// List reads a page of the keys with a prefix, in order, after a key.
+// List returns a page of the keys with a prefix, in order: up to limit of those that follow the
+// key after.
 func (c *Client) List(ctx context.Context, prefix, after string, limit int) (*wire.RangeResponse, error) {
 	query := url.Values{"prefix": {prefix}, "most": {strconv.Itoa(limit)}}
 	if after != "" {
@@ -48,7 +49,8 @@
 	return &out, c.call(ctx, 2*c.timeout, http.MethodGet, "/kv?"+query.Encode(), nil, &out)
 }
 
-// Commit executes a transaction if all its preconditions hold, and returns its revision.
+// Commit executes a transaction if all its preconditions hold, and returns its revision. If one
+// does not hold, it fails with a [ConflictError].
 func (c *Client) Commit(ctx context.Context, txn *wire.Txn) (uint64, error) {
 	if n := len(txn.Writes); n > 0 {
 		if err := httpjson.Wait(ctx, c.writeLimiter, min(n, c.writeLimiter.Burst())); err != nil {
@@ -63,7 +65,8 @@
 	return out.Revision, err
 }
 
-// Watch returns the changes after a revision to keys with a prefix. It waits up to hold for one.
+// Watch returns the changes after a revision to keys with a prefix. If there are none yet, it
+// waits for one, up to hold.
 func (c *Client) Watch(ctx context.Context, prefix string, after uint64, hold time.Duration) (*wire.WatchResponse, error) {
 	path := fmt.Sprintf("/follow?prefix=%s&after=%d&holdMs=%d", url.QueryEscape(prefix), after, hold.Milliseconds())
 	var out wire.WatchResponse
@@ -77,7 +80,7 @@
 	return out.LeaseID, err
 }
 
-// RenewLease keeps a lease alive; ErrNotFound means that it has expired.
+// RenewLease renews a lease. It fails with ErrNotFound if the lease has expired.
 func (c *Client) RenewLease(ctx context.Context, lease uint64) error {
 	return c.call(ctx, c.timeout, http.MethodPost, fmt.Sprintf("/leases/%d/touch", lease), nil, nil)
 }
--- a/internal/kvstore/client_test.go
+++ b/internal/kvstore/client_test.go
@@ -16,7 +16,7 @@
 	"lynxledge/wire"
 )
 
-// newTestClient returns a client of a store that gives every request one response.
+// newTestClient returns a client of a server that gives every request the same response.
 func newTestClient(t *testing.T, status int, body string) *Client {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -27,8 +27,8 @@
 	return New(strings.TrimPrefix(server.URL, "http://"), 100, 100, 8, time.Second)
 }
 
-// Every status of the store means one error, and is none of the others; after an unknown one
-// the outcome is unknown.
+// Every status of the store is translated to its error and to no other. An unknown status is
+// translated to none, since the outcome is unknown.
 func TestErrorOfStatus(t *testing.T) {
 	sentinels := []error{ErrRejected, ErrThrottled, ErrNotFound, ErrRevisionCompacted, ErrLeaseNotFound, ErrInvalidRequest}
 	for _, test := range []struct {
@@ -61,7 +61,7 @@
 	}
 }
 
-// A conflict says which keys, and as of which revision.
+// A conflict has the keys whose preconditions failed, and the revision at which they did.
 func TestConflict(t *testing.T) {
 	_, err := newTestClient(t, http.StatusConflict, string(mustMarshal(t, wire.TxnResponse{FailedKeys: []string{"a", "b"}, Revision: 7}))).Commit(t.Context(), &wire.Txn{})
 	var conflict *ConflictError
@@ -70,16 +70,17 @@
 	}
 }
 
-// What was not sent was certainly not executed.
+// The error of a request that was not sent tells that it was not executed: ErrRejected if it may
+// be retried, ErrInvalidRequest if it can't be made at all.
 func TestNotSentIsRejected(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	client := newTestClient(t, http.StatusOK, `{}`)
 	if _, err := client.Commit(ctx, &wire.Txn{Writes: make([]wire.Write, 1)}); !errors.Is(err, ErrRejected) || !errors.Is(err, context.Canceled) {
-		t.Errorf("a write without room in its rate: %v", err)
+		t.Errorf("a write that its rate limiter did not admit: %v", err)
 	}
 	if _, err := client.Watch(ctx, "", 0, 0); !errors.Is(err, ErrRejected) {
-		t.Errorf("a read without room in its rate: %v", err)
+		t.Errorf("a read that its rate limiter did not admit: %v", err)
 	}
 	client = New("bad address", 100, 100, 8, time.Second)
 	if err := client.RenewLease(t.Context(), 1); !errors.Is(err, ErrInvalidRequest) || !errors.Is(err, httpjson.ErrNotSent) {
--- a/internal/kvstore/doc.go
+++ b/internal/kvstore/doc.go
@@ -1,4 +1,3 @@
-// Package kvstore is the client of the consensus-backed key-value store. It keeps to this
-// controller's share of the store's rates, and says of every failure whether the request may
-// have been executed.
+// Package kvstore is a client for the consensus-backed key-value store. It limits its rates of
+// requests and writes, and its errors tell whether a failed request may have been executed.
 package kvstore
--- a/internal/kvstore/errors.go
+++ b/internal/kvstore/errors.go
@@ -11,10 +11,10 @@
 	"lynxledge/wire"
 )
 
-// Errors that callers tell apart. After ErrRejected and ErrThrottled, which is one of them, the
-// request was certainly not executed, and trying again helps. ErrInvalidRequest, ErrNotFound and
-// ErrLeaseNotFound are final, and ErrRevisionCompacted is until all keys were listed anew. After
-// any other error of a change, it may have been executed, or may be yet.
+// Errors that callers distinguish. ErrRejected, which ErrThrottled wraps, means that the request
+// was certainly not executed and may be retried. ErrInvalidRequest, ErrNotFound and
+// ErrLeaseNotFound are permanent; ErrRevisionCompacted persists until the caller has listed all
+// keys again. After any other error, a write may have been executed, or may still be.
 var (
 	ErrRejected          = errors.New("store rejected the request")
 	ErrThrottled         = fmt.Errorf("%w: rate exceeded", ErrRejected)
@@ -24,8 +24,8 @@
 	ErrInvalidRequest    = errors.New("store rejected the request as invalid")
 )
 
-// ConflictError says that preconditions of a transaction failed, and as of which revision. It
-// was not executed. Trying again helps with the preconditions of a newer view.
+// ConflictError reports that a transaction was not executed because preconditions did not hold
+// at a revision. A retry needs preconditions from a newer view.
 type ConflictError struct {
 	FailedKeys []string
 	Revision   uint64
@@ -36,7 +36,8 @@
 	return fmt.Sprintf("preconditions failed at revision %d: %v", c.Revision, c.FailedKeys)
 }
 
-// errorOfStatus has what the statuses of the store mean, apart from those whose body tells.
+// errorOfStatus maps the store's status codes to errors. [translateStatus] first handles the
+// responses whose body matters.
 var errorOfStatus = map[int]error{
 	http.StatusBadRequest:         ErrInvalidRequest,
 	http.StatusNotFound:           ErrNotFound,
@@ -45,10 +46,11 @@
 	http.StatusServiceUnavailable: ErrRejected,
 }
 
-// leaseNotFoundMessage is in the response to a transaction whose lease does not exist.
+// leaseNotFoundMessage is part of the response to a transaction whose lease does not exist.
 var leaseNotFoundMessage = []byte("no such lease")
 
-// translate returns what the error of a call means for its caller.
+// translate converts an error of package httpjson to one of this package. Errors that leave the
+// outcome unknown are returned as they are.
 func translate(err error) error {
 	var status *httpjson.StatusError
 	switch {
--- a/internal/storelimits/tracker.go
+++ b/internal/storelimits/tracker.go
@@ -1,4 +1,4 @@
-// Package storelimits tracks which of the key-value store's configured limits are in force.
+// Package storelimits infers which of the key-value store's configured limits are in force.
 package storelimits
 
 import (
@@ -9,23 +9,24 @@
 	"lynxledge/internal/config"
 )
 
-// Tracker infers which of the store's limits are in force, the present or the upcoming ones:
-// the store gives no notice of the change. A value rejected for its size proves the upcoming
-// ones for good. Throttling that persists has their write rate assumed for a while; a single
-// throttled write proves nothing, as bursts within the rate are throttled now and then.
+// Tracker infers whether the store's present or upcoming limits are in force, since the store
+// does not announce the change. A value that is rejected for its size proves, permanently, that
+// the upcoming limits are. Persistent throttling only suggests it: the upcoming write rate is
+// then assumed for a while. A single throttled write is no evidence, since the store now and
+// then throttles bursts within the rate.
 //
-// The nil Tracker observes nothing and has the present limits in force.
+// A nil Tracker records nothing and reports the present limits.
 type Tracker struct {
 	mu                sync.Mutex
-	sizeLimitsLowered bool
-	lowerRateUntil    time.Time // end of the time for which the lower rate is assumed
-	lastThrottled     time.Time // start of the last second with a throttled write
+	upcomingProven    bool      // the upcoming limits are in force
+	upcomingRateUntil time.Time // end of the time for which the upcoming write rate is assumed
+	lastThrottled     time.Time // last throttled write that was counted; at most one a second is
 	throttledSeconds  int       // consecutive seconds with throttled writes
 }
 
 const (
-	throttledSecondsToLower = 5                // consecutive seconds of throttling after which the lower rate is assumed
-	loweredRateDuration     = 60 * time.Second // after which the present rate is tried again
+	minThrottledSeconds  = 5                // consecutive seconds of throttling after which the upcoming rate is assumed
+	upcomingRateDuration = 60 * time.Second // after which the present rate is tried again
 )
 
 // ObserveThrottled records that the store throttled a write.
@@ -44,42 +45,43 @@
 		t.throttledSeconds = 1
 	}
 	t.lastThrottled = now
-	if t.throttledSeconds >= throttledSecondsToLower {
-		t.lowerRateUntil = now.Add(loweredRateDuration)
+	if t.throttledSeconds >= minThrottledSeconds {
+		t.upcomingRateUntil = now.Add(upcomingRateDuration)
 	}
 }
 
-// ObserveLowerSizeLimit records that the store rejected a size within the present limits.
+// ObserveLowerSizeLimit records that the store rejected a value whose size is within the present
+// limits.
 func (t *Tracker) ObserveLowerSizeLimit() {
 	if t == nil {
 		return
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if !t.sizeLimitsLowered {
+	if !t.upcomingProven {
 		slog.Info("lower store limits in force")
 	}
-	t.sizeLimitsLowered = true
+	t.upcomingProven = true
 }
 
-// LowerLimitsInForce tells whether the upcoming limits are proved to be in force.
+// LowerLimitsInForce reports whether the upcoming limits are proven to be in force.
 func (t *Tracker) LowerLimitsInForce() bool {
 	if t == nil {
 		return false
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.sizeLimitsLowered
+	return t.upcomingProven
 }
 
-// WriteRate returns the write rate that is in force as far as is known now.
+// WriteRate returns the write rate that is currently assumed to be in force.
 func (t *Tracker) WriteRate(limits *config.StoreLimits) float64 {
 	if t == nil || limits.Upcoming == nil {
 		return limits.WriteRate
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.sizeLimitsLowered || time.Now().Before(t.lowerRateUntil) {
+	if t.upcomingProven || time.Now().Before(t.upcomingRateUntil) {
 		return min(limits.WriteRate, limits.Upcoming.WriteRate)
 	}
 	return limits.WriteRate
--- a/internal/storelimits/tracker_test.go
+++ b/internal/storelimits/tracker_test.go
@@ -8,9 +8,9 @@
 	"lynxledge/internal/config"
 )
 
-// The upcoming rate is assumed for a while when throttling persists, and for good once a size
-// was rejected. A burst of throttled writes changes nothing, nor does throttling where there
-// are no upcoming limits.
+// The upcoming write rate is assumed for a minute when throttling persists, and permanently once
+// a value was rejected for its size. Short bursts of throttled writes change nothing, and
+// without upcoming limits the present rate always applies.
 func TestLowerRateIsAssumed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tracker := &Tracker{}
