--- a/internal/statecache/cache.go
+++ b/internal/statecache/cache.go
@@ -11,17 +11,17 @@
 	"lynxledge/wire"
 )
 
-// Store is what the cache needs of the key-value store.
+// Store is the part of the key-value store's client that the cache uses.
 type Store interface {
 	List(ctx context.Context, prefix, after string, limit int) (*wire.RangeResponse, error)
 	Commit(ctx context.Context, txn *wire.Txn) (uint64, error)
 	Watch(ctx context.Context, prefix string, after uint64, hold time.Duration) (*wire.WatchResponse, error)
 }
 
-// Update tells a subscriber what changed.
+// Update tells a subscriber what changed, and how recent the view is.
 type Update struct {
 	Revision  uint64
-	FreshAsOf time.Time // start of the newest read that the view reflects in full
+	FreshAsOf time.Time // start of the latest read whose changes the view includes completely
 	Changes   []Change
 }
 
@@ -29,25 +29,25 @@
 type Options struct {
 	ChunkTasks              int             // tasks in a whole completion chunk
 	WatchHold               time.Duration   // how long a watch waits for changes
-	MinWatchInterval        time.Duration   // least time between two watches: batches changes
-	MinRefreshInterval      time.Duration   // least time between two refreshes
-	MaxViewAge              time.Duration   // an older view is refreshed without a request
-	Backoff                 time.Duration   // first pause after a failure
-	WriteInterval           time.Duration   // time for one write at the store's rate
+	MinWatchInterval        time.Duration   // least time between the starts of two watches; batches changes
+	MinRefreshInterval      time.Duration   // least time between the starts of two refreshes
+	MaxViewAge              time.Duration   // the view is refreshed before it is older than this
+	Backoff                 time.Duration   // first delay of the exponential backoff after failures
+	WriteInterval           time.Duration   // average time for one write at the store's write rate
 	MaxValueBytes           int             // larger values are never sent. 0: no limit
-	MaxCompletionChunkBytes int             // the same for completion chunks, until the store rejects the size
-	OnThrottled             func(time.Time) // is told of writes rejected for their rate
-	OnSizeRejected          func()          // is told of a commit rejected as invalid, as it is for its size
-	JobCountWarning         int             // number of known jobs beyond which a warning is logged, once. 0: none is
+	MaxCompletionChunkBytes int             // the same for completion chunks, which may be larger until the store rejects the size
+	OnThrottled             func(time.Time) // called after a commit was rejected because the write rate was exceeded
+	OnSizeRejected          func()          // called after the store rejected a commit as invalid, as it does for its size
+	JobCountWarning         int             // number of known jobs above which a warning is logged, once. 0: never
 }
 
-// FinishedJobBytes is the memory that a controller holds for a finished job, as measured.
+// FinishedJobBytes is the memory that a controller uses for each finished job.
 const FinishedJobBytes = 210
 
-// Cache is the actor that owns the watched view.
+// Cache is the actor that owns the view and keeps it up to date.
 type Cache struct {
 	*actor.Actor
-	ctx         context.Context // ends the watch, the retries and the calls of the store
+	ctx         context.Context // cancels the watch, retries, and calls of the store
 	store       Store
 	options     Options
 	subscribers []func(Update)
@@ -60,7 +60,7 @@
 	jobCountWarned bool
 }
 
-// progress is how far the view has followed the store.
+// progress tells which state of the store the view includes.
 type progress struct {
 	loaded    bool
 	revision  uint64
@@ -68,20 +68,21 @@
 	published atomic.Pointer[time.Time] // freshAsOf, for readers outside the actor
 }
 
-// ownDeletions is the revisions of the deletions by own commits, by key, until the watch has
-// passed them.
+// ownDeletions has the revisions at which commits of this cache deleted keys, by key, until the
+// watch has reached them.
 type ownDeletions map[string]uint64
 
-// forget drops the deletions that the watch has passed.
-func (d ownDeletions) forget(passed uint64) {
+// forget drops the deletions up to the revision that the watch has reached.
+func (d ownDeletions) forget(watched uint64) {
 	for key, revision := range d {
-		if revision <= passed {
+		if revision <= watched {
 			delete(d, key)
 		}
 	}
 }
 
-// Start starts a cache's actor until the context ends. Subscribers must be added before Run.
+// Start starts a cache's actor, which runs until the context ends. Subscribers must be registered
+// before Run is called.
 func Start(ctx context.Context, store Store, options Options) *Cache {
 	view := NewView(options.ChunkTasks)
 	return &Cache{
@@ -90,7 +91,7 @@
 	}
 }
 
-// FreshAsOf returns the time as of which the view is; zero before it is loaded.
+// FreshAsOf returns the time as of which the view is up to date; zero before it is loaded.
 func (c *Cache) FreshAsOf() time.Time {
 	if t := c.progress.published.Load(); t != nil {
 		return *t
@@ -98,11 +99,11 @@
 	return time.Time{}
 }
 
-// Subscribe registers a receiver of updates. It is called in the cache's actor and must not
-// wait for it.
+// Subscribe registers a function that receives all updates. It is called in the cache's actor and
+// must not wait for the actor.
 func (c *Cache) Subscribe(f func(Update)) { c.subscribers = append(c.subscribers, f) }
 
-// Run loads the view and follows the store until the context ends.
+// Run loads the view and keeps it up to date, in the background, until the context ends.
 func (c *Cache) Run() {
 	go c.watchLoop()
 	c.Every(c.options.MaxViewAge/2, func() {
@@ -112,10 +113,11 @@
 	})
 }
 
-// backOff pauses longer after each failure.
+// backOff pauses after a failure. The pause doubles with each failure before it, up to 32 times
+// Options.Backoff.
 func (c *Cache) backOff(failures int) { c.sleep(c.options.Backoff << min(failures, 5)) }
 
-// sleep waits for d to 2d, or until the context ends.
+// sleep waits for a random time from d to 2d, or until the context ends.
 func (c *Cache) sleep(d time.Duration) {
 	d += time.Duration(rand.Int64N(int64(d) + 1))
 	select {
@@ -124,9 +126,9 @@
 	}
 }
 
-// publish applies the changes that are newer than the view, and tells the subscribers.
+// publish applies the changes that the view does not include yet, and notifies the subscribers.
 func (c *Cache) publish(changes []Change) {
-	applied := make([]Change, 0, len(changes)) // a job may change others besides
+	applied := make([]Change, 0, len(changes)) // grows when a job's change causes changes of other jobs
 	for _, change := range changes {
 		if !c.isKnown(change) {
 			applied = c.apply(change, applied)
@@ -141,13 +143,15 @@
 	}
 }
 
-// isKnown tells whether the view reflects a change already, as an own commit that the watch
-// repeats. Subscribers must not be told twice: they would count a record's terminations twice.
+// isKnown reports whether the view already includes a change, such as that of an own commit which
+// the watch reports again. Subscribers must not receive it twice: they would count the
+// terminations in a record twice.
 func (c *Cache) isKnown(change Change) bool {
 	return change.ModRevision <= c.view.modRevisionOf(change.Kind, change.Name) || change.ModRevision < c.ownDeletions[change.Key]
 }
 
-// apply applies a change, and what follows from it for other jobs, and appends both to applied.
+// apply applies a change, and the changes of other jobs that it causes, and appends them to
+// applied.
 func (c *Cache) apply(change Change, applied []Change) []Change {
 	job, isJob := change.Record.(*Job)
 	if !isJob {
@@ -166,8 +170,8 @@
 	return applied
 }
 
-// warnOfJobCount warns once, long before it is too late, that the jobs, which are kept for good,
-// take much of the memory.
+// warnOfJobCount logs a warning once, long before memory runs out, when the jobs, which are never
+// deleted, take up much of it.
 func (c *Cache) warnOfJobCount() {
 	if c.jobCountWarned || c.options.JobCountWarning <= 0 || len(c.view.Jobs) <= c.options.JobCountWarning {
 		return
--- a/internal/statecache/commit.go
+++ b/internal/statecache/commit.go
@@ -10,15 +10,15 @@
 	"lynxledge/wire"
 )
 
-// Outcome is what a commit came to.
+// Outcome is the outcome of a commit.
 type Outcome int
 
 // Outcomes of a commit.
 const (
-	Committed      Outcome = iota // it was executed, and the view reflects it
-	Conflicted                    // a precondition failed; the view has caught up with the conflict if the store can be read
+	Committed      Outcome = iota // it was executed, and the view includes it
+	Conflicted                    // a precondition failed; the view includes the conflicting change if the store could be read
 	Rejected                      // it was certainly not executed
-	OutcomeUnknown                // it may have been executed, or may be yet
+	OutcomeUnknown                // it may have been executed, or may still be
 )
 
 // String returns the outcome's name.
@@ -36,8 +36,8 @@
 	return fmt.Sprintf("Outcome(%d)", int(o))
 }
 
-// Commit executes a commit and replies in the cache's actor, after the subscribers were told
-// of what changed. A commit beyond the store's limits is not sent.
+// Commit executes a commit. reply is called in the cache's actor, after the subscribers have
+// received the changes. A commit that exceeds the store's limits is rejected without being sent.
 func (c *Cache) Commit(commit Commit, reply func(Outcome)) {
 	txn, err := c.options.encodeTxn(&commit)
 	if err != nil {
@@ -48,14 +48,14 @@
 	go c.commitWithRetries(commit, txn, reply)
 }
 
-// commitWithRetries sends a transaction until its outcome is final, or the commit's time for
-// retries is over.
+// commitWithRetries sends a transaction until its outcome is final or the commit's time for
+// retries has passed.
 func (c *Cache) commitWithRetries(commit Commit, txn *wire.Txn, reply func(Outcome)) {
 	deadline := time.Now().Add(commit.RetryFor)
-	giveUpAs := Rejected
+	timeoutOutcome := Rejected
 	for failures := 0; ; failures++ {
 		revision, err := c.store.Commit(c.ctx, txn)
-		if finish := c.finalOutcome(txn, revision, err, reply); finish != nil {
+		if finish := c.finishFunc(txn, revision, err, reply); finish != nil {
 			c.Send(finish)
 			return
 		}
@@ -63,23 +63,23 @@
 			slog.Debug("commit rejected", "error", err, "writes", len(txn.Writes))
 		} else {
 			slog.Debug("commit outcome unknown", "error", err)
-			giveUpAs = OutcomeUnknown
+			timeoutOutcome = OutcomeUnknown
 		}
 		if c.ctx.Err() != nil {
 			return
 		}
-		mustSettle := giveUpAs == OutcomeUnknown && commit.RetryUntilCertain
-		if !mustSettle && time.Now().After(deadline) {
-			c.Send(func() { reply(giveUpAs) })
+		mustRetry := timeoutOutcome == OutcomeUnknown && commit.RetryUntilCertain
+		if !mustRetry && time.Now().After(deadline) {
+			c.Send(func() { reply(timeoutOutcome) })
 			return
 		}
 		c.pauseBeforeRetry(err, txn, failures)
 	}
 }
 
-// finalOutcome returns what the actor does about the answer to an attempt; nil if the
-// transaction may be tried again.
-func (c *Cache) finalOutcome(txn *wire.Txn, revision uint64, err error, reply func(Outcome)) func() {
+// finishFunc returns the function by which the actor finishes a commit after an attempt with a
+// final outcome, or nil if the transaction may be retried.
+func (c *Cache) finishFunc(txn *wire.Txn, revision uint64, err error, reply func(Outcome)) func() {
 	var conflict *kvstore.ConflictError
 	switch {
 	case err == nil:
@@ -102,9 +102,10 @@
 	return nil
 }
 
-// pauseBeforeRetry waits before the next attempt. After throttling that is as long as the store
-// takes for the writes at its rate: it counts by the second, so there is room before long, and
-// whoever waits for this commit holds up all that comes behind.
+// pauseBeforeRetry waits before the next attempt. After throttling it does not back off but waits
+// for one to two times as long as the writes take at the store's rate: the store counts writes
+// per second, so it soon accepts more, and a caller that waits for this commit holds up
+// everything queued behind it.
 func (c *Cache) pauseBeforeRetry(err error, txn *wire.Txn, failures int) {
 	if !errors.Is(err, kvstore.ErrThrottled) {
 		c.backOff(failures)
@@ -116,7 +117,8 @@
 	c.sleep(time.Duration(len(txn.Writes)) * c.options.WriteInterval)
 }
 
-// applyOwnCommit applies an own commit at once; the watch will repeat it.
+// applyOwnCommit applies the writes of an own commit without waiting for the watch, which will
+// report them again.
 func (c *Cache) applyOwnCommit(txn *wire.Txn, revision uint64) {
 	var changes []Change
 	for _, write := range txn.Writes {
@@ -132,7 +134,8 @@
 	c.publish(changes)
 }
 
-// catchUp calls f once the view has reached a revision, or can't for now.
+// catchUp calls f once the view has reached a revision, or at once if it is not loaded. If the
+// refresh for it fails, f is called all the same.
 func (c *Cache) catchUp(revision uint64, f func()) {
 	if c.progress.revision >= revision || !c.progress.loaded {
 		f()
--- a/internal/statecache/doc.go
+++ b/internal/statecache/doc.go
@@ -1,3 +1,3 @@
-// Package statecache keeps a watched, in-memory view of the controllers' records in the
-// key-value store, and commits compare-and-swap transactions to it.
+// Package statecache keeps an in-memory view of the controllers' records in the key-value store
+// up to date by watching the store, and commits compare-and-swap transactions to it.
 package statecache
--- a/internal/statecache/errors.go
+++ b/internal/statecache/errors.go
@@ -5,8 +5,8 @@
 	"fmt"
 )
 
-// Errors of reads. ErrNotLoaded and ErrOverloaded are temporary: trying again helps.
-// ErrUnknownLayout and ErrMalformedRecord last until the record has been written again.
+// Errors of reads. ErrNotLoaded and ErrOverloaded are temporary and may be retried.
+// ErrUnknownLayout and ErrMalformedRecord persist until the record is rewritten.
 var (
 	ErrNotLoaded       = errors.New("state not loaded yet")
 	ErrOverloaded      = errors.New("state cache overloaded")
@@ -15,8 +15,8 @@
 	ErrUnknownKind     = errors.New("unknown kind of record")
 )
 
-// RecordTooLargeError says that a value exceeds the store's limit. The commit was not sent, and
-// trying it again does not help.
+// RecordTooLargeError reports that a value exceeds the store's size limit. The commit was not
+// sent, and retrying it does not help.
 type RecordTooLargeError struct {
 	Key   string
 	Bytes int
@@ -28,8 +28,8 @@
 	return fmt.Sprintf("record %s too large: %d bytes, limit %d", e.Key, e.Bytes, e.Limit)
 }
 
-// TransactionTooLargeError says that a transaction exceeds the store's limit of a request body.
-// It was not sent, and trying it again does not help.
+// TransactionTooLargeError reports that a transaction exceeds the store's size limit of a request
+// body. It was not sent, and retrying it does not help.
 type TransactionTooLargeError struct {
 	Bytes         int
 	Limit         int
@@ -42,7 +42,8 @@
 	return fmt.Sprintf("transaction too large: %d bytes, limit %d, with %d writes and %d preconditions", e.Bytes, e.Limit, e.Writes, e.Preconditions)
 }
 
-// malformed says which part of a record could not be parsed, and why if that is known.
+// malformed returns an [ErrMalformedRecord] that names the part of a record that could not be
+// parsed, and wraps the cause unless it is nil.
 func malformed(part, text string, cause error) error {
 	if cause == nil {
 		return fmt.Errorf("%w: %s %.80q", ErrMalformedRecord, part, text)
--- a/internal/statecache/keys.go
+++ b/internal/statecache/keys.go
@@ -2,7 +2,7 @@
 
 import "strings"
 
-// KeyPrefix is the prefix of every key.
+// KeyPrefix is the prefix of every key that the controllers use.
 const KeyPrefix = "lx/"
 
 // Kind is the kind of a record: the part of its key that follows [KeyPrefix].
@@ -28,7 +28,7 @@
 	ZoneRecoveryKey = KeyPrefix + string(KindZoneRecovery)
 )
 
-// Key returns the key of the record of a kind with a name.
+// Key returns the key of the record with a kind and a name.
 func Key(kind Kind, name string) string { return KeyPrefix + string(kind) + "/" + name }
 
 // keyOf returns the key of a record, whose name is empty if its kind has a single record.
--- a/internal/statecache/load.go
+++ b/internal/statecache/load.go
@@ -13,67 +13,69 @@
 // listPageSize is the number of keys in a page of a listing.
 const listPageSize = 1000
 
-// snapshot is all keys at one revision.
+// snapshot holds all keys as of one revision.
 type snapshot struct {
 	items    map[string]wire.KeyValue
 	revision uint64
 }
 
-// load reads all keys and has the view follow from there.
+// load reads a snapshot of the store and has the actor apply it to the view.
 func (c *Cache) load() error {
-	begun := time.Now()
-	all, err := c.readSnapshot()
+	startedAt := time.Now()
+	snap, err := c.readSnapshot()
 	if err != nil {
 		return err
 	}
-	if err := all.checkLayouts(); err != nil {
+	if err := snap.checkLayouts(); err != nil {
 		return err
 	}
-	c.Send(func() { c.applySnapshot(all, begun) })
+	c.Send(func() { c.applySnapshot(snap, startedAt) })
 	return nil
 }
 
-// readSnapshot lists all keys, page by page, and brings the pages to one revision: what moved
-// from a key of a page yet to be read to a key of one that was read, as machines move from
-// group to group, would otherwise be missing for a moment.
+// readSnapshot lists all keys page by page, and then applies the changes since the first page, so
+// that all keys are as of one revision. Otherwise a machine that moves between groups while the
+// pages are read would be missing for a moment, if its new group is on a page already read and
+// its old one on a later page.
 func (c *Cache) readSnapshot() (*snapshot, error) {
-	all, err := c.listAll()
+	snap, err := c.listAll()
 	if err != nil {
 		return nil, err
 	}
-	since, err := c.store.Watch(c.ctx, KeyPrefix, all.revision, 0)
+	response, err := c.store.Watch(c.ctx, KeyPrefix, snap.revision, 0)
 	if err != nil {
 		return nil, err
 	}
-	for _, event := range since.Events {
-		all.apply(event)
+	for _, event := range response.Events {
+		snap.apply(event)
 	}
-	all.revision = max(all.revision, since.Revision)
-	return all, nil
+	snap.revision = max(snap.revision, response.Revision)
+	return snap, nil
 }
 
-// listAll lists all keys. Its revision is that of the first page.
+// listAll lists all keys. The snapshot's revision is that of the first page; later pages may be
+// newer.
 func (c *Cache) listAll() (*snapshot, error) {
-	all := &snapshot{items: map[string]wire.KeyValue{}}
+	snap := &snapshot{items: map[string]wire.KeyValue{}}
 	for after := ""; ; {
 		page, err := c.store.List(c.ctx, KeyPrefix, after, listPageSize)
 		if err != nil {
 			return nil, err
 		}
-		if all.revision == 0 {
-			all.revision = page.Revision
+		if snap.revision == 0 {
+			snap.revision = page.Revision
 		}
 		for _, item := range page.KeyValues {
-			all.items[item.Key] = item
+			snap.items[item.Key] = item
 		}
 		if !page.More || len(page.KeyValues) == 0 {
-			return all, nil
+			return snap, nil
 		}
 		after = page.KeyValues[len(page.KeyValues)-1].Key
 	}
 }
 
-// apply applies an event, unless the key was listed after it.
+// apply applies an event, unless the key was listed at a later revision.
 func (s *snapshot) apply(event wire.Event) {
 	switch {
 	case event.PutKey != "" && s.items[event.PutKey].ModRevision <= event.ModRevision:
@@ -83,8 +85,8 @@
 	}
 }
 
-// checkLayouts fails if a group is in an unknown layout: a view without its machines would have
-// their tasks started again.
+// checkLayouts fails if the record of a machine group has an unknown layout: in a view without
+// its machines, their tasks would look unbound and be started a second time.
 func (s *snapshot) checkLayouts() error {
 	prefix := Key(KindMachineGroup, "")
 	for _, item := range s.items {
@@ -98,10 +100,10 @@
 	return nil
 }
 
-// applySnapshot makes the view what the snapshot says, except where it is newer.
-func (c *Cache) applySnapshot(all *snapshot, begun time.Time) {
+// applySnapshot makes the view equal to the snapshot, except for records that are newer in it.
+func (c *Cache) applySnapshot(snap *snapshot, startedAt time.Time) {
 	var jobs, others []Change
-	for _, item := range all.items {
+	for _, item := range snap.items {
 		if change, ok := c.decodeChange(item.Key, item.Value, item.ModRevision); ok && change.Kind == KindJob {
 			jobs = append(jobs, change)
 		} else if ok {
@@ -109,15 +111,15 @@
 		}
 	}
 	c.sortChanges(others)
-	changes := append(jobs, others...) // bindings and completions need their job
+	changes := append(jobs, others...) // bindings and completions refer to jobs
 	for _, known := range c.view.allRecords() {
-		if _, listed := all.items[known.Key]; !listed && known.ModRevision <= all.revision {
-			changes = append(changes, Change{Key: known.Key, Kind: known.Kind, Name: known.Name, ModRevision: all.revision})
+		if _, listed := snap.items[known.Key]; !listed && known.ModRevision <= snap.revision {
+			changes = append(changes, Change{Key: known.Key, Kind: known.Kind, Name: known.Name, ModRevision: snap.revision})
 		}
 	}
 	c.progress.loaded = true
-	c.progress.revision = max(c.progress.revision, all.revision)
-	c.progress.freshAsOf = begun
+	c.progress.revision = max(c.progress.revision, snap.revision)
+	c.progress.freshAsOf = startedAt
 	c.publish(changes)
-	slog.Info("state loaded", "keys", len(all.items), "revision", all.revision)
+	slog.Info("state loaded", "keys", len(snap.items), "revision", snap.revision)
 }
--- a/internal/statecache/membership.go
+++ b/internal/statecache/membership.go
@@ -6,21 +6,21 @@
 	"lynxledge/wire"
 )
 
-// Member is a live controller. The key is attached to the controller's lease.
+// Member is the record of a live controller. Its key is attached to the controller's lease.
 type Member struct {
 	Incarnation uint64 `json:"boot"`
-	// Capabilities are the kinds of records that the controller knows beyond those that every
-	// version does.
+	// Capabilities are the kinds of records that the controller can read beyond those that
+	// every version can.
 	Capabilities []string `json:"can,omitempty"`
 	ModRevision  uint64   `json:"-"`
 }
 
-// HasCapability tells whether the member announces a capability.
+// HasCapability reports whether the member announces a capability.
 func (m *Member) HasCapability(capability string) bool {
 	return slices.Contains(m.Capabilities, capability)
 }
 
-// Leader is the leading controller. The key is attached to that controller's lease.
+// Leader is the record of the leading controller. Its key is attached to that controller's lease.
 type Leader struct {
 	Member      string `json:"member"`
 	Incarnation uint64 `json:"boot"`
@@ -28,7 +28,7 @@
 	ModRevision uint64 `json:"-"`
 }
 
-// Term is the highest term ever used.
+// Term is the record of the highest leadership term ever used.
 type Term struct {
 	Number      uint64 `json:"term"`
 	ModRevision uint64 `json:"-"`
@@ -46,8 +46,8 @@
 	ModRevision uint64 `json:"-"`
 }
 
-// Membership is the part of a view that knows the controllers: which are live, which of them
-// leads, and which schedules the tasks of which team.
+// Membership is the part of a view that holds the controllers: which are live, which of them
+// leads, and which one schedules the tasks of each team.
 type Membership struct {
 	Members     map[string]*Member
 	Leader      *Leader
@@ -59,7 +59,7 @@
 	return Membership{Members: map[string]*Member{}, Assignments: map[wire.TeamName]*Assignment{}}
 }
 
-// CurrentTerm returns the highest term seen.
+// CurrentTerm returns the highest leadership term seen, or 0.
 func (m *Membership) CurrentTerm() uint64 {
 	if m.Term == nil {
 		return 0
@@ -67,7 +67,7 @@
 	return m.Term.Number
 }
 
-// AllMembersSupport tells whether every member announces a capability.
+// AllMembersSupport reports whether there are members and all of them announce a capability.
 func (m *Membership) AllMembersSupport(capability string) bool {
 	for _, member := range m.Members {
 		if !member.HasCapability(capability) {
--- a/internal/statecache/record.go
+++ b/internal/statecache/record.go
@@ -3,15 +3,15 @@
 import "encoding/json"
 
 // Record is the value of a key: a pointer to one of the record types of this package. Records
-// are shared by all views and never written to.
+// are shared by all views and must not be modified.
 type Record interface {
 	// Kind returns the record's kind.
 	Kind() Kind
-	// modRevision returns the field with the revision of the record's last change.
+	// modRevision returns a pointer to the revision of the record's last change.
 	modRevision() *uint64
 }
 
-// Change is a key's new record. Record is nil if the key was deleted.
+// Change is a change of one key. Record is the new record, or nil if the key was deleted.
 type Change struct {
 	Key         string
 	Kind        Kind
@@ -20,13 +20,13 @@
 	ModRevision uint64
 }
 
-// changeTo returns the change that a record of a view is the result of.
+// changeTo returns the change that sets the record with a name.
 func changeTo(name string, record Record) Change {
 	kind := record.Kind()
 	return Change{Key: keyOf(kind, name), Kind: kind, Name: name, Record: record, ModRevision: *record.modRevision()}
 }
 
-// recordPointer is a pointer to T that is a record.
+// recordPointer is the constraint of a pointer to T that implements [Record].
 type recordPointer[T any] interface {
 	*T
 	Record
--- a/internal/statecache/schema.go
+++ b/internal/statecache/schema.go
@@ -8,14 +8,14 @@
 
 // schema describes a kind of record: how its values are decoded, and where a view holds them.
 type schema interface {
-	// decode decodes the record of a name. The view may hold its former state.
+	// decode decodes the record with a name. It may share parts of the view's previous record.
 	decode(v *View, name string, raw json.RawMessage, modRevision uint64) (Record, error)
-	// find returns the view's record of a name, or nil.
+	// find returns the view's record with a name, or nil.
 	find(v *View, name string) Record
-	// apply replaces the view's record of a name; nil removes it. It returns the machines
-	// that this changes.
+	// apply replaces the view's record with a name; nil removes it. It returns the resulting
+	// changes of machines.
 	apply(v *View, name string, record Record) []MachineChange
-	// each calls visit with every record of the view.
+	// each calls visit with every record of this kind in the view.
 	each(v *View, visit func(name string, record Record))
 }
 
@@ -25,7 +25,7 @@
 	KindLeader, KindTerm, KindZoneRecovery,
 }
 
-// schemas has the description of every kind.
+// schemas maps every kind to its schema.
 var schemas = map[Kind]schema{
 	KindJob:                jobSchema{tableOf(func(v *View) map[wire.JobID]*Job { return v.Jobs })},
 	KindCompletionChunk:    completionChunkSchema{},
@@ -104,7 +104,8 @@
 	}
 }
 
-// jobSchema has a job that ends take its completions along.
+// jobSchema also drops what a view does not keep of a job that has ended, such as its completed
+// tasks.
 type jobSchema struct {
 	table[wire.JobID, Job, *Job]
 }
@@ -115,7 +116,8 @@
 	return nil
 }
 
-// machineGroupSchema has the machines of a group follow its record.
+// machineGroupSchema also updates the view's machines, bindings and completed tasks when the
+// record of a group changes.
 type machineGroupSchema struct {
 	table[string, MachineGroup, *MachineGroup]
 }
@@ -129,12 +131,12 @@
 }
 
 func (s machineGroupSchema) apply(v *View, name string, record Record) []MachineChange {
-	former := v.Groups[name]
+	previous := v.Groups[name]
 	s.table.apply(v, name, record)
-	return v.groupReplaced(former, v.Groups[name])
+	return v.groupReplaced(previous, v.Groups[name])
 }
 
-// zoneRecoverySchema takes a record that can't be read for an unreadable one.
+// zoneRecoverySchema marks a record that can't be decoded as Unreadable instead of failing.
 type zoneRecoverySchema struct {
 	single[ZoneRecoveries, *ZoneRecoveries]
 }
@@ -143,7 +145,7 @@
 	return decodeZoneRecoveries(raw, modRevision), nil
 }
 
-// completionChunkSchema holds chunks by job and chunk.
+// completionChunkSchema is the schema of completion chunks, which a view holds by job and ID.
 type completionChunkSchema struct{}
 
 func (completionChunkSchema) decode(_ *View, _ string, raw json.RawMessage, modRevision uint64) (Record, error) {
--- a/internal/statecache/timestamp.go
+++ b/internal/statecache/timestamp.go
@@ -6,9 +6,9 @@
 	"lynxledge/wire"
 )
 
-// Timestamp is a time of day as records hold it: milliseconds since the Unix epoch. Zero means
-// that there is none. It stays a number in memory too: finished jobs are kept for good, and
-// a [time.Time] is three times as large.
+// Timestamp is a point in time as stored in records: milliseconds since the Unix epoch. Zero
+// means none. It is kept as a number in memory too, since finished jobs are never deleted and a
+// [time.Time] is three times as large.
 type Timestamp int64
 
 // TimestampOf returns the timestamp of a time.
--- a/internal/statecache/transaction.go
+++ b/internal/statecache/transaction.go
@@ -9,16 +9,16 @@
 	"lynxledge/wire"
 )
 
-// Commit is a change to make as one compare-and-swap transaction.
+// Commit describes one compare-and-swap transaction.
 type Commit struct {
 	Preconditions []wire.Precondition
 	Puts          []Put
 	Deletes       []string
-	// RetryUntilCertain repeats the same transaction until its outcome is certain. Since its
-	// writes change what its preconditions compare, an answered repeat means that no earlier
-	// copy can be executed any more.
+	// RetryUntilCertain has a transaction whose outcome is unknown retried, beyond RetryFor,
+	// until it is executed or conflicts. Since its writes change the keys that its preconditions
+	// compare, no earlier copy of it can be executed after that.
 	RetryUntilCertain bool
-	// RetryFor is how long rejections are tried again.
+	// RetryFor is how long the transaction is retried while its outcome is not final.
 	RetryFor time.Duration
 }
 
@@ -26,21 +26,22 @@
 type Put struct {
 	Key     string
 	Record  Record
-	LeaseID uint64 // of the lease that the key is attached to. 0: none
+	LeaseID uint64 // lease that the key is attached to. 0: none
 }
 
 // Ops returns the number of writes.
 func (c *Commit) Ops() int { return len(c.Puts) + len(c.Deletes) }
 
-// WriteOverheadBytes is at most what a write or a precondition takes of a transaction besides
-// its value.
+// WriteOverheadBytes is an upper bound on the size of a write or a precondition in a transaction,
+// not counting its value.
 const WriteOverheadBytes = 120
 
-// MaxTxnRecordBytes is what the records of one transaction may take; the rest of the body's
-// limit is for preconditions, and for what the parts of a record that is split repeat.
+// MaxTxnRecordBytes is the largest total size of the records in one transaction. The rest of the
+// request body is left for preconditions, and for what every part of a split record repeats.
 const MaxTxnRecordBytes = wire.MaxBodyBytes * 9 / 10
 
-// encodeTxn encodes a commit as a transaction within the store's limits. Its errors are final.
+// encodeTxn encodes a commit as a transaction, and fails if that exceeds the store's limits.
+// Retrying does not help after its errors.
 func (o *Options) encodeTxn(c *Commit) (*wire.Txn, error) {
 	txn := &wire.Txn{Preconditions: c.Preconditions}
 	for _, put := range c.Puts {
@@ -62,7 +63,7 @@
 	return txn, nil
 }
 
-// maxValueBytes returns the limit of a key's value; 0: none.
+// maxValueBytes returns the size limit of a key's value; 0: none.
 func (o *Options) maxValueBytes(key string) int {
 	if strings.HasPrefix(key, Key(KindCompletionChunk, "")) {
 		return max(o.MaxValueBytes, o.MaxCompletionChunkBytes)
@@ -70,7 +71,7 @@
 	return o.MaxValueBytes
 }
 
-// txnBytes is at most the size of a transaction's body.
+// txnBytes returns an upper bound on the size of a transaction's request body.
 func txnBytes(txn *wire.Txn) int {
 	n := WriteOverheadBytes
 	for i := range txn.Preconditions {
--- a/internal/statecache/watch.go
+++ b/internal/statecache/watch.go
@@ -14,8 +14,8 @@
 	"lynxledge/wire"
 )
 
-// watchLoop loads the view and keeps a watch open, until the context ends. It loads the view
-// again when the store has compacted the revision to go on from.
+// watchLoop loads the view and then watches the store until the context ends. It loads the view
+// again when the store has compacted the revision from which the watch continues.
 func (c *Cache) watchLoop() {
 	failures, mustLoad := 0, true
 	for c.ctx.Err() == nil {
@@ -48,7 +48,7 @@
 func (c *Cache) logLoadFailure(err error) {
 	level := slog.LevelDebug
 	if errors.Is(err, ErrUnknownLayout) {
-		level = slog.LevelError // until the records are gone: see docs/operations.md
+		level = slog.LevelError // persists until the records are gone; see docs/operations.md
 	}
 	slog.Log(c.ctx, level, "state load failed", "error", err)
 }
@@ -59,21 +59,21 @@
 	if !ok {
 		return ErrOverloaded
 	}
-	begun := time.Now()
+	startedAt := time.Now()
 	response, err := c.store.Watch(c.ctx, KeyPrefix, revision, c.options.WatchHold)
 	if err != nil {
 		return fmt.Errorf("after revision %d: %w", revision, err)
 	}
-	c.Send(func() { c.applyWatchResponse(response, begun) })
-	if pause := c.options.MinWatchInterval - time.Since(begun); pause > 0 {
+	c.Send(func() { c.applyWatchResponse(response, startedAt) })
+	if pause := c.options.MinWatchInterval - time.Since(startedAt); pause > 0 {
 		time.Sleep(pause)
 	}
 	return nil
 }
 
-// applyWatchResponse applies the events of a watch. A response has every change after the
-// revision asked for, so what is at or below the view's revision is known.
-func (c *Cache) applyWatchResponse(response *wire.WatchResponse, begun time.Time) {
+// applyWatchResponse applies the events of a watch. A response has every change from the requested
+// revision to its own, so the view already includes events at or below the view's revision.
+func (c *Cache) applyWatchResponse(response *wire.WatchResponse, startedAt time.Time) {
 	var changes []Change
 	for _, event := range response.Events {
 		if event.ModRevision <= c.progress.revision {
@@ -89,13 +89,13 @@
 	}
 	c.sortChanges(changes)
 	c.progress.revision = max(c.progress.revision, response.Revision)
-	if begun.After(c.progress.freshAsOf) {
-		c.progress.freshAsOf = begun
+	if startedAt.After(c.progress.freshAsOf) {
+		c.progress.freshAsOf = startedAt
 	}
 	c.publish(changes)
-	// Only now: a response may hold an older record of a key that an own commit deleted. Applied,
-	// it would bind its tasks to the old machine for a moment, and hide where they have been
-	// bound since.
+	// Not before publish, which skips older records of keys that own commits deleted. Applying
+	// such a record would briefly bind its tasks to the old machine, and hide the machines to
+	// which they have been bound since.
 	c.ownDeletions.forget(c.progress.revision)
 }
 
@@ -127,9 +127,10 @@
 	return s.decode(c.view, name, raw, modRevision)
 }
 
-// sortChanges orders the changes of one revision: jobs first, since bindings and completions
-// need them, then a group that takes over another's machines, in a merge or a split, before the
-// other's new record or its deletion: otherwise they would be missing in between.
+// sortChanges sorts changes by revision. Within a revision, jobs come first, since bindings and
+// completions refer to them; then new groups, other records, and deletions. So a group that takes
+// over machines, in a merge or a split, precedes the other group's new record or its deletion:
+// otherwise the machines would be missing in between.
 func (c *Cache) sortChanges(changes []Change) {
 	rank := func(change *Change) int {
 		switch {
