--- a/internal/statecache/group_affixes.go
+++ b/internal/statecache/group_affixes.go
@@ -2,13 +2,13 @@
 
 import "strings"
 
-// affixes is what the names, addresses and fencing tokens of a group's machines have in common.
-// It stands once in the record.
+// affixes holds what the names, addresses and fencing tokens of a group's machines have in
+// common. A record stores it once for all machines.
 type affixes struct {
 	Name      string `json:"name,omitempty"` // prefix
 	Address   string `json:"addr,omitempty"` // prefix
 	Port      string `json:"port,omitempty"` // suffix of the addresses
-	TokenBase uint64 `json:"base,omitempty"` // tokens are written as their distance from it
+	TokenBase uint64 `json:"base,omitempty"` // tokens are stored as offsets from it
 }
 
 // commonAffixes returns the affixes of machines.
@@ -26,11 +26,11 @@
 			hasAddress = true
 		}
 	}
-	a.TokenBase = a.TokenBase >> termShift << termShift // or it would change with every write
+	a.TokenBase = a.TokenBase >> termShift << termShift // first token of the term; the lowest one would change with every write
 	return a
 }
 
-// addAddress reduces the affixes to what an address has in common with the former ones.
+// addAddress reduces the affixes to what an address has in common with the previous ones.
 func (a *affixes) addAddress(address string, isFirst bool) {
 	host, port, found := strings.Cut(address, ":")
 	if found {
--- a/internal/statecache/group_codec.go
+++ b/internal/statecache/group_codec.go
@@ -7,10 +7,10 @@
 	"lynxledge/wire"
 )
 
-// groupLayoutVersion marks records of this layout; others are refused.
+// groupLayoutVersion is stored in every record; records of another layout are rejected.
 const groupLayoutVersion = 2
 
-// groupDocument is the stored form of a group.
+// groupDocument is the stored form of a machine group.
 type groupDocument struct {
 	Layout        int               `json:"v"`
 	Affixes       affixes           `json:"same"`
@@ -42,8 +42,8 @@
 	return json.Marshal(document)
 }
 
-// encodeMachines encodes the entries of the machines. Those that the record had which the group
-// was decoded from are reused if the affixes are the same.
+// encodeMachines encodes the entries of the machines. Entries that are unchanged since the group
+// was decoded are reused if the affixes are the same.
 func (g *MachineGroup) encodeMachines(a affixes) []string {
 	entries := make([]string, len(g.Machines))
 	for i, m := range g.Machines {
@@ -54,9 +54,9 @@
 	return entries
 }
 
-// decodeGroup decodes a record. Machines whose entries are the same in the group's former record,
-// which may be nil, are shared with it: what changed can be told by comparing pointers.
-func decodeGroup(name string, raw json.RawMessage, modRevision uint64, former *MachineGroup) (*MachineGroup, error) {
+// decodeGroup decodes a record. Machines whose entries are the same in the group's previous
+// record, which may be nil, are shared with it, so that comparing pointers shows what changed.
+func decodeGroup(name string, raw json.RawMessage, modRevision uint64, previous *MachineGroup) (*MachineGroup, error) {
 	var document groupDocument
 	if err := json.Unmarshal(raw, &document); err != nil {
 		return nil, err
@@ -68,10 +68,10 @@
 		Name: name, MachineType: document.MachineType, Zone: document.Zone, Spot: document.Spot,
 		ProvisionedAt: document.ProvisionedAt, ModRevision: modRevision, affixes: document.Affixes,
 	}
-	if former != nil && !g.sharesAttributes(former) {
-		former = nil
+	if previous != nil && !g.sharesAttributes(previous) {
+		previous = nil
 	}
-	if err := g.decodeMachines(document.Machines, former); err != nil {
+	if err := g.decodeMachines(document.Machines, previous); err != nil {
 		return nil, err
 	}
 	if err := g.decodeCompletions(document.Completions); err != nil {
@@ -87,20 +87,20 @@
 	return g, nil
 }
 
-// sharesAttributes tells whether all that machines take from their group is the same in another
-// record.
+// sharesAttributes reports whether all that machines take from their group, the affixes and the
+// attributes copied to each machine, is the same in another record.
 func (g *MachineGroup) sharesAttributes(other *MachineGroup) bool {
 	return other.affixes == g.affixes && other.MachineType == g.MachineType && other.Zone == g.Zone &&
 		other.Spot == g.Spot && other.ProvisionedAt == g.ProvisionedAt
 }
 
-// decodeMachines decodes the entries of the machines, except those that the former record has.
-// Both are sorted by name.
-func (g *MachineGroup) decodeMachines(entries []string, former *MachineGroup) error {
+// decodeMachines decodes the entries of the machines, and reuses the machines of the previous
+// record whose entries are equal. Both records are sorted by name.
+func (g *MachineGroup) decodeMachines(entries []string, previous *MachineGroup) error {
 	g.Machines = make([]*Machine, len(entries))
 	var known []*Machine
-	if former != nil {
-		known = former.Machines
+	if previous != nil {
+		known = previous.Machines
 	}
 	for i, entry := range entries {
 		suffix, _, _ := strings.Cut(entry, " ")
--- a/internal/statecache/group_size.go
+++ b/internal/statecache/group_size.go
@@ -2,20 +2,21 @@
 
 import "lynxledge/wire"
 
-// Bytes that parts of a group's record take at most.
+// Sizes of parts of a group's record, in bytes: upper bounds unless called typical.
 const (
-	groupOverheadBytes      = 160 // besides machines, completions and names
-	pendingAddressBytes     = 24  // an address that is to come
-	machineOverheadBytes    = 30  // a machine without bindings, as a rule
-	bindingOverheadBytes    = 8   // a binding, besides its job's ID
-	completionOverheadBytes = 8   // a job's completed tasks, besides their indexes and the job's ID
+	groupOverheadBytes      = 160 // all but machines, completions and names
+	pendingAddressBytes     = 24  // the address of a machine that has none yet
+	machineOverheadBytes    = 30  // typical machine without bindings
+	bindingOverheadBytes    = 8   // typical binding, without its job's ID
+	completionOverheadBytes = 8   // a job's completed tasks, without their indexes and the job's ID
 	entrySeparatorBytes     = 3   // quotes and a comma
 )
 
-// BindingBytes returns what a binding adds to a record.
+// BindingBytes returns the number of bytes that a binding typically adds to a record.
 func BindingBytes(job wire.JobID) int { return len(job) + bindingOverheadBytes }
 
-// RetainedSize is at most what the record will take once its terminations are gone.
+// RetainedSize returns an upper bound on the size of the record in bytes without its
+// terminations, which the group's next update drops.
 func (g *MachineGroup) RetainedSize() int {
 	a := commonAffixes(g.Machines)
 	n := groupOverheadBytes + len(g.MachineType) + len(g.Zone) + len(a.Name) + len(a.Address) + len(a.Port)
@@ -28,7 +29,7 @@
 	return n
 }
 
-// EncodedSize is at most the record's size in bytes.
+// EncodedSize returns an upper bound on the size of the record in bytes.
 func (g *MachineGroup) EncodedSize() int {
 	n := g.RetainedSize()
 	for i := range g.Terminations {
@@ -37,7 +38,8 @@
 	return n
 }
 
-// entryBytes is at most what the machine's entry takes of a record, now and with an address.
+// entryBytes returns an upper bound on the size of the machine's entry in a record, also after
+// the machine has got its address.
 func (m *Machine) entryBytes(entry string) int {
 	if m.Address == "" {
 		return len(entry) + entrySeparatorBytes + pendingAddressBytes
@@ -45,13 +47,13 @@
 	return len(entry) + entrySeparatorBytes
 }
 
-// completionBytes is at most what completed tasks of a job take of a record.
+// completionBytes returns an upper bound on the size of a job's completed tasks in a record.
 func completionBytes(job wire.JobID, tasks []int) int {
 	return len(job) + completionOverheadBytes + len(encodeCompletions(tasks))
 }
 
-// MachinesPerGroup returns how many machines a group may begin with so that its record stays
-// within limit bytes when each holds some tasks.
+// MachinesPerGroup returns how many machines a new group may have so that its record stays within
+// limit bytes when each machine holds tasksPerMachine tasks.
 func MachinesPerGroup(limit int, tasksPerMachine float64) int {
 	each := machineOverheadBytes + tasksPerMachine*(float64(len(jobPrefix))+6+bindingOverheadBytes)
 	return max(1, int(float64(limit-groupOverheadBytes)/each))
--- a/internal/statecache/group_split.go
+++ b/internal/statecache/group_split.go
@@ -8,37 +8,37 @@
 	"lynxledge/wire"
 )
 
-// ErrTooManyParts says that a record can't be split into as few records as are allowed.
+// ErrTooManyParts reports that a split would need more new records than are allowed.
 var ErrTooManyParts = errors.New("the record needs more parts than the transaction has room for")
 
 const (
 	splitPrefix = "s."
-	// completionsPerPart is how many completed tasks of one job are moved together.
-	completionsPerPart = 32
+	// completionsPerMove is how many completed tasks of one job are moved together.
+	completionsPerMove = 32
 
-	// New records are filled to splitFill of the limit, so that they can grow. Where that takes
-	// too many of them, they are filled further, in steps.
+	// Records are filled to the share splitFill of the limit, so that they can grow. If that
+	// takes too many new records, the share is raised in steps of splitFillStep.
 	splitFill     = 0.7
 	splitFillStep = 0.1
 )
 
-// MaxSplitParts returns how many new records a split of a record of this size takes at most.
+// MaxSplitParts returns how many new records to allow for the split of a record of this size.
 func MaxSplitParts(size, limit int) int {
-	fill := int(splitFill * float64(limit))
-	return (size + fill - 1) / fill
+	partBytes := int(splitFill * float64(limit))
+	return (size + partBytes - 1) / partBytes
 }
 
-// Split makes the group fit into values of limit bytes: what does not fit is moved to new
-// groups, at most maxParts, which it returns. The group keeps its key and the rest. Nothing
-// changes if that can't be done.
+// Split makes the group's record fit into limit bytes. It moves what does not fit to new groups,
+// at most maxParts, and returns them; the group keeps its key and the rest. If more would be
+// needed, it fails with ErrTooManyParts and the group does not change.
 //
-// The caller commits all records in one transaction that is conditional on every assignment
-// (AssignmentRevisions, RequireAssignments): a controller that teams are assigned to later has
-// seen the machines move, so it misses nothing that is bound to them.
+// The caller must commit all records in one transaction that is conditional on every assignment
+// (AssignmentRevisions, RequireAssignments): a controller to which teams are assigned later has
+// then seen the machines move, so it misses no task that is bound to them.
 func (u *GroupUpdate) Split(limit, maxParts int) ([]*GroupUpdate, error) {
 	for fill := splitFill; ; fill += splitFillStep {
 		rest := *u
-		parts := rest.splitToFill(int(min(fill, 1) * float64(limit)))
+		parts := rest.splitToSize(int(min(fill, 1) * float64(limit)))
 		if len(parts) <= maxParts {
 			*u = rest
 			return parts, nil
@@ -49,8 +49,8 @@
 	}
 }
 
-// AddSplitTo adds the group's new record and its parts, as Split returned them, to a commit.
-// Views apply new groups first, so no machine is missing in between.
+// AddSplitTo adds the group's new record, and the parts that Split returned, to a commit. Views
+// apply new groups first, so that no machine is missing in between.
 func (u *GroupUpdate) AddSplitTo(c *Commit, parts []*GroupUpdate) {
 	for _, part := range parts {
 		part.AddTo(c)
@@ -58,40 +58,41 @@
 	u.AddTo(c)
 }
 
-// splitToFill moves what is beyond fill bytes to new groups, none of them larger than that,
-// unless a single machine is. Machines and completions stay as they are.
-func (u *GroupUpdate) splitToFill(fill int) []*GroupUpdate {
+// splitToSize moves what exceeds maxBytes to new groups. No record is larger than that unless it
+// holds a single machine or the completions of a single move. Machines and completions are
+// copied, not modified.
+func (u *GroupUpdate) splitToSize(maxBytes int) []*GroupUpdate {
 	machines, completions := u.Machines, u.Completions
-	split := newGroupSplit(u, fill)
+	split := newGroupSplit(u, maxBytes)
 	u.Machines, u.Completions = nil, map[wire.JobID][]int{}
 
 	whole := MachineGroup{Machines: machines, affixes: u.affixes}
 	for i, entry := range whole.encodeMachines(commonAffixes(machines)) {
 		part := split.partWithRoom(machines[i].entryBytes(entry))
 		moved := *machines[i]
-		moved.encoded = "" // with other affixes
+		moved.encoded = "" // the affixes may differ
 		part.Machines = append(part.Machines, &moved)
 	}
 	for job, tasks := range completions {
-		for some := range slices.Chunk(tasks, completionsPerPart) {
-			part := split.partWithRoom(completionBytes(job, some))
-			part.Completions[job] = append(part.Completions[job], some...)
+		for moved := range slices.Chunk(tasks, completionsPerMove) {
+			part := split.partWithRoom(completionBytes(job, moved))
+			part.Completions[job] = append(part.Completions[job], moved...)
 		}
 	}
 	return split.parts[1:]
 }
 
-// groupSplit distributes the contents of a group over itself and new groups.
+// groupSplit distributes the contents of a group among itself and new groups.
 type groupSplit struct {
 	group        *GroupUpdate
-	firstMachine string // a machine that only this group had
-	maxBytes     int
-	emptyBytes   int // of a record without machines and completions
+	firstMachine string // name of a machine that only this group had
+	maxBytes     int    // of a record
+	emptyBytes   int    // of a record without machines and completions
 	parts        []*GroupUpdate
-	sizes        []int // of the parts' records, at most
+	sizes        []int // upper bounds on the sizes of the parts' records
 }
 
-func newGroupSplit(u *GroupUpdate, fill int) *groupSplit {
+func newGroupSplit(u *GroupUpdate, maxBytes int) *groupSplit {
 	affixBytes := 0
 	for _, m := range u.Machines {
 		affixBytes = max(affixBytes, len(m.Name)+len(m.Address))
@@ -102,12 +103,13 @@
 	}
 	empty := groupOverheadBytes + len(u.MachineType) + len(u.Zone) + affixBytes
 	return &groupSplit{
-		group: u, firstMachine: firstMachine, maxBytes: fill, emptyBytes: empty,
+		group: u, firstMachine: firstMachine, maxBytes: maxBytes, emptyBytes: empty,
 		parts: []*GroupUpdate{u}, sizes: []int{empty},
 	}
 }
 
-// partWithRoom returns the first part with room for so many bytes, or a new one.
+// partWithRoom returns the first part that has room for size bytes or is empty, or a new part, and
+// adds the size to the part's.
 func (s *groupSplit) partWithRoom(size int) *GroupUpdate {
 	for i := range s.parts {
 		if s.sizes[i]+size <= s.maxBytes || s.sizes[i] == s.emptyBytes {
@@ -121,8 +123,8 @@
 	return part
 }
 
-// newPart returns an empty group. Its name was never used before: it has the revision of the
-// record that is split, and a machine that only that record had then.
+// newPart returns an empty group. Its name has never been used before: it contains the revision
+// of the record that is split, and a machine that only that record had at that revision.
 func (s *groupSplit) newPart() *GroupUpdate {
 	group := MachineGroup{
 		Name:          fmt.Sprintf("%s%d.%d.%s", splitPrefix, s.group.ModRevision, len(s.parts), s.firstMachine),
--- a/internal/statecache/group_split_test.go
+++ b/internal/statecache/group_split_test.go
@@ -22,7 +22,7 @@
 		g.ModRevision, g.Terminations = 9, nil
 		fill := rapid.IntRange(300, 1500).Draw(t, "fill")
 		update := &GroupUpdate{MachineGroup: *g, updated: map[wire.MachineID]*Machine{}}
-		parts := append([]*GroupUpdate{update}, update.splitToFill(fill)...)
+		parts := append([]*GroupUpdate{update}, update.splitToSize(fill)...)
 		machines, completions := map[wire.MachineID]*Machine{}, map[wire.JobID][]int{}
 		checkPartSizes(t, parts, fill)
 		for _, part := range parts {
@@ -64,7 +64,7 @@
 		}
 		pieces := len(part.Machines)
 		for _, tasks := range part.Completions {
-			pieces += (len(tasks) + completionsPerPart - 1) / completionsPerPart
+			pieces += (len(tasks) + completionsPerMove - 1) / completionsPerMove
 		}
 		if part.RetainedSize() > fill && pieces > 1 {
 			t.Fatalf("%d bytes of %d in a record of %d pieces", part.RetainedSize(), fill, pieces)
@@ -134,7 +134,7 @@
 		cache.publish([]Change{put(whole, 4)})
 		update := cache.view.UpdateGroup("g")
 		changes := []Change{}
-		for _, part := range update.splitToFill(300) {
+		for _, part := range update.splitToSize(300) {
 			changes = append(changes, put(&part.MachineGroup, 5))
 		}
 		if changes = append(changes, put(&update.MachineGroup, 5)); len(changes) < 2 {
--- a/internal/statecache/group_update.go
+++ b/internal/statecache/group_update.go
@@ -11,18 +11,18 @@
 type GroupUpdate struct {
 	MachineGroup
 	term    uint64
-	updated map[wire.MachineID]*Machine // entries that differ from the former record
+	updated map[wire.MachineID]*Machine // entries that UpdateMachine has replaced
 }
 
-// UpdateGroup begins the next record of a group: without the terminations of the former one, and
-// without the completions of jobs that have ended.
+// UpdateGroup begins the next record of a group, which must exist: a copy without the previous
+// terminations and without the completions of jobs that have ended.
 func (v *View) UpdateGroup(name string) *GroupUpdate {
-	former := v.Groups[name]
-	u := &GroupUpdate{MachineGroup: *former, term: v.CurrentTerm(), updated: map[wire.MachineID]*Machine{}}
-	u.Machines = slices.Clone(former.Machines)
+	previous := v.Groups[name]
+	u := &GroupUpdate{MachineGroup: *previous, term: v.CurrentTerm(), updated: map[wire.MachineID]*Machine{}}
+	u.Machines = slices.Clone(previous.Machines)
 	u.Terminations = nil
-	u.Completions = make(map[wire.JobID][]int, len(former.Completions))
-	for job, tasks := range former.Completions {
+	u.Completions = make(map[wire.JobID][]int, len(previous.Completions))
+	for job, tasks := range previous.Completions {
 		if v.Active(job) {
 			u.Completions[job] = tasks
 		}
@@ -30,8 +30,8 @@
 	return u
 }
 
-// UpdateMachine returns a machine's entry to be changed, with a higher fencing token than before;
-// nil if the group does not have the machine.
+// UpdateMachine returns the entry of a machine for the new record, with a higher fencing token than
+// before, for the caller to modify; nil if the group does not have the machine.
 func (u *GroupUpdate) UpdateMachine(machine wire.MachineID) *Machine {
 	if next := u.updated[machine]; next != nil {
 		return next
@@ -54,28 +54,28 @@
 
 const adoptedGroupPrefix = "a."
 
-// AdoptedGroupName returns the name of the group of a machine that was found, not provisioned. A
-// late copy of the commit that created the group must find it still there: only what is
-// provisioned is conditional on an intent besides, so an adopted machine's group is not merged
-// into another.
+// AdoptedGroupName returns the name of the group of an adopted machine, one that was found running
+// without a record. Such a group must not be merged into another: a delayed copy of the commit
+// that created it must fail because the key still exists. The commit that creates a group of
+// provisioned machines is conditional on their provisioning intent as well.
 func AdoptedGroupName(machine wire.MachineID) string { return adoptedGroupPrefix + string(machine) }
 
-// MustKeepKey tells whether the group must keep its key while it has machines.
+// MustKeepKey reports whether the group must keep its key while it has machines.
 func (u *GroupUpdate) MustKeepKey() bool { return strings.HasPrefix(u.Name, adoptedGroupPrefix) }
 
-// AllMachinesStarted tells whether all machines of the group have been up: from then on nothing
-// but the billing of idle ones depends on when they were provisioned.
+// AllMachinesStarted reports whether all machines of the group have sent a heartbeat. From then on
+// only the billing of idle machines depends on ProvisionedAt.
 func (u *GroupUpdate) AllMachinesStarted() bool {
 	return !slices.ContainsFunc(u.Machines, func(m *Machine) bool { return m.Incarnation == 0 })
 }
 
-// Merge takes over the contents of another group of the same pool, which the same commit is to
-// delete. Every group costs writes of its own, and replacements of lost machines would stay in
-// groups of one.
+// Merge adds the contents of another group of the same pool, which the same commit must delete.
+// Every group costs writes of its own, and replacements of lost machines would stay in groups of
+// one machine.
 func (u *GroupUpdate) Merge(other *GroupUpdate) {
 	for _, m := range other.Machines {
 		moved := *m
-		moved.encoded = "" // with other affixes
+		moved.encoded = "" // the affixes may differ
 		i, _ := u.machineIndex(moved.Name)
 		u.Machines = slices.Insert(u.Machines, i, &moved)
 	}
@@ -114,11 +114,12 @@
 	return size <= limit
 }
 
-// Empty tells whether nothing is left that has to be kept.
+// Empty reports whether the group has neither machines nor completions, so that its record need
+// not be kept.
 func (u *GroupUpdate) Empty() bool { return len(u.Machines) == 0 && len(u.Completions) == 0 }
 
 // AddTo adds the group's new record to a commit, or its deletion if it is empty, conditional on
-// the former record.
+// the previous record.
 func (u *GroupUpdate) AddTo(c *Commit) {
 	if u.Empty() {
 		u.AddDeletionTo(c)
@@ -127,12 +128,12 @@
 	c.Puts = append(c.Puts, Put{Key: u.addPreconditionTo(c), Record: &u.MachineGroup})
 }
 
-// AddDeletionTo adds the deletion of the group to a commit, conditional on the former record.
+// AddDeletionTo adds the deletion of the group to a commit, conditional on the previous record.
 func (u *GroupUpdate) AddDeletionTo(c *Commit) {
 	c.Deletes = append(c.Deletes, u.addPreconditionTo(c))
 }
 
-// addPreconditionTo makes a commit conditional on the former record, and returns its key.
+// addPreconditionTo makes a commit conditional on the previous record, and returns its key.
 func (u *GroupUpdate) addPreconditionTo(c *Commit) string {
 	key := Key(KindMachineGroup, u.Name)
 	c.Preconditions = append(c.Preconditions, wire.Precondition{Key: key, ModRevision: u.ModRevision})
--- a/internal/statecache/machine.go
+++ b/internal/statecache/machine.go
@@ -2,8 +2,8 @@
 
 import "lynxledge/wire"
 
-// Machine is one machine of a group, with the tasks that are bound to it. It is never written
-// to once it is part of a record.
+// Machine is one machine of a group, with the tasks that are bound to it. It must not be modified
+// once it is part of a record.
 type Machine struct {
 	Name          wire.MachineID
 	Group         string
@@ -15,23 +15,23 @@
 	Incarnation   uint64 // 0: the worker has never sent a heartbeat
 	FencingToken  uint64
 	Bindings      []TaskBinding
-	DrainReason   string // why nothing more may be bound to it
+	DrainReason   string // why no more tasks may be bound to it; empty: it is not drained
 	Terminating   bool
-	// Suspected: the leader gets no heartbeats of the machine, or the machine gets no replies.
-	// A heartbeat that has seen this record's fencing token clears it; a machine is terminated
-	// as unreachable only while it is suspected.
+	// Suspected: the leader receives no heartbeats from the machine, or the machine receives no
+	// replies. A heartbeat of a worker that has seen this record's fencing token clears it; a
+	// machine is terminated as unreachable only while it is suspected.
 	Suspected bool
 
-	encoded string // as the record has it
+	encoded string // the entry that the machine was decoded from; empty if it has to be encoded
 }
 
-// Drain reasons that others than the autoscaler depend on.
+// Drain reasons that packages other than the autoscaler depend on.
 const (
-	DrainFailed      = "failed" // the cloud says so
-	DrainUnreachable = "silent" // no heartbeats come, and it answers no probe
+	DrainFailed      = "failed" // the cloud reports the machine as failed
+	DrainUnreachable = "silent" // the machine sends no heartbeats and answers no probe
 )
 
-// Schedulable tells whether tasks may be bound to the machine.
+// Schedulable reports whether tasks may be bound to the machine.
 func (m *Machine) Schedulable() bool {
 	return m.Incarnation > 0 && m.DrainReason == "" && !m.Terminating && !m.Suspected
 }
@@ -55,8 +55,8 @@
 	return &next
 }
 
-// UnboundTasks returns the bindings of a machine's entry that its next one lacks. Either may be
-// nil.
+// UnboundTasks returns the bindings in a machine's old entry that are missing from its next one.
+// Either may be nil.
 func UnboundTasks(old, next *Machine) []*TaskBinding {
 	var unbound []*TaskBinding
 	if old == nil {
@@ -75,8 +75,8 @@
 	Job       wire.JobID
 	TaskIndex int
 	Attempt   uint64
-	// StopToken is the fencing token of the record that first had the task stopped; 0 while it
-	// is to run. No launch of this attempt has a token of StopToken or more.
+	// StopToken is the fencing token of the record that first requested the task's stop; 0 while
+	// it is to run. All launches of this attempt have lower tokens.
 	StopToken uint64
 	// GraceSeconds is the time that the task has to save its progress before it is stopped.
 	GraceSeconds int
--- a/internal/statecache/machine_codec.go
+++ b/internal/statecache/machine_codec.go
@@ -8,11 +8,11 @@
 	"lynxledge/wire"
 )
 
-// jobPrefix is what all job IDs begin with. Entries leave it out.
+// jobPrefix is the prefix of all job IDs. Stored entries omit it.
 const jobPrefix = "req-"
 
-// none stands for a field without a value.
-const none = "-"
+// emptyField stands for a field without a value.
+const emptyField = "-"
 
 // Flags of a machine's entry.
 const (
@@ -23,15 +23,15 @@
 // machineFields is the number of fields of an entry before its bindings.
 const machineFields = 5
 
-// encode encodes the machine's entry in its group's record, without what the affixes say: name,
-// address, incarnation, fencing token, flags and drain reason, and the bindings. Tokens are
-// written in base 36.
+// encode encodes the machine's entry in its group's record: name, address, incarnation, fencing
+// token, flags and drain reason, and the bindings, separated by spaces. It omits what the affixes
+// hold. Tokens are written in base 36.
 func (m *Machine) encode(a affixes) string {
 	s := make([]byte, 0, 64+24*len(m.Bindings))
 	s = append(s, string(m.Name)[len(a.Name):]...)
 	s = append(s, ' ')
 	if m.Address == "" {
-		s = append(s, none...)
+		s = append(s, emptyField...)
 	} else {
 		s = append(s, m.Address[len(a.Address):len(m.Address)-len(a.Port)]...)
 	}
@@ -50,7 +50,7 @@
 
 // appendStatus appends the flags and the drain reason.
 func (m *Machine) appendStatus(s []byte) []byte {
-	empty := len(s)
+	start := len(s)
 	if m.Suspected {
 		s = append(s, suspectedFlag)
 	}
@@ -61,14 +61,14 @@
 		s = append(s, ':')
 		s = append(s, strings.ReplaceAll(m.DrainReason, " ", "-")...)
 	}
-	if len(s) == empty {
-		s = append(s, none...)
+	if len(s) == start {
+		s = append(s, emptyField...)
 	}
 	return s
 }
 
-// appendTo appends the binding: its task, its attempt, and its stop if it has one. Attempt and
-// stop token are written as their distance from the machine's token.
+// appendTo appends the binding: its task, its attempt, and if it is to be stopped, its stop token
+// and grace period. Attempt and stop token are written as their distance from the machine's token.
 func (b *TaskBinding) appendTo(s []byte, machineToken uint64) []byte {
 	s = append(s, string(b.Job)[len(jobPrefix):]...)
 	s = append(s, '/')
@@ -91,7 +91,7 @@
 		return nil, malformed("machine", entry, nil)
 	}
 	m := &Machine{Name: wire.MachineID(a.Name + fields[0]), encoded: entry}
-	if fields[1] != none {
+	if fields[1] != emptyField {
 		m.Address = a.Address + fields[1] + a.Port
 	}
 	var err, tokenErr error
@@ -101,7 +101,7 @@
 		return nil, malformed("machine", entry, err)
 	}
 	m.FencingToken += a.TokenBase
-	if fields[4] != none {
+	if fields[4] != emptyField {
 		flags, drain, _ := strings.Cut(fields[4], ":")
 		m.Suspected, m.Terminating, m.DrainReason = strings.ContainsRune(flags, suspectedFlag), strings.ContainsRune(flags, terminatingFlag), drain
 	}
--- a/internal/statecache/machine_group.go
+++ b/internal/statecache/machine_group.go
@@ -2,8 +2,8 @@
 
 import "lynxledge/wire"
 
-// MachineGroup is the record of machines that were provisioned together. One write holds all
-// that starts and ends on them at about the same time, so the rate of writes does not grow
+// MachineGroup is the record of machines that were provisioned together. One write covers all
+// tasks that start or end on them at about the same time, so that the write rate does not grow
 // with the number of tasks.
 type MachineGroup struct {
 	Name          string
@@ -15,7 +15,7 @@
 	// Completions are the completed tasks of active jobs, until they are compacted into
 	// completion chunks.
 	Completions  map[wire.JobID][]int
-	Terminations []Termination // of the tasks that this write unbinds
+	Terminations []Termination // of the tasks that this version of the record unbinds
 	ModRevision  uint64
 
 	affixes affixes // of the record that the group was decoded from
@@ -41,7 +41,7 @@
 	return g
 }
 
-// Termination says why a task's binding to a machine ended.
+// Termination records why a task's binding to a machine ended.
 type Termination struct {
 	Machine   wire.MachineID
 	Job       wire.JobID
@@ -53,7 +53,7 @@
 // TaskID returns the task's ID.
 func (t *Termination) TaskID() wire.TaskID { return wire.NewTaskID(t.Job, t.TaskIndex) }
 
-// Reasons of terminations besides those that workers give.
+// Reasons of terminations other than those that workers report.
 const (
 	ReasonIncarnationEnded wire.ExitReason = "session_lost"
 	ReasonNeverStarted     wire.ExitReason = "never_started"
--- a/internal/statecache/termination_codec.go
+++ b/internal/statecache/termination_codec.go
@@ -7,12 +7,12 @@
 	"lynxledge/wire"
 )
 
-// TerminationBytes returns what a termination adds to a record.
+// TerminationBytes returns the number of bytes that a termination adds to a record.
 func TerminationBytes(t *Termination) int { return len(encodeTermination(t)) + entrySeparatorBytes }
 
 // encodeTermination encodes machine, task, reason, and the runtime in seconds if it is known.
 func encodeTermination(t *Termination) string {
-	reason := strings.ReplaceAll(string(t.Reason), " ", "-") // a worker's word, perhaps an unknown one
+	reason := strings.ReplaceAll(string(t.Reason), " ", "-") // workers may report reasons that this version does not know
 	s := string(t.Machine) + " " + string(t.Job)[len(jobPrefix):] + "/" + strconv.Itoa(t.TaskIndex) + " " + reason
 	if t.Runtime > 0 {
 		s += " " + strconv.FormatFloat(float64(t.Runtime), 'f', 1, 64)
--- a/internal/statecache/view.go
+++ b/internal/statecache/view.go
@@ -2,11 +2,11 @@
 
 import "lynxledge/wire"
 
-// MaxViewAgeHeartbeats is the age, in heartbeat intervals, beyond which a view is too old for an
-// actor to decide anything by it.
+// MaxViewAgeHeartbeats is the age, in heartbeat intervals, above which a view is too old for an
+// actor to base decisions on it.
 const MaxViewAgeHeartbeats = 2
 
-// View is what an actor knows of the store's records. Every actor owns one and applies the
+// View holds the store's records as an actor knows them. Every actor owns one and applies the
 // cache's updates to it.
 type View struct {
 	JobTable
@@ -20,17 +20,17 @@
 	return &View{JobTable: newJobTable(chunkTasks), MachineTable: newMachineTable(), Membership: newMembership()}
 }
 
-// NewUnfinishedView returns an empty view for an actor that has no use for jobs once they are
-// done: there may be any number of them.
+// NewUnfinishedView returns an empty view that drops jobs once they are done, for actors that
+// don't need them: their number is unbounded.
 func NewUnfinishedView(chunkTasks int) *View {
 	v := NewView(chunkTasks)
 	v.unfinishedOnly = true
 	return v
 }
 
-// Apply applies one change, and returns the machines that it changes. Jobs must come before
-// their bindings and completions, and of one revision puts before deletions: a group may
-// take over the machines of another.
+// Apply applies one change, and returns the resulting changes of machines. Jobs must be applied
+// before their bindings and completions, and within a revision, puts before deletions: a group
+// may take over the machines of another.
 func (v *View) Apply(c Change) []MachineChange {
 	if s := schemas[c.Kind]; s != nil {
 		return s.apply(v, c.Name, c.Record)
@@ -38,7 +38,7 @@
 	return nil
 }
 
-// modRevisionOf returns the revision of the last change of a record, 0 when there is none.
+// modRevisionOf returns the revision of the last change of a record, or 0 if there is none.
 func (v *View) modRevisionOf(kind Kind, name string) uint64 {
 	if s := schemas[kind]; s != nil {
 		if record := s.find(v, name); record != nil {
@@ -59,10 +59,10 @@
 	return changes
 }
 
-// groupReplaced makes the machines and completions follow a group's new record; nil: there is
-// none. It returns the machines that changed.
-func (v *View) groupReplaced(former, next *MachineGroup) []MachineChange {
-	changes := v.replaceMachines(former, next)
+// groupReplaced updates the view's machines and completions after the record of a group was
+// replaced. Either record may be nil. It returns the changes of machines.
+func (v *View) groupReplaced(previous, next *MachineGroup) []MachineChange {
+	changes := v.replaceMachines(previous, next)
 	if next == nil {
 		return changes
 	}
--- a/internal/statecache/view_jobs.go
+++ b/internal/statecache/view_jobs.go
@@ -2,7 +2,7 @@
 
 import "lynxledge/wire"
 
-// JobTable is the part of a view that knows jobs and their completed tasks.
+// JobTable is the part of a view that holds jobs and their completed tasks.
 type JobTable struct {
 	Jobs             map[wire.JobID]*Job
 	CompletionChunks map[wire.JobID]map[CompletionChunkID]*CompletionChunk
@@ -34,13 +34,13 @@
 	}
 }
 
-// Active tells whether a job is known and has not ended.
+// Active reports whether a job is known and has not ended.
 func (t *JobTable) Active(job wire.JobID) bool {
 	j := t.Jobs[job]
 	return j != nil && j.Active()
 }
 
-// jobReplaced drops what is not kept of a job that has ended.
+// jobReplaced drops what the view does not keep of a job that has ended.
 func (t *JobTable) jobReplaced(id wire.JobID) {
 	j := t.Jobs[id]
 	if j == nil || !j.Active() {
@@ -51,7 +51,8 @@
 	}
 }
 
-// completionsOf returns the set of a job's completed tasks, or nil if the job has ended.
+// completionsOf returns the set of a job's completed tasks, or nil if the job is unknown or has
+// ended.
 func (t *JobTable) completionsOf(job wire.JobID) *completionSet {
 	if !t.Active(job) {
 		return nil
@@ -89,18 +90,19 @@
 	}
 }
 
-// CompletionChunkOf returns the chunk that holds a task, and the task's bit in it.
+// CompletionChunkOf returns the number of the chunk that holds a task, and the task's bit in it.
 func (t *JobTable) CompletionChunkOf(task int) (chunk, bit int) {
 	return task / t.chunkTasks, task % t.chunkTasks
 }
 
-// IsCompleted tells whether a task has completed. Nothing is known of jobs that have ended.
+// IsCompleted reports whether a task of an active job has completed. It returns false for jobs
+// that have ended.
 func (t *JobTable) IsCompleted(job wire.JobID, task int) bool {
 	set := t.completions[job]
 	return set != nil && set.bits.Has(task)
 }
 
-// CompletedCount returns the number of completed tasks of an active job.
+// CompletedCount returns the number of completed tasks of an active job, and 0 for other jobs.
 func (t *JobTable) CompletedCount(job wire.JobID) int {
 	if set := t.completions[job]; set != nil {
 		return set.count
@@ -108,7 +110,7 @@
 	return 0
 }
 
-// AllTasksCompleted tells whether all tasks of a job have completed while its record still
+// AllTasksCompleted reports whether all tasks of a job have completed although its record still
 // says that it is active.
 func (t *JobTable) AllTasksCompleted(job wire.JobID) bool {
 	return t.Active(job) && t.CompletedCount(job) >= t.Jobs[job].TaskCount
--- a/internal/statecache/view_machines.go
+++ b/internal/statecache/view_machines.go
@@ -2,8 +2,8 @@
 
 import "lynxledge/wire"
 
-// MachineTable is the part of a view that knows machine groups, their machines with the tasks
-// that are bound to them, and machines that are being provisioned.
+// MachineTable is the part of a view that holds machine groups, their machines with the tasks
+// bound to them, and the intents to provision machines.
 type MachineTable struct {
 	Groups              map[string]*MachineGroup
 	Machines            map[wire.MachineID]*Machine
@@ -20,16 +20,16 @@
 	}
 }
 
-// MachineChange is what the change of a group means for one machine.
+// MachineChange is the change of one machine that results from the change of a group.
 type MachineChange struct {
 	Machine  wire.MachineID
-	Old, New *Machine // nil: there is none
+	Old, New *Machine // Old is nil if the machine is new, New if it was removed
 }
 
-// replaceMachines replaces the machines of a group's former record with those of its next one,
+// replaceMachines replaces the machines of a group's previous record with those of its next one,
 // either of which may be nil, and returns what changed.
-func (t *MachineTable) replaceMachines(former, next *MachineGroup) []MachineChange {
-	changes := t.compareGroups(former, next)
+func (t *MachineTable) replaceMachines(previous, next *MachineGroup) []MachineChange {
+	changes := t.compareGroups(previous, next)
 	for _, c := range changes {
 		t.unbindTasks(c.Machine, c.Old)
 		if c.New == nil {
@@ -42,13 +42,13 @@
 	return changes
 }
 
-// compareGroups returns the machines whose entries differ between two records of a group. Both
-// list them by name, and share the entries that are equal.
-func (t *MachineTable) compareGroups(former, next *MachineGroup) []MachineChange {
+// compareGroups returns the machines that differ between two records of a group. Both records are
+// sorted by machine name, and share the machines whose entries are equal.
+func (t *MachineTable) compareGroups(previous, next *MachineGroup) []MachineChange {
 	var changes []MachineChange
 	var before, after []*Machine
-	if former != nil {
-		before = former.Machines
+	if previous != nil {
+		before = previous.Machines
 	}
 	if next != nil {
 		after = next.Machines
@@ -56,7 +56,7 @@
 	for len(before) > 0 || len(after) > 0 {
 		switch {
 		case len(after) == 0 || len(before) > 0 && before[0].Name < after[0].Name:
-			// A machine that another group has taken over still exists.
+			// Unless another group has taken over the machine, it is removed.
 			if t.Machines[before[0].Name] == before[0] {
 				changes = append(changes, MachineChange{before[0].Name, before[0], nil})
 			}
@@ -74,13 +74,14 @@
 	return changes
 }
 
-// unbindTasks removes the bindings of a machine's former entry, unless they are another's by now.
-func (t *MachineTable) unbindTasks(name wire.MachineID, former *Machine) {
-	if former == nil {
+// unbindTasks removes the bindings of a machine's previous entry, except those of tasks that have
+// been bound to another machine since.
+func (t *MachineTable) unbindTasks(name wire.MachineID, previous *Machine) {
+	if previous == nil {
 		return
 	}
-	for i := range former.Bindings {
-		binding := &former.Bindings[i]
+	for i := range previous.Bindings {
+		binding := &previous.Bindings[i]
 		if t.Bindings[binding.Job][binding.TaskIndex] == name {
 			delete(t.Bindings[binding.Job], binding.TaskIndex)
 			if len(t.Bindings[binding.Job]) == 0 {
