--- a/internal/statecache/completion_chunk.go
+++ b/internal/statecache/completion_chunk.go
@@ -10,17 +10,17 @@
 	"lynxledge/wire"
 )
 
-// CompletionChunk is a part of the set of a job's completed tasks, one bit a task.
+// CompletionChunk is a section of the bitmap of a job's completed tasks, with one bit per task.
 type CompletionChunk struct {
 	Bits        []byte
 	ModRevision uint64
 }
 
-// CompletionChunkID identifies a chunk of a job's completed tasks: a whole chunk, whose bits
-// count from its first task, or a part of one, whose bits count from a task in it. Chunks are
-// numbered by the size that values had when the cluster began, which every version shares;
-// parts are for limits that a whole chunk exceeds. A version that does not know parts leaves
-// them alone.
+// CompletionChunkID identifies a whole chunk, whose bits start at its first task, or a part of
+// one, whose bits start at the task FirstTask within the chunk. The size of a whole chunk follows
+// from the limit of values with which the cluster began, so that all versions number chunks
+// alike. Parts are used where a whole chunk exceeds a later limit; versions that don't support
+// them leave them alone.
 type CompletionChunkID struct{ Chunk, FirstTask int }
 
 // WholeChunk is the FirstTask of a whole chunk.
@@ -38,7 +38,7 @@
 	return fmt.Sprintf("%s/%04d.%d", job, id.Chunk, id.FirstTask)
 }
 
-// parseCompletionChunkName splits the name of a chunk's record.
+// parseCompletionChunkName parses the name of a chunk's record.
 func parseCompletionChunkName(name string) (job wire.JobID, id CompletionChunkID, ok bool) {
 	jobName, number, found := strings.Cut(name, "/")
 	number, first, isPart := strings.Cut(number, ".")
@@ -55,7 +55,7 @@
 	return json.Marshal(base64.StdEncoding.EncodeToString(c.Bits))
 }
 
-// UnmarshalJSON decodes what MarshalJSON encoded.
+// UnmarshalJSON decodes the bits from base64.
 func (c *CompletionChunk) UnmarshalJSON(p []byte) error {
 	var s string
 	if err := json.Unmarshal(p, &s); err != nil {
@@ -66,7 +66,7 @@
 	return err
 }
 
-// Has tells whether bit i is set.
+// Has reports whether bit i is set.
 func (c *CompletionChunk) Has(i int) bool {
 	return c != nil && i/8 < len(c.Bits) && c.Bits[i/8]&(1<<(i%8)) != 0
 }
@@ -94,12 +94,12 @@
 	c.Bits[i/8] |= 1 << (i % 8)
 }
 
-// CompletionValueBytes returns the size of a chunk's value with a number of bits.
+// CompletionValueBytes returns the encoded size of a chunk with a number of bits.
 func CompletionValueBytes(bits int) int { return base64.StdEncoding.EncodedLen((bits+7)/8) + 2 }
 
-// TasksPerCompletionPart returns how many tasks a chunk's value of a size has bits for.
+// TasksPerCompletionPart returns the number of tasks whose bits fit into a value of a size.
 func TasksPerCompletionPart(valueBytes int) int { return (valueBytes - 2) / 4 * 3 * 8 }
 
-// ChunkTasks returns the tasks of a whole chunk for a limit of values: base64 takes four bytes
-// for three, and half the value is left as a margin.
+// ChunkTasks returns the number of tasks in a whole chunk for a size limit of values. Base64
+// encodes three bytes as four, and half the value is left as a margin.
 func ChunkTasks(valueKB float64) int { return max(1, int(valueKB*1024/2*3/4)) * 8 }
--- a/internal/statecache/dependencies.go
+++ b/internal/statecache/dependencies.go
@@ -2,26 +2,27 @@
 
 import "lynxledge/wire"
 
-// dependencyGraph derives what follows for a job from the jobs that it depends on, and from
-// those that depend on it. It is derived from stored records alone, by one function, and told
-// to every actor as a part of the jobs' records: a job is blocked until the records of all its
-// dependencies say done, and cancelled as soon as one says cancelled, through any number of
-// jobs. Both ends are final, so neither can be taken back by a record seen later, and a
-// cancelled dependency is never done: no task of its dependents can have started.
+// dependencyGraph derives the fields of a job that follow from its dependencies and its
+// dependents. They are derived only here, from stored records alone, and every actor receives
+// them as part of the jobs' records. A job is blocked until the records of all its dependencies
+// say done, and cancelled as soon as one says cancelled, also transitively. Done and cancelled
+// are final, so no record seen later can revert them, and a cancelled dependency is never done:
+// no task of its dependents can have started.
 //
-// Every edge is visited when one of its jobs is accepted or ends, never with all jobs, and by
-// a worklist: chains may be of any length.
+// An edge is visited only when one of its jobs is accepted or ends; the graph is never scanned as
+// a whole. Propagation uses a worklist instead of recursion, since chains may be of any length.
 type dependencyGraph struct {
 	jobs       map[wire.JobID]*Job         // of the cache's view
-	dependents map[wire.JobID][]wire.JobID // of an active job: the active jobs that depend on it
-	waiting    map[wire.JobID]bool         // jobs that are listed as dependents
+	dependents map[wire.JobID][]wire.JobID // the active jobs that depend on a job, until it has ended
+	waiting    map[wire.JobID]bool         // blocked jobs, which are listed in dependents already
 }
 
 func newDependencyGraph(v *View) *dependencyGraph {
 	return &dependencyGraph{jobs: v.Jobs, dependents: map[wire.JobID][]wire.JobID{}, waiting: map[wire.JobID]bool{}}
 }
 
-// derive returns a job's record with what follows from its dependencies and dependents.
+// derive returns a job's record with the fields set that follow from its dependencies and its
+// dependents.
 func (g *dependencyGraph) derive(id wire.JobID, j *Job) *Job {
 	if !j.Active() || j.Spec == nil {
 		delete(g.waiting, id)
@@ -43,14 +44,14 @@
 	return &derived
 }
 
-// deriveFromDependencies sets whether a job is blocked, since when it is not, or that it is
-// cancelled.
+// deriveFromDependencies sets whether a job is blocked, when the last of its dependencies was
+// done, and whether a dependency cancels it.
 func (g *dependencyGraph) deriveFromDependencies(id wire.JobID, j *Job) {
 	j.Blocked, j.DependenciesDoneAt = false, 0
 	for _, name := range j.Spec.Dependencies {
 		dependency := g.jobs[name]
 		switch {
-		case dependency == nil || dependency.Active(): // a listing may have it later than its dependents
+		case dependency == nil || dependency.Active(): // nil: a listing may return it after its dependents
 			j.Blocked = true
 			if !g.waiting[id] {
 				g.dependents[name] = append(g.dependents[name], id)
@@ -64,8 +65,8 @@
 	}
 }
 
-// inherit gives a job the priority and the deadline of a dependent, as far as they are more
-// urgent than its own. It tells whether one is.
+// inherit gives a job the priority and the deadline of a dependent, each only if it is more
+// urgent than the job's. It reports whether the job has changed.
 func inherit(j, dependent *Job) bool {
 	if dependent == nil || !dependent.Active() || dependent.Spec == nil {
 		return false
@@ -84,13 +85,14 @@
 	return changed
 }
 
-// latestCompletion returns when a job must be done for the jobs downstream to meet a deadline.
+// latestCompletion returns the latest time at which a job may complete so that a deadline is met
+// after the estimated runtime of the jobs downstream.
 func latestCompletion(deadline Timestamp, downstream wire.Seconds) Timestamp {
 	return deadline.add(-downstream)
 }
 
-// tightestDeadline returns the deadline that demands the job's completion earliest, its own or
-// an inherited one, and the estimated runtime from the job's end to it.
+// tightestDeadline returns the deadline, the job's own or an inherited one, that requires the job
+// to complete earliest, and the estimated runtime of the jobs between its end and that deadline.
 func (j *Job) tightestDeadline() (deadline Timestamp, downstream wire.Seconds) {
 	if j.Spec.Deadline != nil {
 		own := j.SubmittedAt.add(*j.Spec.Deadline)
@@ -101,8 +103,8 @@
 	return j.InheritedDeadline, j.DownstreamRuntime
 }
 
-// propagate calls publish with every other job that changes with a job's new record: dependents
-// once it has ended, dependencies before that, and so on with those.
+// propagate calls publish with every other job that changes because of a job's new record:
+// dependents if it has ended, dependencies otherwise, and transitively.
 func (g *dependencyGraph) propagate(id wire.JobID, publish func(id wire.JobID, j *Job)) {
 	for worklist := []wire.JobID{id}; len(worklist) > 0; {
 		id := worklist[len(worklist)-1]
@@ -115,8 +117,8 @@
 	}
 }
 
-// propagateEnd derives the dependents of a job that has ended anew. It adds those that end with
-// it to the worklist.
+// propagateEnd derives the dependents of an ended job again, and adds those that are cancelled
+// with it to the worklist.
 func (g *dependencyGraph) propagateEnd(id wire.JobID, worklist []wire.JobID, publish func(id wire.JobID, j *Job)) []wire.JobID {
 	for _, name := range g.dependents[id] {
 		dependent := g.jobs[name]
@@ -136,7 +138,7 @@
 	return worklist
 }
 
-// propagateUrgency has the dependencies of an active job inherit its priority and deadline. It
+// propagateUrgency has the dependencies of an active job inherit its priority and deadline, and
 // adds those that change to the worklist.
 func (g *dependencyGraph) propagateUrgency(j *Job, worklist []wire.JobID, publish func(id wire.JobID, j *Job)) []wire.JobID {
 	if j.Spec == nil {
--- a/internal/statecache/job.go
+++ b/internal/statecache/job.go
@@ -2,7 +2,7 @@
 
 import "lynxledge/wire"
 
-// Job is an accepted job. It is written again only when it ends.
+// Job is the record of an accepted job. It is rewritten only when the job ends.
 type Job struct {
 	Spec        *wire.Job     `json:"spec,omitempty"` // nil once the job is done
 	State       wire.JobState `json:"state,omitempty"`
@@ -11,22 +11,22 @@
 	FinishedAt  Timestamp     `json:"end,omitempty"`
 	ModRevision uint64        `json:"-"`
 
-	// What follows is derived from other jobs' records by the dependency graph, and not stored.
+	// The fields below are derived from other jobs' records by the dependency graph, not stored.
 
 	Blocked               bool         `json:"-"` // not all dependencies are done
 	DependenciesDoneAt    Timestamp    `json:"-"` // when the last dependency was done
 	CancelledByDependency bool         `json:"-"` // cancelled because a dependency was
 	PriorityInherited     bool         `json:"-"` // the priority is that of a dependent job
 	InheritedDeadline     Timestamp    `json:"-"` // deadline of a dependent job; 0: none
-	DownstreamRuntime     wire.Seconds `json:"-"` // estimated from the end of this job to the end of that one
+	DownstreamRuntime     wire.Seconds `json:"-"` // estimated time from the end of this job to the end of that dependent
 }
 
-// Active tells whether the job has not ended: its tasks may be started, or may be once its
-// dependencies are done.
+// Active reports whether the job has not ended: its tasks may be started once its dependencies
+// are done.
 func (j *Job) Active() bool { return j.State == "" }
 
-// RunnableSince returns the time from which the job could run; while it is blocked, that of
-// its submission.
+// RunnableSince returns the time since which the job has been able to run; while it is blocked,
+// the time of its submission.
 func (j *Job) RunnableSince() Timestamp {
 	if j.Blocked {
 		return j.SubmittedAt
@@ -34,8 +34,8 @@
 	return max(j.SubmittedAt, j.DependenciesDoneAt)
 }
 
-// Cancelled returns the record of the job's cancellation. What only a start would need is left
-// out: the record must fit whatever the limit of a value has become.
+// Cancelled returns the record of the cancelled job. It omits the fields that only the start of
+// tasks needs, so that the record fits even if the limit of values has fallen since.
 func (j *Job) Cancelled(at Timestamp) *Job {
 	next := &Job{State: wire.JobCancelled, TaskCount: j.TaskCount, SubmittedAt: j.SubmittedAt, FinishedAt: at}
 	if j.Spec != nil {
