--- a/internal/statecache/bench_test.go
+++ b/internal/statecache/bench_test.go
@@ -11,17 +11,17 @@
 	"lynxledge/wire"
 )
 
-// Sizes of the larger grown deployment: groups of machines, and a long day's jobs.
+// Sizes of a large deployment: its machine groups, and the jobs of a long day.
 const (
 	benchGroups   = 50
 	benchMachines = 36 // in a group
 	benchTasks    = 3  // on a machine
 	benchJobs     = 5000
 
-	maxWatchAllocations = 110 // a fifth above what was measured
+	maxWatchAllocations = 110 // a fifth above the measured number
 )
 
-// benchGroup is a group whose machines are in use.
+// benchGroup returns a group whose machines are in use.
 func benchGroup(name string, first int) *MachineGroup {
 	g := &MachineGroup{Name: name, MachineType: "entoto-small", Zone: "bole", Spot: true, ProvisionedAt: 1790000010788}
 	for i := range benchMachines {
@@ -35,8 +35,8 @@
 	return g
 }
 
-// benchCache returns a cache that holds all groups, and one group's record before and
-// after a task of one machine was replaced.
+// benchCache returns a cache that holds all groups, and the record of one group before and after
+// a task on one of its machines was replaced.
 func benchCache(ctx context.Context) (cache *Cache, records [2]json.RawMessage) {
 	cache = Start(ctx, nil, Options{ChunkTasks: ChunkTasks(4)})
 	cache.Subscribe(func(Update) {})
@@ -55,7 +55,7 @@
 	return cache, records
 }
 
-// BenchmarkWatchAnswer is one changed machine in the response of a watch.
+// BenchmarkWatchAnswer measures the application of a watch response with one changed machine.
 func BenchmarkWatchAnswer(b *testing.B) {
 	cache, records := benchCache(b.Context())
 	b.ReportAllocs()
@@ -67,7 +67,7 @@
 	}
 }
 
-// BenchmarkLoad decodes everything that a controller reads at its start.
+// BenchmarkLoad measures the decoding of all records that a controller reads when it starts.
 func BenchmarkLoad(b *testing.B) {
 	items := map[string]json.RawMessage{}
 	for i := range benchGroups {
@@ -90,7 +90,7 @@
 	}
 }
 
-// BenchmarkGroupRecord encodes the record of a group in which one machine changed.
+// BenchmarkGroupRecord measures the encoding of a group's record in which one machine changed.
 func BenchmarkGroupRecord(b *testing.B) {
 	cache, _ := benchCache(b.Context())
 	b.ReportAllocs()
@@ -102,8 +102,8 @@
 	}
 }
 
-// What a watch's response costs follows what changed in it: the machines that are as they
-// were are shared.
+// The cost of applying a watch response depends on what has changed, since unchanged machines are
+// shared with the previous record.
 func TestAllocationsOfAWatchAnswer(t *testing.T) {
 	cache, records := benchCache(t.Context())
 	revision := uint64(1)
@@ -117,11 +117,11 @@
 	}
 }
 
-// maxFinishedJobBytes is a fifth above what operators are told.
+// maxFinishedJobBytes is a fifth above the size that the warning to operators reports.
 const maxFinishedJobBytes = FinishedJobBytes * 6 / 5
 
-// Finished jobs are kept for good: what the cache and the API server hold for each is small,
-// and an actor that has no use for them holds nothing.
+// Finished jobs are never deleted, so the cache and the API server must use little memory for
+// each, and a view without finished jobs must hold none of them.
 func TestFinishedJobsAreCompact(t *testing.T) {
 	const jobs = 100_000
 	heap := func() uint64 {
--- a/internal/statecache/cache.go
+++ b/internal/statecache/cache.go
@@ -35,7 +35,7 @@
 	Backoff                 time.Duration   // first delay of the exponential backoff after failures
 	WriteInterval           time.Duration   // average time for one write at the store's write rate
 	MaxValueBytes           int             // larger values are never sent. 0: no limit
-	MaxCompletionChunkBytes int             // the same for completion chunks, which may be larger until the store rejects the size
+	MaxCompletionChunkBytes int             // the same for completion chunks, which shrink to MaxValueBytes once the store rejects the size
 	OnThrottled             func(time.Time) // called after a commit was rejected because the write rate was exceeded
 	OnSizeRejected          func()          // called after the store rejected a commit as invalid, as it does for its size
 	JobCountWarning         int             // number of known jobs above which a warning is logged, once. 0: never
--- a/internal/statecache/cache_test.go
+++ b/internal/statecache/cache_test.go
@@ -11,9 +11,9 @@
 	"lynxledge/wire"
 )
 
-// An older record of a key that an own commit deleted must not come back with the watch: it
-// bound its tasks to a machine that no longer existed, and when the deletion followed, they
-// looked unbound though they were bound elsewhere.
+// An older record, in a watch response, of a key that an own commit has deleted must not be
+// applied: it bound its tasks to a machine that no longer existed, and when the deletion followed,
+// they looked unbound although they were bound to another machine.
 func TestOwnDeleteIsNotUndone(t *testing.T) {
 	cache := &Cache{view: NewView(8), progress: progress{revision: 8}, ownDeletions: ownDeletions{Key(KindMachineGroup, "m2"): 11}}
 	binding := TaskBinding{Job: "req-000001", Attempt: 1}
@@ -33,11 +33,11 @@
 		t.Errorf("task is bound to %q", machine)
 	}
 	if len(cache.ownDeletions) > 0 {
-		t.Error("deletions are remembered for ever")
+		t.Error("deletions that the watch has reached are not forgotten")
 	}
 }
 
-// Operators are warned once when finished jobs begin to fill the memory.
+// A warning is logged once when there are more jobs than the warning threshold.
 func TestWarningOfManyJobs(t *testing.T) {
 	var log bytes.Buffer
 	before := slog.Default()
@@ -55,8 +55,8 @@
 	}
 }
 
-// Every kind has a schema and is enumerated, and a record that a view has applied is found
-// under its revision and enumerated with its key until it is deleted.
+// Every kind has a schema. A record that was applied to a view is found with its revision, and
+// is enumerated with its key until it is deleted.
 func TestEveryKindHasASchema(t *testing.T) {
 	records := map[string]Record{
 		Key(KindJob, "req-000001"): &Job{ModRevision: 7}, CompletionChunkKey("req-000001", CompletionChunkID{3, WholeChunk}): &CompletionChunk{ModRevision: 7},
--- a/internal/statecache/commit_test.go
+++ b/internal/statecache/commit_test.go
@@ -14,8 +14,8 @@
 	"lynxledge/wire"
 )
 
-// rejectingStore answers transactions with the errors given, one after another, and then
-// executes them.
+// rejectingStore fails transactions with the given errors, one after another, and then accepts
+// them.
 type rejectingStore struct {
 	Store
 	rejections []error
@@ -32,15 +32,16 @@
 
 // commitAndWait commits, and returns the outcome and how long it took.
 func commitAndWait(cache *Cache, c Commit) (Outcome, time.Duration) {
-	begun := time.Now()
+	startedAt := time.Now()
 	replied := make(chan Outcome, 1)
 	cache.Commit(c, func(outcome Outcome) { replied <- outcome })
-	return <-replied, time.Since(begun)
+	return <-replied, time.Since(startedAt)
 }
 
-// The cache passes on what rejections say of the limits in force: a size says that the upcoming
-// limits are, a rate may say so. Others say nothing.
-func TestRefusalsTellOfLimits(t *testing.T) {
+// Rejections that are evidence of the limits in force are reported to the callbacks: one for an
+// invalid size proves the upcoming limits, throttling may be due to them. Other rejections are
+// not reported.
+func TestRejectionsReportedToLimitCallbacks(t *testing.T) {
 	tooLarge := fmt.Errorf("%w: value too large", kvstore.ErrInvalidRequest)
 	for _, test := range []struct {
 		name                    string
@@ -79,7 +80,7 @@
 				t.Errorf("%s: took %v", test.name, took)
 			}
 			if sizeRejected != test.sizeRejected || throttled != test.throttled {
-				t.Errorf("%s: told of %d sizes and %d rates, want %d and %d", test.name, sizeRejected, throttled, test.sizeRejected, test.throttled)
+				t.Errorf("%s: %d size rejections and %d throttlings reported, want %d and %d", test.name, sizeRejected, throttled, test.sizeRejected, test.throttled)
 			}
 			cancel()
 			time.Sleep(time.Minute)
@@ -87,8 +88,8 @@
 	}
 }
 
-// An attempt without an answer makes the outcome unknown, whatever later attempts are rejected
-// with, until one is answered for certain; with RetryUntilCertain that is awaited.
+// After an attempt without a response the outcome is unknown, even if later attempts are rejected,
+// until one is executed or conflicts. With RetryUntilCertain, the commit is retried until then.
 func TestUnansweredCommit(t *testing.T) {
 	unanswered := errors.New("connection reset")
 	for _, test := range []struct {
@@ -118,8 +119,8 @@
 	}
 }
 
-// What is larger than a request's body may be is rejected here and not sent: the store would
-// reject it as invalid, whatever it has.
+// A transaction that exceeds the size limit of a request body is rejected without being sent. The
+// store would reject it as invalid, whatever its contents.
 func TestLargeTransactionIsNotSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -145,7 +146,7 @@
 	})
 }
 
-// The errors of what is too large say what, and by how much.
+// The errors for records and transactions that are too large hold their size and the limit.
 func TestTooLargeErrors(t *testing.T) {
 	options := Options{MaxValueBytes: 100, MaxCompletionChunkBytes: 1000}
 	chunk := func(bytes int) *CompletionChunk { return &CompletionChunk{Bits: make([]byte, bytes)} }
--- a/internal/statecache/compatibility_test.go
+++ b/internal/statecache/compatibility_test.go
@@ -5,15 +5,15 @@
 	"testing"
 )
 
-// What the version in production wrote (testdata/production.json) is decoded, and encoded
-// again as it was: the former version reads, and rewrites, what this one writes, as long as
-// both run.
+// Records that the version in production wrote (testdata/production.json) are decoded, and encoded
+// again unchanged: while both versions run, that one reads and rewrites the records that this one
+// writes.
 func TestRecordsOfTheVersionInProduction(t *testing.T) {
 	records := readGolden(t, "testdata/production.json")
 	cache := Start(t.Context(), nil, Options{ChunkTasks: 8})
 	for key, stored := range records {
 		record, encoded := checkRoundTrip(t, cache, key, stored)
-		if g, ok := record.(*MachineGroup); ok { // and with all entries encoded anew
+		if g, ok := record.(*MachineGroup); ok { // also with all entries encoded again, not reused
 			for _, m := range g.Machines {
 				m.encoded = ""
 			}
@@ -27,16 +27,15 @@
 	}
 }
 
-// Records of features that are switched on (testdata/growth.json) are decoded, and encoded
-// again as they were.
-func TestRecordsOfGrowth(t *testing.T) {
+// Records of optional features (testdata/growth.json) are decoded, and encoded again unchanged.
+func TestRecordsOfOptionalFeatures(t *testing.T) {
 	cache := Start(t.Context(), nil, Options{ChunkTasks: 8})
 	for key, stored := range readGolden(t, "testdata/growth.json") {
 		checkRoundTrip(t, cache, key, stored)
 	}
 }
 
-// What derives from other jobs is not stored.
+// Fields that are derived from other jobs are not stored.
 func TestDerivedIsNotStored(t *testing.T) {
 	b, _ := json.Marshal(&Job{TaskCount: 1, SubmittedAt: 2, Blocked: true, DependenciesDoneAt: 3, CancelledByDependency: true, PriorityInherited: true, InheritedDeadline: 4, DownstreamRuntime: 5})
 	if string(b) != `{"n":1,"at":2}` {
--- a/internal/statecache/completion_chunk_test.go
+++ b/internal/statecache/completion_chunk_test.go
@@ -11,8 +11,9 @@
 	"lynxledge/wire"
 )
 
-// The largest job's completion chunks fit into values of the smallest limit.
-func TestDoneSetsFitTheirValues(t *testing.T) {
+// The completion chunks of the largest job fit into values of any size limit, and hold exactly the
+// completed tasks.
+func TestCompletionChunksFitValueLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		valueKB := rapid.Float64Range(0.1, 64).Draw(t, "kb")
 		v := NewView(ChunkTasks(valueKB))
@@ -45,40 +46,40 @@
 	})
 }
 
-// A job of 100,000 tasks has completed exactly once all its tasks have, through whole chunks
-// that were written under the former limit and parts written after: both count tasks from the
-// same numbers, wherever the switch comes.
-func TestDoneSetsAcrossTheSwitch(t *testing.T) {
-	for _, switchAt := range []int{0, 20_000, 61_000, switchTasks} {
+// A job of 100,000 tasks counts as completed when all its tasks have completed and not before,
+// although some are in whole chunks, written under the present size limit, and others in parts of
+// chunks, written after the limit was lowered. Both number tasks alike, whenever that happens.
+func TestCompletionChunksAcrossLimitChange(t *testing.T) {
+	for _, changeAt := range []int{0, 20_000, 61_000, limitChangeTasks} {
 		for _, stride := range []int{1, 3001, 99_999} {
-			completeAcrossTheSwitch(t, switchAt, stride)
+			completeAcrossLimitChange(t, changeAt, stride)
 		}
 	}
 }
 
 const (
-	switchTasks      = 100_000
+	limitChangeTasks = 100_000
 	presentValueKB   = 4.0
 	loweredValueSize = 2048
 )
 
-// completeAcrossTheSwitch completes all tasks, some at a time, in steps of a stride, under the
-// present limit and, from the task of a number on, under the lowered one.
-func completeAcrossTheSwitch(t *testing.T, switchAt, stride int) {
+// completeAcrossLimitChange completes all tasks in batches, in an order that stride determines. The
+// limit is lowered once changeAt tasks have completed.
+func completeAcrossLimitChange(t *testing.T, changeAt, stride int) {
 	t.Helper()
-	const tasksAtATime, start = 1700, 12_345
+	const batchSize, start = 1700, 12_345
 	v := NewView(ChunkTasks(presentValueKB))
-	v.Apply(changeTo("req-000001", &Job{TaskCount: switchTasks}))
+	v.Apply(changeTo("req-000001", &Job{TaskCount: limitChangeTasks}))
 	part := TasksPerCompletionPart(loweredValueSize)
 	if size := CompletionValueBytes(part); size > loweredValueSize {
 		t.Fatalf("a part of %d tasks takes %d bytes", part, size)
 	}
 	completed := map[int]bool{}
-	for k := 0; k < switchTasks; k += tasksAtATime {
-		lowered := k >= switchAt
+	for k := 0; k < limitChangeTasks; k += batchSize {
+		lowered := k >= changeAt
 		bits := map[CompletionChunkID][]int{}
-		for i := range min(tasksAtATime, switchTasks-k) {
-			task := (start + (k+i)*stride) % switchTasks
+		for i := range min(batchSize, limitChangeTasks-k) {
+			task := (start + (k+i)*stride) % limitChangeTasks
 			completed[task] = true
 			number, bit := v.CompletionChunkOf(task)
 			id := CompletionChunkID{number, WholeChunk}
@@ -91,7 +92,7 @@
 		for _, id := range slices.SortedFunc(maps.Keys(bits), func(a, b CompletionChunkID) int { return a.Chunk - b.Chunk }) {
 			storeChunk(t, v, id, bits[id], limit, uint64(k+1))
 		}
-		if v.CompletedCount("req-000001") != len(completed) || v.AllTasksCompleted("req-000001") != (len(completed) == switchTasks) {
+		if v.CompletedCount("req-000001") != len(completed) || v.AllTasksCompleted("req-000001") != (len(completed) == limitChangeTasks) {
 			t.Fatalf("%d tasks completed, %d counted", len(completed), v.CompletedCount("req-000001"))
 		}
 	}
@@ -100,7 +101,8 @@
 	}
 }
 
-// storeChunk encodes a chunk with more bits set, within a limit, and applies what is decoded.
+// storeChunk sets bits in a chunk, checks that its encoded size is within limit, and applies the
+// decoded record.
 func storeChunk(t *testing.T, v *View, id CompletionChunkID, bits []int, limit int, revision uint64) {
 	t.Helper()
 	raw, _ := json.Marshal(v.CompletionChunks["req-000001"][id].With(bits...))
--- a/internal/statecache/dependencies_test.go
+++ b/internal/statecache/dependencies_test.go
@@ -12,13 +12,14 @@
 	"lynxledge/wire"
 )
 
-// jobHistory is what became of jobs that depend on one another, as stored.
+// jobHistory holds the stored records of jobs that depend on one another, and computes from them
+// what the cache should derive.
 type jobHistory struct {
 	ids  []wire.JobID
 	jobs map[wire.JobID]*Job
 }
 
-// cancelled tells whether a job is, by its own record or by that of a dependency.
+// cancelled reports whether a job is cancelled, by its own record or through a dependency.
 func (s *jobHistory) cancelled(id wire.JobID) bool {
 	j := s.jobs[id]
 	if j.State == wire.JobCancelled {
@@ -32,7 +33,7 @@
 	return false
 }
 
-// ready tells whether all dependencies of a job are done.
+// ready reports whether all dependencies of a job are done.
 func (s *jobHistory) ready(id wire.JobID) bool {
 	for _, dependency := range s.jobs[id].Spec.Dependencies {
 		if s.jobs[dependency].State != wire.JobDone {
@@ -42,7 +43,7 @@
 	return true
 }
 
-// priority is the highest of a job and of its active dependents.
+// priority returns the highest priority of a job and of its active direct and indirect dependents.
 func (s *jobHistory) priority(id wire.JobID) wire.Priority {
 	r := s.jobs[id].Spec.Priority
 	for _, dependent := range s.ids {
@@ -55,7 +56,7 @@
 	return r
 }
 
-// latestEnd is the time by which a job must be done so that each active dependent can be done
+// latestEnd returns the time by which a job must be done so that each active dependent can be done
 // by its own deadline; 0 if none of them has one.
 func (s *jobHistory) latestEnd(id wire.JobID) Timestamp {
 	least := Timestamp(0)
@@ -87,15 +88,15 @@
 		switch {
 		case stored.State == wire.JobDone:
 			if got.State != wire.JobDone {
-				t.Fatalf("%s is done, and called %q", id, got.State)
+				t.Fatalf("%s is done, but its state is %q", id, got.State)
 			}
 		case s.cancelled(id):
 			if got.State != wire.JobCancelled || got.FinishedAt == 0 || got.CancelledByDependency != (stored.State == "") {
-				t.Fatalf("%s is cancelled with a dependency, and is %+v", id, got)
+				t.Fatalf("%s is cancelled, itself or through a dependency, but is %+v", id, got)
 			}
 		default:
 			if got.State != "" || got.Blocked == s.ready(id) {
-				t.Fatalf("%s: ready %v, and is %+v", id, s.ready(id), got)
+				t.Fatalf("%s: ready %v, but is %+v", id, s.ready(id), got)
 			}
 			if checkUrgency && got.Spec.Priority != s.priority(id) {
 				t.Fatalf("%s: priority %v, not %v", id, got.Spec.Priority, s.priority(id))
@@ -116,20 +117,20 @@
 	}
 }
 
-// jobRun plays a history of jobs against a cache.
+// jobRun applies a history of jobs to a cache.
 type jobRun struct {
 	*jobHistory
 	cache    *Cache
 	revision uint64
 }
 
-// publish has a cache read a job's record.
+// publish has a cache publish a job's stored record.
 func (r *jobRun) publish(cache *Cache, id wire.JobID) {
 	j := *r.jobs[id]
 	cache.publish([]Change{changeTo(string(id), &j)})
 }
 
-// change stores a job's next record.
+// change stores a job's next record and publishes it.
 func (r *jobRun) change(id wire.JobID, change func(j *Job)) {
 	r.revision++
 	j := *r.jobs[id]
@@ -139,7 +140,7 @@
 	r.publish(r.cache, id)
 }
 
-// accept accepts a job that depends on any of those before it.
+// accept accepts a job that depends on a random selection of the jobs before it.
 func (r *jobRun) accept(t *rapid.T) {
 	id := wire.JobID(fmt.Sprintf("req-%06d", len(r.ids)))
 	spec := &wire.Job{ID: id, Priority: wire.Priority(rapid.IntRange(0, 3).Draw(t, "priority")), EstimatedRuntime: 1}
@@ -157,7 +158,8 @@
 	r.change(id, func(*Job) {})
 }
 
-// end ends a job if it is active and may end so. It tells whether it was cancelled.
+// end marks an active job done or cancelled, if its dependencies permit that. It reports whether
+// it cancelled the job.
 func (r *jobRun) end(t *rapid.T, id wire.JobID) (cancelled bool) {
 	if rapid.Bool().Draw(t, "done") {
 		if r.ready(id) && !r.cancelled(id) {
@@ -172,7 +174,7 @@
 	return true
 }
 
-// newJobRun returns a run without jobs. Its cache must never take back a cancellation.
+// newJobRun returns a run without jobs. The test fails if its cache ever reverts a cancellation.
 func newJobRun(ctx context.Context, t *rapid.T) *jobRun {
 	run := &jobRun{jobHistory: &jobHistory{jobs: map[wire.JobID]*Job{}}, cache: Start(ctx, nil, Options{ChunkTasks: 8})}
 	wasCancelled := map[string]bool{}
@@ -188,10 +190,10 @@
 	return run
 }
 
-// For any graph, in whatever order its jobs are accepted, done and cancelled, and in whatever
-// order a new process reads them, what is derived is what the stored records say: blocked until
-// all dependencies are done, cancelled with any of them.
-func TestPipelinesFollowTheirRecords(t *testing.T) {
+// For any dependency graph, the derived state follows from the stored records alone: a job is
+// blocked until all dependencies are done, and cancelled with any of them. The order in which jobs
+// are accepted and end, and in which a new process reads their records, makes no difference.
+func TestDerivedStateFollowsStoredRecords(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
@@ -209,7 +211,7 @@
 					anyCancelled = true
 				}
 			}
-			run.check(t, run.cache, !anyCancelled) // an inherited priority may outlive the dependent
+			run.check(t, run.cache, !anyCancelled) // a job may keep what it inherited from a dependent that was cancelled
 		}
 		fresh := Start(ctx, nil, Options{ChunkTasks: 8})
 		for _, i := range rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "order"), 1)).Perm(len(run.ids)) {
@@ -222,8 +224,9 @@
 	})
 }
 
-// A chain of thousands of jobs costs as much for each as a short one, and is cancelled as a
-// whole with its first; nothing is kept of jobs that have ended.
+// In a chain of thousands of jobs, and with thousands of dependents of one job, accepting a job
+// publishes only that job, so its cost does not grow with their number. Cancelling the first job
+// cancels all, and the graph keeps nothing of jobs that have ended.
 func TestLongChainAndWideFan(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -245,7 +248,7 @@
 		}
 		put(i, &Job{Spec: spec})
 	}
-	for i := range n { // all depend on the chain's first
+	for i := range n { // all depend on the first job of the chain
 		put(n+i, &Job{Spec: &wire.Job{ID: id(n + i), Dependencies: []wire.JobID{id(0)}}})
 	}
 	if published != 2*n {
--- a/internal/statecache/group_codec_test.go
+++ b/internal/statecache/group_codec_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// A group's record is decoded as it was encoded, is no larger than its size says, and machines
-// whose entries did not change are shared with the former record.
+// A group's record is decoded as it was encoded, is no larger than EncodedSize, and shares the
+// machines whose entries did not change with the previous record.
 func TestGroupRecordRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := genGroup(t)
@@ -48,7 +48,7 @@
 	})
 }
 
-// A record of another layout is refused, never misread.
+// A record of another layout is rejected, never misread.
 func TestOtherLayoutIsRefused(t *testing.T) {
 	old := `{"type":"s","zone":"a","addr":"10.0.0.1:9","session":1,"token":4294967297,"tasks":[["req-000001/0",4294967297]],"at":5}`
 	if _, err := decodeGroup("i-000001", json.RawMessage(old), 1, nil); !errors.Is(err, ErrUnknownLayout) {
@@ -56,7 +56,7 @@
 	}
 }
 
-// A malformed part of a record is an error that says which, and no panic.
+// A malformed part of a record causes an ErrMalformedRecord and no panic.
 func TestMalformedRecords(t *testing.T) {
 	for _, raw := range []string{
 		`{"v":2,"m":["1 2 3"]}`, `{"v":2,"m":["1 - x 0 -"]}`, `{"v":2,"m":["1 - 0 ? -"]}`, `{"v":2,"m":["1 - 0 0 - 000001.1"]}`,
--- a/internal/statecache/group_split_test.go
+++ b/internal/statecache/group_split_test.go
@@ -12,9 +12,9 @@
 	"lynxledge/wire"
 )
 
-// A split loses no machine, binding or completion, and doubles none; every record fits what it
-// was to be filled to unless one machine or one chunk of completions is larger; no two names
-// are alike.
+// A split neither loses nor duplicates a machine, binding or completion. No record exceeds the
+// size that it may be filled to, unless it holds a single machine or the completions of a single
+// move. All group names differ.
 func TestGroupsSplit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := genGroup(t)
@@ -40,7 +40,7 @@
 	})
 }
 
-// addCompletions adds as many completions as the record of a former version may hold.
+// addCompletions adds as many completions as the record of an earlier version may hold.
 func addCompletions(t *rapid.T, g *MachineGroup) {
 	for job, tasks := range g.Completions {
 		for n := range rapid.IntRange(0, 200).Draw(t, "more") {
@@ -72,7 +72,7 @@
 	}
 }
 
-// decodePart encodes and decodes a part. Its machines must be sorted.
+// decodePart encodes and decodes a part, and checks that its machines are sorted.
 func decodePart(t *rapid.T, part *GroupUpdate) *MachineGroup {
 	raw, err := json.Marshal(&part.MachineGroup)
 	if err != nil {
@@ -85,7 +85,7 @@
 	return g
 }
 
-// checkSplit checks that the parts of a group have what it had.
+// checkSplit checks that the parts of a group together hold what the group held.
 func checkSplit(t *rapid.T, g *MachineGroup, machines map[wire.MachineID]*Machine, completions map[wire.JobID][]int) {
 	for _, m := range g.Machines {
 		got := machines[m.Name]
@@ -105,8 +105,8 @@
 	}
 }
 
-// Of one revision, a machine that a split moves is never missing in between, in whatever order
-// the store tells of the records.
+// A machine that a split moves is never missing while the changes of its revision are applied,
+// whatever the order in which the store reports the records.
 func TestSplitMachinesAreNeverGone(t *testing.T) {
 	for _, reversed := range []bool{false, true} {
 		cache := Start(t.Context(), nil, Options{ChunkTasks: 8})
--- a/internal/statecache/group_update_test.go
+++ b/internal/statecache/group_update_test.go
@@ -12,8 +12,8 @@
 	"lynxledge/wire"
 )
 
-// Whatever a group's update changes, fencing tokens only rise, completions stay until their
-// job has ended, and the record fits its limit or is refused.
+// Whatever a group's update changes, fencing tokens only increase, completions stay until their
+// job has ended, and TrimToFit makes the record fit its limit or returns false.
 func TestGroupUpdate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		v := NewView(8)
@@ -56,8 +56,8 @@
 	})
 }
 
-// genTwoGroups generates two groups, by name, that share up to 30 machines and the completions
-// of a job.
+// genTwoGroups generates two groups, by name, among which up to 30 machines are distributed, and
+// which both hold completions of one job.
 func genTwoGroups(t *rapid.T) (groups map[string]*MachineGroup, machines int) {
 	machines = rapid.IntRange(2, 30).Draw(t, "machines")
 	groups = map[string]*MachineGroup{"a": {Name: "a", MachineType: "t", Zone: "z", ProvisionedAt: 5}, "b": {Name: "b", MachineType: "t", Zone: "z", ProvisionedAt: 7}}
@@ -74,9 +74,8 @@
 	return groups, machines
 }
 
-// A group may take over the machines of another, in one commit: whatever the order in which a
-// watch tells of it, every view ends with the same machines and bindings, and none was missing
-// in between.
+// When a group takes over the machines of another in one commit, the view ends with the same
+// machines and bindings, and no machine is reported as removed in between.
 func TestGroupsMerge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		v := NewView(8)
@@ -118,13 +117,14 @@
 			}
 		}
 		if changes := v.Apply(Change{Key: Key(KindMachineGroup, "b"), Kind: KindMachineGroup, Name: "b", ModRevision: 3}); len(changes) > 0 {
-			t.Fatalf("taken for removed: %+v", changes)
+			t.Fatalf("changed by the deletion of the merged group: %+v", changes)
 		}
 		checkMerged(t, v, want, machines)
 	})
 }
 
-// checkMerged checks that group a has all machines and bindings of a view as they were.
+// checkMerged checks that group a holds all machines and bindings of the view, unchanged by the
+// merge.
 func checkMerged(t *rapid.T, v *View, want map[wire.MachineID]*Machine, machines int) {
 	bound := 0
 	for name, m := range v.Machines {
--- a/internal/statecache/helpers_test.go
+++ b/internal/statecache/helpers_test.go
@@ -18,7 +18,7 @@
 	"lynxledge/wire"
 )
 
-// genGroup generates the record of a group with any machines, bindings, completions and
+// genGroup generates the record of a group with random machines, bindings, completions and
 // terminations.
 func genGroup(t *rapid.T) *MachineGroup {
 	g := NewMachineGroup(GroupOptions{Name: "g", MachineType: "t", Zone: "z", Spot: rapid.Bool().Draw(t, "spot"), ProvisionedAt: 5})
@@ -67,7 +67,7 @@
 	return raw
 }
 
-// newTestCache returns a cache that follows a simulated store.
+// newTestCache returns a cache that reads from and writes to a simulated store.
 func newTestCache(ctx context.Context, store Store, maxValueBytes int) *Cache {
 	return Start(ctx, store, Options{
 		ChunkTasks: 8, WatchHold: time.Second, MaxViewAge: time.Second, Backoff: 100 * time.Millisecond,
@@ -93,8 +93,8 @@
 	return records
 }
 
-// checkRoundTrip decodes a stored record and checks that it is encoded again byte for byte, but
-// for the space between tokens.
+// checkRoundTrip decodes a stored record and checks that it is encoded again byte for byte, except
+// for white space.
 func checkRoundTrip(t *testing.T, c *Cache, key string, stored json.RawMessage) (Record, json.RawMessage) {
 	t.Helper()
 	change, ok := c.decodeChange(key, stored, 7)
--- a/internal/statecache/load_test.go
+++ b/internal/statecache/load_test.go
@@ -11,23 +11,23 @@
 	"lynxledge/wire"
 )
 
-// pagedStore lists one key at a time, and calls between after the first page.
+// pagedStore lists one key per page, and calls afterFirstPage after the first page.
 type pagedStore struct {
 	*simulation.StoreConn
-	between func()
+	afterFirstPage func()
 }
 
 func (s *pagedStore) List(ctx context.Context, prefix, after string, _ int) (*wire.RangeResponse, error) {
 	page, err := s.StoreConn.List(ctx, prefix, after, 1)
-	if s.between != nil {
-		s.between()
-		s.between = nil
+	if s.afterFirstPage != nil {
+		s.afterFirstPage()
+		s.afterFirstPage = nil
 	}
 	return page, err
 }
 
-// A machine that moves to another group while the pages are listed is never missing: the group
-// it moved to was listed without it, the one it left is deleted.
+// A machine that moves to another group while the pages are listed is never missing from the view,
+// although its new group was listed before the move and its old group is deleted by then.
 func TestLoadMissesNothingThatMoves(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -45,7 +45,7 @@
 		commit(write("a", "i-1"), write("b", "i-2"), write("c", "i-3"))
 		store := &pagedStore{conn, func() { commit(write("a", "i-1", "i-2"), wire.Write{DeleteKey: Key(KindMachineGroup, "b")}) }}
 		cache := newTestCache(ctx, store, 0)
-		view := NewView(8) // of the cache's actor
+		view := NewView(8) // used only in the cache's actor
 		cache.Subscribe(func(update Update) {
 			for _, change := range update.Changes {
 				view.Apply(change)
--- a/internal/statecache/zone_recoveries_test.go
+++ b/internal/statecache/zone_recoveries_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// A recovery record that can't be read is known as such, whatever is wrong with it, and says
-// nothing of any zone.
+// A recovery record that can't be decoded is marked as unreadable, whatever is wrong with it, and
+// holds the state of no zone.
 func TestUnreadableRecovery(t *testing.T) {
 	for _, raw := range []string{`{"v":2,"zones":[{"zone":"a","phase":"lost"}]}`, `{}`, `[]`, `"x"`, `{"v":1,"zones":{}}`} {
 		r := decodeZoneRecoveries(json.RawMessage(raw), 5)
