--- a/internal/statecache/cache.go
+++ b/internal/statecache/cache.go
@@ -47,7 +47,7 @@
 // Cache is the actor that owns the view and keeps it up to date.
 type Cache struct {
 	*actor.Actor
-	ctx         context.Context // cancels the watch, retries, and calls of the store
+	ctx         context.Context // cancels the watch, retries, and calls to the store
 	store       Store
 	options     Options
 	subscribers []func(Update)
--- a/internal/statecache/commit.go
+++ b/internal/statecache/commit.go
@@ -10,7 +10,7 @@
 	"lynxledge/wire"
 )
 
-// Outcome is the outcome of a commit.
+// Outcome is the result of a commit.
 type Outcome int
 
 // Outcomes of a commit.
--- a/internal/statecache/group_split.go
+++ b/internal/statecache/group_split.go
@@ -108,8 +108,8 @@
 	}
 }
 
-// partWithRoom returns the first part that has room for size bytes or is empty, or a new part, and
-// adds the size to the part's.
+// partWithRoom returns the first part that has room for size bytes or is empty, or a new part. It
+// counts the bytes as used.
 func (s *groupSplit) partWithRoom(size int) *GroupUpdate {
 	for i := range s.parts {
 		if s.sizes[i]+size <= s.maxBytes || s.sizes[i] == s.emptyBytes {
--- a/internal/statecache/transaction.go
+++ b/internal/statecache/transaction.go
@@ -15,8 +15,8 @@
 	Puts          []Put
 	Deletes       []string
 	// RetryUntilCertain has a transaction whose outcome is unknown retried, beyond RetryFor,
-	// until it is executed or conflicts. Since its writes change the keys that its preconditions
-	// compare, no earlier copy of it can be executed after that.
+	// until an attempt has a final outcome. Since its writes change the keys that its
+	// preconditions compare, no earlier copy of it can be executed after that.
 	RetryUntilCertain bool
 	// RetryFor is how long the transaction is retried while its outcome is not final.
 	RetryFor time.Duration
