--- a/internal/statecache/group_split_test.go
+++ b/internal/statecache/group_split_test.go
@@ -12,9 +12,9 @@
 	"lynxledge/wire"
 )
 
-// A split loses no machine, binding or completion, and doubles none; every record fits what it
-// was to be filled to unless one machine or one chunk of completions is larger; no two names
-// are alike.
+// A split neither loses nor duplicates a machine, binding or completion. No record exceeds the
+// size that it may be filled to, unless it holds a single machine or the completions of a single
+// move. All group names differ.
 func TestGroupsSplit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := genGroup(t)
@@ -22,7 +22,7 @@
 		g.ModRevision, g.Terminations = 9, nil
 		fill := rapid.IntRange(300, 1500).Draw(t, "fill")
 		update := &GroupUpdate{MachineGroup: *g, updated: map[wire.MachineID]*Machine{}}
-		parts := append([]*GroupUpdate{update}, update.splitToFill(fill)...)
+		parts := append([]*GroupUpdate{update}, update.splitToSize(fill)...)
 		machines, completions := map[wire.MachineID]*Machine{}, map[wire.JobID][]int{}
 		checkPartSizes(t, parts, fill)
 		for _, part := range parts {
@@ -40,7 +40,7 @@
 	})
 }
 
-// addCompletions adds as many completions as the record of a former version may hold.
+// addCompletions adds as many completions as the record of an earlier version may hold.
 func addCompletions(t *rapid.T, g *MachineGroup) {
 	for job, tasks := range g.Completions {
 		for n := range rapid.IntRange(0, 200).Draw(t, "more") {
@@ -64,7 +64,7 @@
 		}
 		pieces := len(part.Machines)
 		for _, tasks := range part.Completions {
-			pieces += (len(tasks) + completionsPerPart - 1) / completionsPerPart
+			pieces += (len(tasks) + completionsPerMove - 1) / completionsPerMove
 		}
 		if part.RetainedSize() > fill && pieces > 1 {
 			t.Fatalf("%d bytes of %d in a record of %d pieces", part.RetainedSize(), fill, pieces)
@@ -72,7 +72,7 @@
 	}
 }
 
-// decodePart encodes and decodes a part. Its machines must be sorted.
+// decodePart encodes and decodes a part, and checks that its machines are sorted.
 func decodePart(t *rapid.T, part *GroupUpdate) *MachineGroup {
 	raw, err := json.Marshal(&part.MachineGroup)
 	if err != nil {
@@ -85,7 +85,7 @@
 	return g
 }
 
-// checkSplit checks that the parts of a group have what it had.
+// checkSplit checks that the parts of a group together hold what the group held.
 func checkSplit(t *rapid.T, g *MachineGroup, machines map[wire.MachineID]*Machine, completions map[wire.JobID][]int) {
 	for _, m := range g.Machines {
 		got := machines[m.Name]
@@ -105,8 +105,8 @@
 	}
 }
 
-// Of one revision, a machine that a split moves is never missing in between, in whatever order
-// the store tells of the records.
+// A machine that a split moves is never missing while the changes of its revision are applied,
+// whatever the order in which the store reports the records.
 func TestSplitMachinesAreNeverGone(t *testing.T) {
 	for _, reversed := range []bool{false, true} {
 		cache := Start(t.Context(), nil, Options{ChunkTasks: 8})
@@ -134,7 +134,7 @@
 		cache.publish([]Change{put(whole, 4)})
 		update := cache.view.UpdateGroup("g")
 		changes := []Change{}
-		for _, part := range update.splitToFill(300) {
+		for _, part := range update.splitToSize(300) {
 			changes = append(changes, put(&part.MachineGroup, 5))
 		}
 		if changes = append(changes, put(&update.MachineGroup, 5)); len(changes) < 2 {
