--- a/internal/election/assignment.go
+++ b/internal/election/assignment.go
@@ -7,8 +7,7 @@
 	"lynxledge/wire"
 )
 
-// assignTeams assigns the teams without a live controller to one, as many as a transaction has
-// room for.
+// assignTeams commits the assignments that Assign returns, as many as fit into one transaction.
 func (e *Election) assignTeams() {
 	c := statecache.Commit{Preconditions: []wire.Precondition{e.leaderPrecondition()}}
 	for team, member := range Assign(e.teams.list(), e.view.Assignments, e.view.Members, e.view.Leader.Member) {
@@ -35,8 +34,9 @@
 	}})
 }
 
-// Assign returns the teams that need another controller, and which. All are assigned to one, since
-// a group of machines is best written by one controller alone; it keeps them while it lives.
+// Assign returns the teams that must move to another controller, with that controller. All teams
+// are assigned to the same controller, since the record of a machine group is best written by a
+// single controller. It keeps them as long as it is live.
 func Assign(teams []wire.TeamName, assignments map[wire.TeamName]*statecache.Assignment, members map[string]*statecache.Member, leader string) map[wire.TeamName]string {
 	moves := map[wire.TeamName]string{}
 	if len(members) == 0 {
@@ -45,7 +45,7 @@
 	isLive := func(a *statecache.Assignment) bool {
 		return a != nil && members[a.Member] != nil && members[a.Member].Incarnation == a.Incarnation
 	}
-	assigned := map[string]int{} // teams that a live controller has
+	assigned := map[string]int{} // number of teams assigned to each live controller
 	for _, team := range teams {
 		if a := assignments[team]; isLive(a) {
 			assigned[a.Member]++
@@ -60,8 +60,8 @@
 	return moves
 }
 
-// chooseScheduler returns the member with the most teams assigned. Of equal ones that is rather
-// another than the leader, which has work enough, and the first by name.
+// chooseScheduler returns the member with the most teams assigned. Ties go to a member that is not
+// the leader, which has other work to do, and then to the first by name.
 func chooseScheduler(members map[string]*statecache.Member, assigned map[string]int, leader string) string {
 	best := ""
 	for member := range members {
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -11,25 +11,25 @@
 	"lynxledge/wire"
 )
 
-// LeaseClient is what the election needs of the key-value store.
+// LeaseClient is the part of the key-value store's client that the election uses.
 type LeaseClient interface {
 	GrantLease(ctx context.Context, ttl time.Duration) (uint64, error)
 	RenewLease(ctx context.Context, lease uint64) error
 }
 
-// Options of an election.
+// Options configures an Election.
 type Options struct {
 	MemberName   string
-	Incarnation  uint64 // tells this process from its earlier ones
+	Incarnation  uint64 // identifies this process among successive processes of the member
 	LeaseTTL     time.Duration
 	Teams        []wire.TeamName
 	MaxTxnOps    int
 	ChunkTasks   int
-	Capabilities []string // announced in the membership record
+	Capabilities []string // written to the membership record
 }
 
-// Election is the actor that owns membership and leadership. It ends with its context, and with
-// it its calls of the store; nothing else cancels them.
+// Election is the actor that owns this controller's membership and leadership. It stops when its
+// context ends. That context is also the only thing that cancels its requests to the store.
 type Election struct {
 	*actor.Actor
 	ctx     context.Context
@@ -40,12 +40,12 @@
 	teams   *teamList
 
 	lease             lease
-	requestInFlight   bool // the grant of a lease or a commit: there is one at a time
+	requestInFlight   bool // a lease grant or a commit; at most one is in flight
 	campaignScheduled bool
-	resigned          bool // this process leaves: it renews and claims nothing any more
+	resigned          bool // this process is leaving: it renews no lease and starts no other request
 }
 
-// Start starts an election until the context ends.
+// Start starts an Election that runs until ctx ends.
 func Start(ctx context.Context, leases LeaseClient, cache *statecache.Cache, options Options) *Election {
 	e := &Election{
 		Actor: actor.Start(ctx, "election", 256), ctx: ctx, leases: leases, cache: cache,
@@ -61,7 +61,7 @@
 	return e
 }
 
-// apply applies changes of the store's records.
+// apply applies changes of records to the view and the team list.
 func (e *Election) apply(changes []statecache.Change) {
 	for _, change := range changes {
 		e.view.Apply(change)
@@ -72,25 +72,26 @@
 	}
 }
 
-// IsLeader tells whether a process leads, as far as a view knows.
+// IsLeader reports whether, according to a view, the process with the given incarnation leads.
 func IsLeader(v *statecache.View, incarnation uint64) bool {
 	return v.Leader != nil && v.Leader.Incarnation == incarnation
 }
 
 func (e *Election) isLeader() bool { return IsLeader(e.view, e.options.Incarnation) }
 
-// isMember tells whether the membership record is this process's.
+// isMember reports whether this member's record was written by this process.
 func (e *Election) isMember() bool {
-	me := e.view.Members[e.options.MemberName]
-	return me != nil && me.Incarnation == e.options.Incarnation
+	member := e.view.Members[e.options.MemberName]
+	return member != nil && member.Incarnation == e.options.Incarnation
 }
 
-// isBusy tells whether nothing new may be requested for now, or any more.
-func (e *Election) isBusy() bool { return e.requestInFlight || e.resigned }
+// requestBlocked reports whether no new request may start: because another one is in flight, or
+// because this process has resigned.
+func (e *Election) requestBlocked() bool { return e.requestInFlight || e.resigned }
 
-// reconcile does the next thing that membership, leadership or the teams need.
+// reconcile starts the next request that membership, leadership or team assignment needs.
 func (e *Election) reconcile() {
-	if e.lease.id == 0 || e.isBusy() || e.view.Term == nil && e.view.Leader != nil {
+	if e.lease.id == 0 || e.requestBlocked() || e.view.Term == nil && e.view.Leader != nil {
 		return
 	}
 	if !e.isMember() {
@@ -102,7 +103,7 @@
 	case leader == nil && !e.campaignScheduled:
 		e.scheduleCampaign()
 	case leader != nil && leader.Member == e.options.MemberName && leader.Incarnation != e.options.Incarnation:
-		// An earlier process of this member led; it has certainly ended.
+		// The leader is an earlier process of this member, which has certainly ended.
 		e.campaign()
 	case e.isLeader():
 		e.assignTeams()
@@ -120,7 +121,8 @@
 	}, nil)
 }
 
-// scheduleCampaign campaigns after a random pause, since the others see the same.
+// scheduleCampaign campaigns after a random delay, since the other controllers notice the missing
+// leader at the same time.
 func (e *Election) scheduleCampaign() {
 	e.campaignScheduled = true
 	e.After(time.Duration(rand.Int64N(int64(e.options.LeaseTTL/20))), func() {
@@ -131,7 +133,8 @@
 	})
 }
 
-// campaign claims leadership with a new term. That fails if the leader or the term has changed.
+// campaign claims leadership with a new term. The claim fails if the leader record or the term
+// record has changed.
 func (e *Election) campaign() {
 	var leaderRevision, termRevision uint64
 	term := uint64(1)
@@ -154,12 +157,12 @@
 	}, func() { slog.Info("leadership acquired", "term", term) })
 }
 
-// leaderPrecondition has a commit fail unless the leader is the one of the view.
+// leaderPrecondition returns the condition that the leader record is still the one in the view.
 func (e *Election) leaderPrecondition() wire.Precondition {
 	return wire.Precondition{Key: statecache.LeaderKey, ModRevision: e.view.Leader.ModRevision}
 }
 
-// commit commits, calls onCommitted if that succeeds and it is not nil, and goes on from there.
+// commit sends a commit. If it succeeds, it calls onCommitted unless nil, and reconciles.
 func (e *Election) commit(c statecache.Commit, onCommitted func()) {
 	e.requestInFlight = true
 	e.cache.Commit(c, func(outcome statecache.Outcome) {
@@ -172,7 +175,8 @@
 				}
 				e.reconcile()
 			case statecache.Rejected:
-				// An expired lease is a reason among others.
+				// An expired lease is one possible reason. Assume it if the lease was not
+				// renewed for half its TTL.
 				if time.Since(e.lease.renewedAt) > e.options.LeaseTTL/2 {
 					e.lease.id = 0
 				}
--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -13,8 +13,8 @@
 	"lynxledge/wire"
 )
 
-// After an assignment one live controller has all teams, one that had some
-// already if any did, and a second assignment changes nothing.
+// After an assignment all teams belong to one live controller, which is one that already had teams
+// if there was any, and a second assignment changes nothing.
 func TestAssign(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		members := map[string]*statecache.Member{}
@@ -45,22 +45,22 @@
 				t.Fatalf("%s is assigned to %+v", team, a)
 			}
 			if a.Member != assignments[teams[0]].Member {
-				t.Fatalf("two controllers schedule: %v", assignments)
+				t.Fatalf("teams assigned to more than one controller: %v", assignments)
 			}
 			if len(live) > 0 && !live[a.Member] {
-				t.Fatalf("taken from %v for no reason", live)
+				t.Fatalf("teams taken from live controllers %v", live)
 			}
 			if len(live) == 0 && a.Member == "m0" && len(members) > 1 {
-				t.Fatal("the leader schedules, though another could")
+				t.Fatal("teams assigned to the leader though another member is live")
 			}
 		}
 		if again := Assign(teams, assignments, members, "m0"); len(again) > 0 {
-			t.Fatalf("moves again: %v", again)
+			t.Fatalf("second assignment moves teams: %v", again)
 		}
 	})
 }
 
-// A team that left the settings keeps its jobs scheduled, until the last is over.
+// A team that was removed from the settings stays listed until its last active job has ended.
 func TestTeamsOfRunningJobs(t *testing.T) {
 	job := func(team wire.TeamName, state wire.JobState) *statecache.Job {
 		return &statecache.Job{Spec: &wire.Job{Team: team}, State: state}
@@ -73,13 +73,13 @@
 	if got := teams.list(); !slices.Equal(got, []wire.TeamName{"a", "gone"}) {
 		t.Fatalf("teams %v", got)
 	}
-	teams.apply("2", job("gone", "")) // told again
+	teams.apply("2", job("gone", "")) // repeated change
 	teams.apply("2", &statecache.Job{State: wire.JobDone})
 	if got := teams.list(); !slices.Equal(got, []wire.TeamName{"a", "gone"}) {
 		t.Fatalf("teams %v with one job left", got)
 	}
 	teams.apply("4", nil)
 	if got := teams.list(); !slices.Equal(got, []wire.TeamName{"a"}) {
-		t.Fatalf("teams %v after the last", got)
+		t.Fatalf("teams %v after the last job ended", got)
 	}
 }
--- a/internal/election/handover.go
+++ b/internal/election/handover.go
@@ -7,26 +7,27 @@
 	"lynxledge/wire"
 )
 
-// ClaimLeadership campaigns although the leader's lease has not expired. That is safe, since the
-// claim is conditional on the leader's record at a revision: from its commit on, every write of
-// the former leader fails, and its launches carry older fencing tokens. A leader that is alive
-// has lost leadership, no more.
+// ClaimLeadership campaigns although the leader's lease has not expired. This is safe because the
+// claim is conditional on the revision of the leader record. Once it is committed, every write of
+// the former leader fails, and its launches carry older fencing tokens. A former leader that is
+// still alive loses its leadership but nothing else.
 func (e *Election) ClaimLeadership(revision uint64) {
 	e.Post(func() {
-		if e.isBusy() || e.lease.id == 0 || e.view.Leader == nil || e.view.Leader.ModRevision != revision {
+		if e.requestBlocked() || e.lease.id == 0 || e.view.Leader == nil || e.view.Leader.ModRevision != revision {
 			return
 		}
 		e.campaign()
 	})
 }
 
-// EvictMember ends a member's membership before its lease has expired, if this process leads: its
-// teams are assigned to others. That is conditional on the member's record as it was judged. A
-// member that is alive registers again, and may be assigned teams again.
+// EvictMember deletes a member's record before its lease has expired, if this process leads, so
+// that its teams are assigned to another member. It deletes only the record of the given
+// incarnation, conditional on that record's revision. A member that is still alive registers
+// again, and may be assigned teams again.
 func (e *Election) EvictMember(name string, incarnation uint64) {
 	e.Post(func() {
 		member := e.view.Members[name]
-		if e.isBusy() || !e.isLeader() || member == nil || member.Incarnation != incarnation {
+		if e.requestBlocked() || !e.isLeader() || member == nil || member.Incarnation != incarnation {
 			return
 		}
 		c := statecache.Commit{Preconditions: []wire.Precondition{e.leaderPrecondition()}}
@@ -35,8 +36,9 @@
 	})
 }
 
-// Resign gives up leadership and membership at once, in one transaction, and claims nothing any
-// more. done is called when that has an outcome, or there is nothing to give up.
+// Resign deletes this process's leader and membership records in one transaction, and stops it from
+// acquiring either again. It calls done once the transaction has an outcome, or at once if there
+// is no record to delete.
 func (e *Election) Resign(done func()) {
 	e.Send(func() {
 		e.resigned = true
@@ -58,7 +60,7 @@
 	})
 }
 
-// addDeletion adds the deletion of a key to a commit, conditional on its revision.
+// addDeletion adds the deletion of a key to a commit, conditional on the key's revision.
 func addDeletion(c *statecache.Commit, key string, revision uint64) {
 	c.Preconditions = append(c.Preconditions, wire.Precondition{Key: key, ModRevision: revision})
 	c.Deletes = append(c.Deletes, key)
--- a/internal/election/lease.go
+++ b/internal/election/lease.go
@@ -9,28 +9,29 @@
 	"lynxledge/internal/kvstore"
 )
 
-// lease is the lease that membership and leadership are attached to.
+// lease is the lease that this controller's membership and leader records are attached to.
 type lease struct {
-	id             uint64    // 0: there is none
-	renewedAt      time.Time // when it was granted, or the start of the request that renewed it last
-	renewalBegunAt time.Time // of the last request, answered or not
+	id                 uint64    // 0: none is held
+	renewedAt          time.Time // when the grant arrived, or when the last successful renewal was started
+	renewalAttemptedAt time.Time // start of the last renewal request, successful or not
 }
 
-// checksPerLeaseTTL is how many times a lease is checked within its time to live. A renewal that
-// gets no answer is repeated with the next check.
+// checksPerLeaseTTL is how many times per TTL the lease is checked. A renewal that gets no answer
+// is retried at the next check.
 const checksPerLeaseTTL = 2 * config.RenewalsPerLeaseTTL
 
-// renewalDue tells whether a check should renew the lease: so long after the last renewal that
-// the next check would be late, and after the last request that it is not the same check. Half
-// of the time between two checks makes up for those that come early or late.
+// renewalDue reports whether the lease should be renewed now: the renewal interval has passed since
+// the last successful renewal, and the check interval since the last attempt. Half a check
+// interval is subtracted from both, so that a check that runs slightly early does not leave the
+// renewal to the next check.
 func (l *lease) renewalDue(now time.Time, ttl time.Duration) bool {
 	tolerance := ttl / checksPerLeaseTTL / 2
 	return now.Sub(l.renewedAt) >= ttl/config.RenewalsPerLeaseTTL-tolerance &&
-		now.Sub(l.renewalBegunAt) >= ttl/checksPerLeaseTTL-tolerance
+		now.Sub(l.renewalAttemptedAt) >= ttl/checksPerLeaseTTL-tolerance
 }
 
-// maintainLease has the lease granted or renewed when that is due. Renewals don't wait for other
-// requests, nor for earlier ones of their own: what gets no answer takes long to fail.
+// maintainLease requests or renews the lease when that is due. A renewal waits neither for other
+// requests nor for earlier renewals, since a request that gets no answer takes long to fail.
 func (e *Election) maintainLease() {
 	switch {
 	case e.resigned:
@@ -62,23 +63,24 @@
 }
 
 func (e *Election) renewLease() {
-	id, begun := e.lease.id, time.Now()
-	e.lease.renewalBegunAt = begun
+	id, startedAt := e.lease.id, time.Now()
+	e.lease.renewalAttemptedAt = startedAt
 	go func() {
 		err := e.leases.RenewLease(e.ctx, id)
-		e.Send(func() { e.renewalEnded(id, begun, err) })
+		e.Send(func() { e.handleRenewalResult(id, startedAt, err) })
 	}()
 }
 
-// renewalEnded takes the outcome of a renewal of a lease, which another may have replaced.
-func (e *Election) renewalEnded(id uint64, begun time.Time, err error) {
+// handleRenewalResult handles the result of a renewal. It ignores the result if the lease has been
+// replaced by another one since.
+func (e *Election) handleRenewalResult(id uint64, startedAt time.Time, err error) {
 	if id != e.lease.id {
 		return
 	}
 	switch {
 	case err == nil:
-		if begun.After(e.lease.renewedAt) {
-			e.lease.renewedAt = begun
+		if startedAt.After(e.lease.renewedAt) {
+			e.lease.renewedAt = startedAt
 		}
 	case errors.Is(err, kvstore.ErrNotFound):
 		slog.Info("membership lease expired", "lease", id)
--- a/internal/election/lease_test.go
+++ b/internal/election/lease_test.go
@@ -17,44 +17,44 @@
 
 const testLeaseTTL = 8 * time.Second
 
-// storeTimeout is after how long a call that gets no answer has failed.
+// storeTimeout is the time after which a call without an answer fails.
 const storeTimeout = 1500 * time.Millisecond
 
-// recordedRenewals is a lease client that records when a lease is renewed.
-type recordedRenewals struct {
+// renewalRecorder is a LeaseClient that records the start time of each renewal.
+type renewalRecorder struct {
 	LeaseClient
-	mu    sync.Mutex
-	begun []time.Time
-	lose  bool // no renewal gets an answer
+	mu         sync.Mutex
+	started    []time.Time
+	unanswered bool // renewals fail after storeTimeout
 }
 
-func (c *recordedRenewals) RenewLease(ctx context.Context, lease uint64) error {
+func (c *renewalRecorder) RenewLease(ctx context.Context, lease uint64) error {
 	c.mu.Lock()
-	c.begun = append(c.begun, time.Now())
-	lose := c.lose
+	c.started = append(c.started, time.Now())
+	unanswered := c.unanswered
 	c.mu.Unlock()
-	if lose {
+	if unanswered {
 		time.Sleep(storeTimeout)
 		return errors.New("no answer")
 	}
 	return c.LeaseClient.RenewLease(ctx, lease)
 }
 
-// begunAt are the times at which renewals began so far.
-func (c *recordedRenewals) begunAt() []time.Time {
+// startTimes returns the start times of the renewals so far.
+func (c *renewalRecorder) startTimes() []time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return slices.Clone(c.begun)
+	return slices.Clone(c.started)
 }
 
-// withElection runs a test of an election that leads alone, with the renewals of its lease.
-func withElection(t *testing.T, test func(renewals *recordedRenewals)) {
+// withElection runs a test with an Election that is the only member, and the renewals of its lease.
+func withElection(t *testing.T, test func(renewals *renewalRecorder)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		conn := &simulation.StoreConn{Store: simulation.NewStore(), Network: simulation.NewNetwork(1, time.Millisecond), Member: "n0", Timeout: storeTimeout}
 		cache := statecache.Start(ctx, conn, statecache.Options{ChunkTasks: statecache.ChunkTasks(8), WatchHold: time.Second, MaxViewAge: time.Second, Backoff: 100 * time.Millisecond})
-		renewals := &recordedRenewals{LeaseClient: conn}
+		renewals := &renewalRecorder{LeaseClient: conn}
 		Start(ctx, renewals, cache, Options{MemberName: "n0", Incarnation: 7, LeaseTTL: testLeaseTTL, Teams: []wire.TeamName{"red"}, MaxTxnOps: 8, ChunkTasks: 8})
 		cache.Run()
 		test(renewals)
@@ -63,39 +63,39 @@
 	})
 }
 
-// A membership lease is renewed as often as the settings' checks assume (guards against renewals
-// that a check of the lease comes just too early for, and that then wait for the next).
-func TestLeaseIsRenewedThreeTimesInItsTime(t *testing.T) {
-	withElection(t, func(renewals *recordedRenewals) {
-		time.Sleep(testLeaseTTL) // granted, and renewed for the first time
-		first := len(renewals.begunAt())
-		const leases = 10
-		time.Sleep(leases * testLeaseTTL)
-		if got := len(renewals.begunAt()) - first; got < leases*config.RenewalsPerLeaseTTL-1 {
-			t.Errorf("%d renewals in the time of %d leases", got, leases)
+// The membership lease is renewed as often as the validation of the settings assumes. Guards
+// against a check that runs just before a renewal is due and leaves it to the next check.
+func TestLeaseIsRenewedThreeTimesPerTTL(t *testing.T) {
+	withElection(t, func(renewals *renewalRecorder) {
+		time.Sleep(testLeaseTTL) // the lease is granted and renewed at least once
+		before := len(renewals.startTimes())
+		const periods = 10
+		time.Sleep(periods * testLeaseTTL)
+		if got := len(renewals.startTimes()) - before; got < periods*config.RenewalsPerLeaseTTL-1 {
+			t.Errorf("%d renewals within %d lease TTLs", got, periods)
 		}
 	})
 }
 
-// A renewal that gets no answer is repeated soon enough for three tries before the lease expires
-// (guards against leadership that moves because two messages were lost).
+// A renewal that gets no answer is retried soon enough for three attempts before the lease expires.
+// Guards against losing leadership because two messages were lost.
 func TestLostRenewalsAreRepeatedInTime(t *testing.T) {
-	withElection(t, func(renewals *recordedRenewals) {
+	withElection(t, func(renewals *renewalRecorder) {
 		time.Sleep(10 * testLeaseTTL)
 		renewals.mu.Lock()
-		renewals.lose = true
-		lastAnswered := renewals.begun[len(renewals.begun)-1]
-		answered := len(renewals.begun)
+		renewals.unanswered = true
+		lastAnswered := renewals.started[len(renewals.started)-1]
+		answered := len(renewals.started)
 		renewals.mu.Unlock()
 		time.Sleep(2 * testLeaseTTL)
-		tries := 0
-		for _, begun := range renewals.begunAt()[answered:] {
-			if begun.Before(lastAnswered.Add(testLeaseTTL)) {
-				tries++
+		attempts := 0
+		for _, startedAt := range renewals.startTimes()[answered:] {
+			if startedAt.Before(lastAnswered.Add(testLeaseTTL)) {
+				attempts++
 			}
 		}
-		if tries < config.RenewalsPerLeaseTTL {
-			t.Errorf("%d tries before the lease expires", tries)
+		if attempts < config.RenewalsPerLeaseTTL {
+			t.Errorf("%d attempts before the lease expires", attempts)
 		}
 	})
 }
--- a/internal/election/teams.go
+++ b/internal/election/teams.go
@@ -8,21 +8,21 @@
 	"lynxledge/wire"
 )
 
-// teamList is the teams that need a controller: those of the settings, and those that left the
-// settings while jobs of theirs are active. It follows the jobs' changes, so that nobody has to
-// look through all jobs.
+// teamList holds the teams that need a controller: those in the settings, and those removed from
+// the settings that still have active jobs. It is updated with each change of a job, which avoids
+// scanning all jobs.
 type teamList struct {
 	configured []wire.TeamName
-	teamOfJob  map[wire.JobID]wire.TeamName // of active jobs
+	teamOfJob  map[wire.JobID]wire.TeamName // active jobs only
 	activeJobs map[wire.TeamName]int
-	names      []wire.TeamName // the list, nil once it may have changed
+	names      []wire.TeamName // result of list; nil when it has to be recomputed
 }
 
 func newTeamList(configured []wire.TeamName) *teamList {
 	return &teamList{configured: configured, teamOfJob: map[wire.JobID]wire.TeamName{}, activeJobs: map[wire.TeamName]int{}}
 }
 
-// apply applies a job's new record; nil if it was deleted.
+// apply applies a job's new record, which is nil if the job was deleted.
 func (t *teamList) apply(id wire.JobID, j *statecache.Job) {
 	if team, ok := t.teamOfJob[id]; ok {
 		delete(t.teamOfJob, id)
@@ -34,8 +34,8 @@
 	}
 }
 
-// addJobs adds to the count of a team's active jobs. Only the first job and the last may change
-// the list.
+// addJobs adds n to the count of a team's active jobs. The list may change only when the first job
+// is added or the last one removed.
 func (t *teamList) addJobs(team wire.TeamName, n int) {
 	before := t.activeJobs[team]
 	t.activeJobs[team] += n
@@ -47,7 +47,7 @@
 	}
 }
 
-// list returns the teams. The caller must not change the slice.
+// list returns the teams. The caller must not modify the slice.
 func (t *teamList) list() []wire.TeamName {
 	if t.names != nil {
 		return t.names
