--- a/internal/failuredetector/detector.go
+++ b/internal/failuredetector/detector.go
@@ -6,33 +6,33 @@
 	"time"
 )
 
-// maxGapHeartbeats is how many heartbeat intervals may pass between two checks. After a longer
-// gap this process stood still itself, and trusts nothing that it has observed before.
+// maxGapHeartbeats is the maximum time between two checks, in heartbeat intervals. A longer gap
+// means that this process itself was paused, so what it observed before no longer counts.
 const maxGapHeartbeats = 3
 
-// Verdict says that a process has failed.
+// Verdict states that a process is considered failed.
 type Verdict struct {
 	Member      string
 	Incarnation uint64 // of the process
 	Reason      string
 }
 
-// MemberStatus is what is known of a controller.
+// MemberStatus is the status of a controller at the time of a call.
 type MemberStatus struct {
 	Member         string
 	Level          Level
-	Incarnation    uint64 // 0: no heartbeat of any of its processes was received
+	Incarnation    uint64 // of its latest process; 0: no heartbeat received yet
 	SinceHeartbeat time.Duration
 	Connections    int
 }
 
-// memberState is what is known of a controller at any time.
+// memberState is the observed state of a controller.
 type memberState struct {
 	incarnation         uint64
-	lastHeartbeat       time.Time // its last heartbeat, or from when on missed heartbeats count
-	connections         int       // open ones, from it and to it
-	disconnectedSince   time.Time // since when none is open
-	replacedIncarnation uint64    // the process before, which has certainly ended
+	lastHeartbeat       time.Time // time of the last heartbeat, or a later time from which missed ones count
+	connections         int       // number of open connections from and to it
+	disconnectedSince   time.Time // start of the current time without an open connection
+	replacedIncarnation uint64    // of the previous process, which has certainly ended; 0: none
 }
 
 // Detector tracks the other controllers of a deployment.
@@ -43,7 +43,7 @@
 	lastCheck time.Time
 }
 
-// New returns a detector that takes every controller for alive.
+// New returns a detector that initially classifies every controller as alive.
 func New(now time.Time, policy Policy, members []string) *Detector {
 	d := &Detector{
 		policy:    policy,
@@ -57,8 +57,8 @@
 	return d
 }
 
-// Heartbeat records a heartbeat of a process. It returns false if the controller is not one of
-// the deployment, or the heartbeat is a late one of a process that has been replaced.
+// Heartbeat records a heartbeat of a process. It returns false if it ignores the heartbeat because
+// the controller is unknown, the incarnation is 0, or the process has already been replaced.
 func (d *Detector) Heartbeat(now time.Time, member string, incarnation uint64) bool {
 	state := d.members[member]
 	if state == nil || incarnation == 0 || incarnation == state.replacedIncarnation {
@@ -71,14 +71,14 @@
 	return true
 }
 
-// ConnectionOpened records a connection from a controller or to it.
+// ConnectionOpened records a new connection from or to a controller.
 func (d *Detector) ConnectionOpened(member string) {
 	if state := d.members[member]; state != nil {
 		state.connections++
 	}
 }
 
-// ConnectionClosed records the end of such a connection.
+// ConnectionClosed records the end of a connection from or to a controller.
 func (d *Detector) ConnectionClosed(now time.Time, member string) {
 	state := d.members[member]
 	if state == nil || state.connections == 0 {
@@ -89,8 +89,7 @@
 	}
 }
 
-// Check returns the verdicts that stand. It is to be called more than once per heartbeat
-// interval.
+// Check returns the current verdicts. It must be called more than once per heartbeat interval.
 func (d *Detector) Check(now time.Time) []Verdict {
 	gap := now.Sub(d.lastCheck)
 	d.lastCheck = now
@@ -104,7 +103,7 @@
 	return append(verdicts, d.failedProcesses(now)...)
 }
 
-// replacedProcesses returns verdicts on processes that a later incarnation has replaced.
+// replacedProcesses returns verdicts on processes that a new process of the member has replaced.
 func (d *Detector) replacedProcesses() []Verdict {
 	var verdicts []Verdict
 	for _, name := range d.names {
@@ -115,7 +114,7 @@
 	return verdicts
 }
 
-// failedProcesses returns verdicts on processes that have neither a heartbeat nor a connection.
+// failedProcesses returns verdicts on processes at level Failed.
 func (d *Detector) failedProcesses(now time.Time) []Verdict {
 	var verdicts []Verdict
 	for _, name := range d.names {
@@ -130,7 +129,7 @@
 	return verdicts
 }
 
-// restartTimers has missed heartbeats and closed connections count from now on.
+// restartTimers restarts the timeouts for missed heartbeats and closed connections.
 func (d *Detector) restartTimers(now time.Time) {
 	for _, state := range d.members {
 		state.lastHeartbeat = now
@@ -140,8 +139,8 @@
 	}
 }
 
-// isolated tells whether there are several other controllers and none of them is alive: then it
-// is more likely that this one is partitioned from all.
+// isolated reports whether there are several other controllers and none of them is alive. In that
+// case this controller has more likely been partitioned from all of them.
 func (d *Detector) isolated(now time.Time) bool {
 	if len(d.members) < 2 {
 		return false
@@ -151,18 +150,18 @@
 
 func (d *Detector) levelOf(now time.Time, state *memberState) Level {
 	sinceHeartbeat := now.Sub(state.lastHeartbeat)
-	started := state.incarnation != 0
+	heartbeatSeen := state.incarnation != 0
 	disconnected := state.connections == 0
 	switch {
-	case started && disconnected && sinceHeartbeat >= d.policy.FailedAfter && now.Sub(state.disconnectedSince) >= d.policy.FailedAfter:
+	case heartbeatSeen && disconnected && sinceHeartbeat >= d.policy.FailedAfter && now.Sub(state.disconnectedSince) >= d.policy.FailedAfter:
 		return Failed
-	case sinceHeartbeat >= d.policy.SuspectAfter || disconnected && started:
+	case sinceHeartbeat >= d.policy.SuspectAfter || disconnected && heartbeatSeen:
 		return Suspect
 	}
 	return Alive
 }
 
-// Level returns what a controller is taken for; one that is not known is suspect.
+// Level returns the level of a controller. Unknown controllers are suspect.
 func (d *Detector) Level(now time.Time, member string) Level {
 	if state := d.members[member]; state != nil {
 		return d.levelOf(now, state)
@@ -170,7 +169,7 @@
 	return Suspect
 }
 
-// Statuses returns what is known of all controllers, sorted by name.
+// Statuses returns the status of every other controller, sorted by name.
 func (d *Detector) Statuses(now time.Time) []MemberStatus {
 	var statuses []MemberStatus
 	for _, name := range d.names {
--- a/internal/failuredetector/detector_test.go
+++ b/internal/failuredetector/detector_test.go
@@ -16,7 +16,7 @@
 
 var testPolicy = Policy{HeartbeatInterval: heartbeatInterval, SuspectAfter: 2 * heartbeatInterval, FailedAfter: 2 * heartbeatInterval}
 
-// cluster is a detector among controllers that all send heartbeats, but for the stopped ones.
+// cluster is a detector for simulated controllers that send heartbeats unless they are stopped.
 type cluster struct {
 	*Detector
 	now          time.Time
@@ -36,7 +36,7 @@
 	return c
 }
 
-// advance lets heartbeat intervals pass in quarters, and returns the verdicts at their end.
+// advance simulates heartbeat intervals, with a check each quarter, and returns the last verdicts.
 func (c *cluster) advance(intervals int) (verdicts []Verdict) {
 	for i := range 4 * intervals {
 		c.now = c.now.Add(heartbeatInterval / 4)
@@ -50,7 +50,7 @@
 	return verdicts
 }
 
-// stop ends a controller's process.
+// stop simulates the end of a controller's process.
 func (c *cluster) stop(m string) {
 	c.stopped[m] = true
 	c.ConnectionClosed(c.now, m)
@@ -65,8 +65,8 @@
 	return names
 }
 
-// A controller with neither heartbeats nor connections has failed; one that only misses
-// heartbeats, or has only lost its connections, is suspect.
+// A controller with neither heartbeats nor connections is failed. One that only misses heartbeats,
+// or has only lost its connections, is suspect.
 func TestLevels(t *testing.T) {
 	c := newCluster("n1", "n2", "n3")
 	if v := c.advance(10); len(v) > 0 {
@@ -93,33 +93,33 @@
 	}
 }
 
-// A controller that receives no heartbeats at all gives no verdict, nor does one that stood still
-// itself.
+// A controller returns no verdict on processes that stopped sending heartbeats while it receives
+// heartbeats from nobody, or while it was paused itself.
 func TestNoVerdictWhenIsolatedOrStalled(t *testing.T) {
 	c := newCluster("n1", "n2")
 	c.stop("n1")
 	c.stop("n2")
 	if v := c.advance(60); len(v) > 0 {
-		t.Errorf("all have failed: %v", v)
+		t.Errorf("all peers stopped: %v", v)
 	}
 	c = newCluster("n1", "n2")
 	c.stop("n1")
 	c.now = c.now.Add(30 * heartbeatInterval)
 	if v := c.Check(c.now); len(v) > 0 {
-		t.Errorf("right after a stall: %v", v)
+		t.Errorf("right after a pause: %v", v)
 	}
 	if v := processesOf(c.advance(3)); !slices.Equal(v, []string{"n1/1"}) {
-		t.Errorf("a while after it: %v", v)
+		t.Errorf("three intervals after the pause: %v", v)
 	}
-	alone := newCluster("n1") // with one other there is nobody to compare with
-	alone.stop("n1")
-	if v := processesOf(alone.advance(3)); !slices.Equal(v, []string{"n1/1"}) {
-		t.Errorf("of two: %v", v)
+	pair := newCluster("n1") // with only one peer, isolation can't be told from its failure
+	pair.stop("n1")
+	if v := processesOf(pair.advance(3)); !slices.Equal(v, []string{"n1/1"}) {
+		t.Errorf("two controllers: %v", v)
 	}
 }
 
-// A later incarnation of a controller proves the end of the one before; a late heartbeat of that
-// one changes nothing.
+// A heartbeat of a new incarnation proves that the previous process has ended. A delayed heartbeat
+// of the previous process is ignored.
 func TestLaterIncarnationProvesEndOfEarlier(t *testing.T) {
 	c := newCluster("n1", "n2", "n3")
 	c.incarnations["n1"] = 2
@@ -127,15 +127,15 @@
 		t.Errorf("%v, %v", v, c.Level(c.now, "n1"))
 	}
 	if c.Heartbeat(c.now, "n1", 1) || c.Heartbeat(c.now, "unknown", 1) || c.Heartbeat(c.now, "n2", 0) {
-		t.Error("taken: a late heartbeat, an unknown controller's, or one that names no process")
+		t.Error("accepted a delayed heartbeat, one of an unknown controller, or one without an incarnation")
 	}
 	if v := processesOf(c.advance(1)); !slices.Equal(v, []string{"n1/1"}) {
-		t.Errorf("after a late one: %v", v)
+		t.Errorf("after a delayed heartbeat: %v", v)
 	}
 }
 
-// Whatever heartbeats arrive, and however long this process stands still: no verdict is given on a
-// process that sent one within the time of failure, or that has a connection open.
+// For any sequence of heartbeats, connections and pauses of this process, there is no verdict on a
+// process that sent a heartbeat within FailedAfter or has an open connection.
 func TestNoVerdictOnAliveProcess(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
@@ -171,8 +171,8 @@
 	})
 }
 
-// Controllers in other zones than the failed one's come first, and of these those that hold no
-// other role.
+// Members outside the failed leader's zone come first, and the active scheduler comes last within
+// its group.
 func TestSuccessorOrder(t *testing.T) {
 	zones := map[string]wire.Zone{"n0": "a", "n1": "a", "n2": "b", "n3": "b", "n4": "c"}
 	got := SuccessorOrder([]string{"n1", "n2", "n3", "n4"}, func(m string) wire.Zone { return zones[m] }, "a", "n2")
--- a/internal/failuredetector/level.go
+++ b/internal/failuredetector/level.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// Level is how far a controller is suspected of having failed.
+// Level classifies a controller by how likely it is to have failed.
 type Level int
 
-// The levels. Missed heartbeats alone make a controller suspect; only a process that has neither
-// a connection nor a heartbeat left has failed.
+// The levels. A controller that misses heartbeats or has lost all connections is suspect. It is
+// failed only if both hold for long enough.
 const (
 	Alive Level = iota
 	Suspect
@@ -18,13 +18,13 @@
 // String returns the level's name.
 func (l Level) String() string { return levelNames[l] }
 
-// Policy sets when a controller goes from one level to another.
+// Policy holds the timeouts that decide the level of a controller.
 type Policy struct {
 	// HeartbeatInterval is the time between two heartbeats of a controller.
 	HeartbeatInterval time.Duration
-	// SuspectAfter is the time without a heartbeat from which a controller is suspect.
+	// SuspectAfter is the time without a heartbeat after which a controller is suspect.
 	SuspectAfter time.Duration
-	// FailedAfter is the time without a heartbeat, and with all connections closed, from which
-	// a controller has failed.
+	// FailedAfter is the time without a heartbeat, and with all connections closed, after which
+	// a controller is failed.
 	FailedAfter time.Duration
 }
--- a/internal/failuredetector/successors.go
+++ b/internal/failuredetector/successors.go
@@ -8,15 +8,16 @@
 	"lynxledge/wire"
 )
 
-// SuccessorOrder sorts the controllers that may take over the role of a failed one: those in
-// other zones than the failed one's first, and among these those that do not hold the other role.
-func SuccessorOrder(members []string, zoneOf func(string) wire.Zone, failedZone wire.Zone, holderOfOtherRole string) []string {
+// SuccessorOrder sorts the members that may take over from a failed leader: first those outside
+// the failed leader's zone, then those in it; in each group the active scheduler comes last, and
+// the others are sorted by name.
+func SuccessorOrder(members []string, zoneOf func(string) wire.Zone, failedZone wire.Zone, activeScheduler string) []string {
 	rank := func(member string) int {
 		n := 0
 		if zoneOf(member) == failedZone {
 			n += 2
 		}
-		if member == holderOfOtherRole {
+		if member == activeScheduler {
 			n++
 		}
 		return n
--- a/internal/reconcile/doc.go
+++ b/internal/reconcile/doc.go
@@ -1,4 +1,4 @@
-// Package reconcile compares a machine's stored record with the heartbeat of its worker. The
-// result says which tasks have certainly terminated, what the record has to be updated with,
-// and which commands the worker needs. It is pure.
+// Package reconcile compares a machine's stored record with a heartbeat of its worker. The result
+// says which tasks have certainly terminated, what has to be updated in the record, and which
+// commands the worker needs. Its functions have no side effects.
 package reconcile
--- a/internal/reconcile/reconcile.go
+++ b/internal/reconcile/reconcile.go
@@ -5,33 +5,33 @@
 	"lynxledge/wire"
 )
 
-// Result is what a heartbeat shows of a machine's record.
+// Result is the result of comparing a machine's record with a heartbeat.
 type Result struct {
 	Commands         []wire.Command
-	Terminated       []statecache.Termination // bound tasks that are certainly not on the machine any more
-	ToFence          []statecache.TaskBinding // tasks of cancelled jobs that a late launch could still start
-	NewIncarnation   bool                     // the heartbeat begins an incarnation that the record doesn't know
-	RecordOutdated   bool                     // the worker has seen a fencing token beyond the record's
-	ReachableAgain   bool                     // the record suspects the machine, but the worker has seen that
-	PreemptionNotice bool                     // the cloud will take the machine, which the record doesn't know
+	Terminated       []statecache.Termination // bound tasks that have certainly terminated
+	ToFence          []statecache.TaskBinding // absent tasks of cancelled jobs that a delayed launch could still start
+	NewIncarnation   bool                     // the heartbeat's incarnation is later than the record's
+	RecordOutdated   bool                     // the worker has seen a higher fencing token than the record's
+	ReachableAgain   bool                     // the worker has seen the token of the record that suspects the machine
+	PreemptionNotice bool                     // the cloud will reclaim the machine, and the record doesn't drain it yet
 }
 
-// RequiresUpdate tells whether the record has to be rewritten.
+// RequiresUpdate reports whether the record has to be updated.
 func (r *Result) RequiresUpdate() bool {
 	return len(r.Terminated) > 0 || len(r.ToFence) > 0 || r.NewIncarnation || r.RecordOutdated || r.ReachableAgain || r.PreemptionNotice
 }
 
-// Heartbeat compares a machine's record with a heartbeat of its worker. Only an exited task, a
-// later incarnation, or absence under a fencing token that fences every launch of the attempt
-// shows that a task has terminated; absence alone shows nothing, because a launch may be on its
-// way.
+// Heartbeat compares a machine's record with a heartbeat of its worker. A bound task has certainly
+// terminated only if the heartbeat reports its attempt as exited, has a later incarnation, or lacks
+// the attempt and has a fencing token that fences off every launch of the attempt. Absence alone
+// proves nothing, because a launch may be in flight.
 func Heartbeat(rec *statecache.Machine, heartbeat *wire.Heartbeat, active func(job wire.JobID) bool) Result {
 	var result Result
 	if heartbeat.Incarnation < rec.Incarnation {
-		return result // sent before the worker's lease ended
+		return result // delayed: sent before the worker's lease expired
 	}
-	// The update that suspected the machine raised its token: only a worker that was answered
-	// since then has seen it, and no copy of an older heartbeat has.
+	// The update that marked the machine suspected raised its fencing token. Only a heartbeat sent
+	// after a response to the worker since then has that token; delayed copies of older ones don't.
 	result.ReachableAgain = rec.Suspected && !rec.Terminating && heartbeat.FencingToken >= rec.FencingToken
 	result.RecordOutdated = heartbeat.FencingToken > rec.FencingToken
 	if heartbeat.Incarnation > rec.Incarnation {
@@ -42,14 +42,14 @@
 		return result
 	}
 	result.PreemptionNotice = heartbeat.PreemptionNotice != nil && rec.DrainReason == ""
-	statuses := make(map[wire.TaskID]*wire.TaskStatus, len(heartbeat.Tasks)) // made here, it need not be allocated
+	statuses := make(map[wire.TaskID]*wire.TaskStatus, len(heartbeat.Tasks)) // created here so that it doesn't escape to the heap
 	result.matchTasks(rec, heartbeat, statuses)
 	result.compareBindings(rec, heartbeat, statuses, active)
 	return result
 }
 
-// matchTasks sets the statuses of the attempts that are bound, by task, and adds the commands for
-// all other entries of the heartbeat.
+// matchTasks fills statuses, by task, with those of bound attempts, and adds the commands for all
+// other tasks in the heartbeat.
 func (r *Result) matchTasks(rec *statecache.Machine, heartbeat *wire.Heartbeat, statuses map[wire.TaskID]*wire.TaskStatus) {
 	attempts := make(map[wire.TaskID]uint64, len(rec.Bindings))
 	for i := range rec.Bindings {
@@ -65,8 +65,9 @@
 	}
 }
 
-// compareBindings compares the record's bindings with the statuses of their attempts. Launches
-// wait until a task that saves a checkpoint has made room.
+// compareBindings compares the record's bindings with the statuses of their attempts. It adds no
+// launches while a task on the machine is given time for a checkpoint, since that task still
+// occupies the capacity.
 func (r *Result) compareBindings(rec *statecache.Machine, heartbeat *wire.Heartbeat, statuses map[wire.TaskID]*wire.TaskStatus, active func(job wire.JobID) bool) {
 	var launches []wire.Command
 	checkpointing := false
@@ -86,8 +87,8 @@
 	}
 }
 
-// comparePresent handles a binding whose attempt is on the machine. It tells whether the task is
-// to be stopped with time for a checkpoint.
+// comparePresent handles a binding whose attempt is on the machine. It reports whether the task is
+// being stopped with a grace period for a checkpoint.
 func (r *Result) comparePresent(rec *statecache.Machine, binding *statecache.TaskBinding, status *wire.TaskStatus, active bool) (checkpointing bool) {
 	if status.State == wire.TaskExited {
 		r.confirmTermination(rec, binding, status.ExitReason)
@@ -106,12 +107,12 @@
 	return grace > 0
 }
 
-// compareAbsent handles a binding whose attempt isn't on the machine. It tells whether the task
+// compareAbsent handles a binding whose attempt isn't on the machine. It reports whether the task
 // is to be launched.
 func (r *Result) compareAbsent(rec *statecache.Machine, binding *statecache.TaskBinding, seenToken uint64, active bool) (launch bool) {
 	switch {
 	case binding.StopToken > 0:
-		if seenToken >= binding.StopToken { // no launch of the attempt is carried out any more
+		if seenToken >= binding.StopToken { // the worker refuses any launch of the attempt from now on
 			r.confirmTermination(rec, binding, statecache.ReasonNeverStarted)
 		}
 		return false
@@ -126,7 +127,7 @@
 	r.Terminated = append(r.Terminated, statecache.Termination{Machine: rec.Name, Job: binding.Job, TaskIndex: binding.TaskIndex, Reason: reason})
 }
 
-// handleUnboundTask adds the command for a task or attempt that isn't bound to the machine.
+// handleUnboundTask adds the command for an attempt that isn't bound to the machine.
 func (r *Result) handleUnboundTask(status *wire.TaskStatus) {
 	if status.State == wire.TaskExited {
 		r.Commands = append(r.Commands, wire.Command{Op: wire.OpAcknowledge, Task: status.Task, Attempt: status.Attempt})
--- a/internal/reconcile/reconcile_test.go
+++ b/internal/reconcile/reconcile_test.go
@@ -12,9 +12,9 @@
 	"lynxledge/wire"
 )
 
-// Only an exited task, a later incarnation, or absence under a fencing token shows that a bound
-// task has terminated; what has terminated is never launched by the same answer, and cancelled
-// work is never launched at all.
+// A bound task counts as terminated only if its attempt exited, the incarnation is later, or the
+// attempt is absent and the fencing token reaches its stop token. A terminated task is never
+// launched by the same response, and a task of a cancelled job is never launched.
 func TestOnlyCertainTerminations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rec := &statecache.Machine{Incarnation: 2, FencingToken: 50}
@@ -59,8 +59,8 @@
 	})
 }
 
-// isCertain tells whether a heartbeat shows that a bound task has terminated: its attempt has
-// exited, or is absent.
+// isCertain reports whether a heartbeat proves that a bound task has terminated. exited and absent
+// tell whether the heartbeat reports its attempt as exited, or lacks it.
 func isCertain(rec *statecache.Machine, heartbeat *wire.Heartbeat, binding statecache.TaskBinding, exited, absent bool) bool {
 	if heartbeat.Incarnation != rec.Incarnation {
 		return heartbeat.Incarnation > rec.Incarnation
@@ -68,7 +68,7 @@
 	return exited || absent && binding.StopToken > 0 && heartbeat.FencingToken >= binding.StopToken
 }
 
-// genStatus draws the status of the bound attempt of a task, or of the one before.
+// genStatus draws a status of a task, for the bound attempt or for the previous one.
 func genStatus(t *rapid.T, task wire.TaskID) wire.TaskStatus {
 	status := wire.TaskStatus{
 		Task:    task,
