--- a/internal/heartbeat/doc.go
+++ b/internal/heartbeat/doc.go
@@ -1,7 +1,7 @@
 // Package heartbeat answers the workers' heartbeats. It renews their leases, sends them the
-// commands that reconciliation calls for, and forwards the evidence of each heartbeat to the
-// controller whose scheduler writes it to the store.
+// commands that reconciliation calls for, and forwards the evidence in each heartbeat to the
+// active scheduler, which writes it to the store.
 //
-// A lease is renewed only while the view is fresh enough to know every cancellation in time. A
-// worker that another controller can serve better is redirected to it.
+// A lease is renewed only while the view is fresh enough to include every cancellation in time. A
+// worker that a controller with a fresher view can serve is redirected to that controller.
 package heartbeat
--- a/internal/heartbeat/evidence.go
+++ b/internal/heartbeat/evidence.go
@@ -7,38 +7,39 @@
 	"lynxledge/wire"
 )
 
-// evidenceWaitHeartbeats is for how many heartbeat intervals this controller leaves evidence to
-// the one whose scheduler is active, before it writes it itself. As often, a worker is redirected
-// to bring it.
+// evidenceWaitHeartbeats is the number of heartbeat intervals for which this controller leaves
+// evidence to the active scheduler before it writes the evidence itself. A worker is redirected to
+// deliver evidence at most once in that time.
 const evidenceWaitHeartbeats = 2
 
-// forwardEvidence gives what a heartbeat proves to the controller that writes it. This one's
-// scheduler keeps it too, in case the other fails. If the other is out of reach, its name is
-// returned: the worker had better bring the evidence itself. If each controller wrote its own
-// part, these would be many small writes that conflict with each other.
-func (r *Receiver) forwardEvidence(heartbeat *wire.Heartbeat, c *contact, result *reconcile.Result) (unreachedWriter string) {
+// forwardEvidence sends the evidence in a heartbeat to the active scheduler, and also gives it to
+// this controller's scheduler in case the active one fails. If the active scheduler can't be
+// reached, it returns the name of that controller, and the worker should be redirected there to
+// deliver the evidence. Writes of evidence by every controller would be many, small and in
+// conflict with each other.
+func (r *Receiver) forwardEvidence(heartbeat *wire.Heartbeat, state *machineState, result *reconcile.Result) (unreachableScheduler string) {
 	if !result.RequiresUpdate() {
 		return ""
 	}
-	evidence := reconcile.Evidence{Heartbeat: heartbeat, TaskRuntimes: c.runtimes(result)}
+	evidence := reconcile.Evidence{Heartbeat: heartbeat, TaskRuntimes: state.runtimes(result)}
 	wait := time.Duration(0)
-	if writer := r.assignedScheduler(); writer != "" && writer != r.config.MemberName {
+	if scheduler := r.activeScheduler(); scheduler != "" && scheduler != r.config.MemberName {
 		wait = r.config.Params.Workers.Heartbeats(evidenceWaitHeartbeats)
-		if !r.routes.SendEvidence(writer, evidence) {
-			unreachedWriter = writer
+		if !r.routes.SendEvidence(scheduler, evidence) {
+			unreachableScheduler = scheduler
 		}
 	}
 	r.routes.ApplyEvidence(evidence, wait)
-	return unreachedWriter
+	return unreachableScheduler
 }
 
-// runtimes are the seconds, in tenths, that terminated tasks ran, as far as this controller saw
-// them start; nil if it saw none.
-func (c *contact) runtimes(result *reconcile.Result) map[wire.TaskID]wire.Seconds {
+// runtimes returns the runtimes, truncated to tenths of a second, of the terminated tasks that this
+// controller saw running; nil if it saw none of them.
+func (s *machineState) runtimes(result *reconcile.Result) map[wire.TaskID]wire.Seconds {
 	var runtimes map[wire.TaskID]wire.Seconds
 	for i := range result.Terminated {
 		task := result.Terminated[i].TaskID()
-		if startedAt, ok := c.taskStarts[task]; ok {
+		if startedAt, ok := s.taskStarts[task]; ok {
 			if runtimes == nil {
 				runtimes = map[wire.TaskID]wire.Seconds{}
 			}
@@ -48,9 +49,9 @@
 	return runtimes
 }
 
-// assignedScheduler is the controller that writes what is bound to machines: the one that the
-// teams are assigned to.
-func (r *Receiver) assignedScheduler() string {
+// activeScheduler returns the live controller that the teams are assigned to, which writes the
+// records of machines; empty if there is none.
+func (r *Receiver) activeScheduler() string {
 	for _, assignment := range r.view.Assignments {
 		if member := r.view.Members[assignment.Member]; member != nil && member.Incarnation == assignment.Incarnation {
 			return assignment.Member
--- a/internal/heartbeat/receiver_test.go
+++ b/internal/heartbeat/receiver_test.go
@@ -16,7 +16,7 @@
 )
 
 // controller is a Receiver with a cache of a store that holds one machine, i-1, and one job,
-// req-000001.
+// req-000001. freshPeer and isolated are returned by its Routes.
 type controller struct {
 	cache     *statecache.Cache
 	receiver  *Receiver
@@ -32,11 +32,11 @@
 	store := &simulation.StoreConn{Store: simulation.NewStore(), Network: simulation.NewNetwork(1, time.Millisecond), Member: "n0", Timeout: time.Second}
 	cache := statecache.Start(ctx, store, statecache.Options{ChunkTasks: statecache.ChunkTasks(8), WatchHold: time.Second, MaxViewAge: time.Second, Backoff: 100 * time.Millisecond})
 	c := &controller{cache: cache}
-	active := scheduler.Start(ctx, scheduler.Options{Config: cfg, Incarnation: 1, Cache: cache, OnCommandResponse: func(*wire.Heartbeat) {}})
+	localScheduler := scheduler.Start(ctx, scheduler.Options{Config: cfg, Incarnation: 1, Cache: cache, OnCommandResponse: func(*wire.Heartbeat) {}})
 	c.receiver = Start(ctx, Options{Config: cfg, Cache: cache, Routes: Routes{
 		FreshPeer:     func() string { return c.freshPeer },
 		Isolated:      func() bool { return c.isolated },
-		ApplyEvidence: active.HandleEvidence,
+		ApplyEvidence: localScheduler.HandleEvidence,
 		SendEvidence:  func(string, reconcile.Evidence) bool { return false },
 	}})
 	cache.Run()
@@ -53,20 +53,20 @@
 	return c
 }
 
-// send has the machine send a heartbeat, and waits for the response alone.
+// send sends a heartbeat of the machine and returns the response.
 func (c *controller) send(heartbeat wire.Heartbeat) Response {
 	return c.sendAfter(func(*Receiver) {}, heartbeat)
 }
 
-// sendAtViewAge is send at a moment at which the controller's view is as old as age. One message
-// sets the age and handles the heartbeat.
+// sendAtViewAge is like send, with a view of the given age. The same message to the actor sets the
+// age and handles the heartbeat.
 func (c *controller) sendAtViewAge(age time.Duration, heartbeat wire.Heartbeat) Response {
 	return c.sendAfter(func(r *Receiver) { r.freshAsOf = time.Now().Add(-age) }, heartbeat)
 }
 
-// sendAfter has the receiver handle a heartbeat in the message that prepares for it. What was under
-// way at this instant, as the watch that repeats what was just committed, is over before: it
-// would refresh the view in between.
+// sendAfter runs prepare and handles a heartbeat in one message to the actor. It first waits for
+// pending work, such as the watch event of an earlier commit, which could refresh the view after
+// prepare.
 func (c *controller) sendAfter(prepare func(r *Receiver), heartbeat wire.Heartbeat) Response {
 	heartbeat.Machine, heartbeat.Address, heartbeat.MachineType, heartbeat.Zone = "i-1", "i-1:1", "t", "z"
 	responses := make(chan Response, 1)
@@ -78,33 +78,33 @@
 	return <-responses
 }
 
-// sendAndSettle is send, with time for what the heartbeat proves to be written.
+// sendAndSettle is like send, but also waits long enough for the evidence to be written.
 func (c *controller) sendAndSettle(heartbeat wire.Heartbeat) Response {
 	response := c.send(heartbeat)
 	time.Sleep(time.Second)
 	return response
 }
 
-// inActor evaluates f in the receiver's actor.
+// inActor runs f in the receiver's actor and returns its result.
 func inActor[T any](c *controller, f func(r *Receiver) T) T {
 	values := make(chan T)
 	c.receiver.Send(func() { values <- f(c.receiver) })
 	return <-values
 }
 
-// machine is the machine's record as the receiver knows it.
+// machine returns the machine's record in the receiver's view.
 func (c *controller) machine() statecache.Machine {
 	return inActor(c, func(r *Receiver) statecache.Machine { return *r.view.Machines["i-1"] })
 }
 
-// reachable tells whether the machine counts as reachable since the last announcement.
+// reachable reports whether the machine was marked reachable since the last announcement.
 func (c *controller) reachable() bool {
 	return inActor(c, func(r *Receiver) bool { return r.reachable["i-1"] })
 }
 
 // A machine that was partitioned while a job on it was cancelled is refused while its old
-// incarnation may run, so that its lease expires in time. It must not be refused for ever: the
-// heartbeat of its next incarnation proves that the old one ended.
+// incarnation may still run, so that its lease expires in time. It must not be refused forever:
+// a heartbeat of its next incarnation proves that the old one has ended.
 func TestMachineServesAgainAfterOverdueCancellation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -118,15 +118,15 @@
 		}
 		c.sendAndSettle(wire.Heartbeat{Incarnation: 2, Sequence: 2})
 		if r := c.sendAndSettle(wire.Heartbeat{Incarnation: 2, Sequence: 3}); r.Outcome != Accepted {
-			t.Error("refused though the cancelled task is terminated")
+			t.Error("refused though the cancelled task has terminated")
 		}
 	})
 }
 
-// What a heartbeat proves is forwarded to the controller that writes it; if that is out of
-// reach, the worker is redirected there, once. Controllers that each wrote their own part while
-// they could not reach each other held each other up with conflicts.
-func TestWorkerRedirectedToUnreachedWriter(t *testing.T) {
+// If evidence can't be forwarded to the active scheduler, the worker is redirected there, once.
+// Guards against controllers that can't reach each other and delay each other with conflicting
+// writes of evidence.
+func TestWorkerRedirectedToUnreachableScheduler(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
@@ -138,10 +138,10 @@
 		time.Sleep(time.Second)
 		exited := []wire.TaskStatus{{Task: "req-000001/0", Attempt: 1, State: wire.TaskExited, ExitReason: wire.ReasonCompleted}}
 		if r := c.send(wire.Heartbeat{Incarnation: 1, Sequence: 1, FencingToken: 9, Tasks: exited}); r.Outcome == Accepted || r.RedirectTo != "n1" {
-			t.Errorf("not redirected to the controller that writes: %+v", r)
+			t.Errorf("not redirected to the active scheduler: %+v", r)
 		}
 		if r := c.send(wire.Heartbeat{Incarnation: 1, Sequence: 2, FencingToken: 9, Tasks: exited}); r.Outcome != Accepted {
-			t.Error("redirected again at once")
+			t.Error("redirected a second time")
 		}
 		time.Sleep(10 * time.Second)
 		if n := len(c.machine().Bindings); n > 0 {
@@ -150,10 +150,11 @@
 	})
 }
 
-// Without the store, a controller redirects its workers while there is time: to one with a fresh
-// view, or, when it is isolated, anywhere else. In an outage for all, they come back and keep
-// their leases: a controller that refused them then cost 1,400 worker incarnations in an outage
-// of 50 s (docs/incidents/inc-ec15-gebeya-grown.md).
+// A controller that can't reach the store sends its workers elsewhere before it must stop renewing
+// leases: to a controller with a fresh view, or to any other one if it is isolated. In an outage
+// that affects all controllers, the workers return and keep their leases. Guards against refusing
+// them then, which cost 1,400 worker incarnations in an outage of 50 s
+// (docs/incidents/inc-ec15-gebeya-grown.md).
 func TestControllerWithoutStoreRedirectsItsWorkers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -161,14 +162,14 @@
 		c := newController(ctx, t, &statecache.Machine{Incarnation: 1, FencingToken: 9}, &statecache.Job{TaskCount: 1})
 		age := c.receiver.renewalWindow() * 3 / 4
 		if r := c.sendAtViewAge(age, wire.Heartbeat{Incarnation: 1, Sequence: 1}); r.Outcome != Accepted {
-			t.Error("refused in an outage for all")
+			t.Error("refused in an outage that affects all controllers")
 		}
 		c.isolated = true
 		if r := c.sendAtViewAge(age, wire.Heartbeat{Incarnation: 1, Sequence: 2}); r.Outcome == Accepted {
-			t.Error("kept by an isolated controller")
+			t.Error("accepted by an isolated controller")
 		}
 		if r := c.sendAtViewAge(age, wire.Heartbeat{Incarnation: 1, Sequence: 3}); r.Outcome != Accepted {
-			t.Error("refused though it found no better controller")
+			t.Error("refused again after the worker found no other controller")
 		}
 		c.isolated, c.freshPeer = false, "n1"
 		if r := c.sendAtViewAge(age, wire.Heartbeat{Incarnation: 1, Sequence: 4}); r.Outcome == Accepted || r.RedirectTo != "n1" {
@@ -177,44 +178,44 @@
 	})
 }
 
-// Copies of heartbeats that come late, over a lease or after a response, don't make the machine
-// count as reachable or clear its suspicion, and undo nothing; a heartbeat of a machine whose
-// record is gone adopts nothing.
+// Delayed copies of heartbeats, from before a response or from an earlier incarnation, don't change
+// the machine's record and don't mark the machine as reachable. A heartbeat of a machine whose
+// record was deleted doesn't create one.
 func TestLateCopiesChangeNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		c := newController(ctx, t, &statecache.Machine{Incarnation: 2, FencingToken: 9, Suspected: true, DrainReason: "faulty"}, &statecache.Job{TaskCount: 1})
 		before := c.machine()
-		c.sendAndSettle(wire.Heartbeat{Incarnation: 2, Sequence: 7, FencingToken: 8}) // from before the suspicion
+		c.sendAndSettle(wire.Heartbeat{Incarnation: 2, Sequence: 7, FencingToken: 8}) // sent before the machine was suspected
 		c.sendAndSettle(wire.Heartbeat{Incarnation: 1, Sequence: 3, FencingToken: 8}) // from an earlier incarnation
 		if now := c.machine(); !reflect.DeepEqual(now, before) {
-			t.Errorf("late copies made %+v of %+v", now, before)
+			t.Errorf("delayed copies changed the record to %+v from %+v", now, before)
 		}
-		c.sendAndSettle(wire.Heartbeat{Incarnation: 2, Sequence: 8, FencingToken: 9}) // acknowledges the suspicion
+		c.sendAndSettle(wire.Heartbeat{Incarnation: 2, Sequence: 8, FencingToken: 9}) // has seen the record that suspects it
 		if now := c.machine(); now.Suspected || now.DrainReason != "faulty" {
-			t.Errorf("reachable again, but %+v", now)
+			t.Errorf("suspected or no longer draining after a new heartbeat: %+v", now)
 		}
-		time.Sleep(5 * time.Second) // announcements pass
+		time.Sleep(5 * time.Second) // reachable is announced and cleared
 		c.send(wire.Heartbeat{Incarnation: 2, Sequence: 8, FencingToken: 9})
 		c.send(wire.Heartbeat{Incarnation: 1, Sequence: 3, FencingToken: 8})
 		if c.reachable() {
-			t.Error("reachable by a copy")
+			t.Error("marked reachable by a delayed copy")
 		}
 		c.cache.Commit(statecache.Commit{Deletes: []string{statecache.Key(statecache.KindMachineGroup, "g")}}, func(statecache.Outcome) {})
 		time.Sleep(time.Second)
 		if r := c.sendAndSettle(wire.Heartbeat{Incarnation: 2, Sequence: 9, FencingToken: 9}); r.Outcome == Accepted {
-			t.Error("lease renewed without a record")
+			t.Error("lease renewed for a machine without a record")
 		}
 		if n := inActor(c, func(r *Receiver) int { return len(r.view.Groups) }); n > 0 {
-			t.Error("adopted by a heartbeat alone")
+			t.Error("machine adopted because of a heartbeat")
 		}
 	})
 }
 
-// A machine whose heartbeats arrive but which responses don't reach, as its heartbeats go on
-// showing an old fencing token, stops counting as reachable, so the leader suspects and
-// terminates it; it counts again when it acknowledges the response.
+// A machine whose heartbeats arrive but keep an old fencing token, because responses don't reach
+// it, stops counting as reachable, so that the leader suspects and terminates it. It counts as
+// reachable again once it acknowledges a response.
 func TestInboundPartitionedMachineIsUnreachable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -226,16 +227,16 @@
 		}
 		c.send(wire.Heartbeat{Incarnation: 1, Sequence: 7, FencingToken: 5})
 		if c.reachable() {
-			t.Error("reachable though no response reaches it")
+			t.Error("reachable though responses do not reach it")
 		}
 		c.send(wire.Heartbeat{Incarnation: 1, Sequence: 8, FencingToken: 9})
 		if !c.reachable() {
-			t.Error("unreachable though it acknowledged")
+			t.Error("unreachable though it acknowledged a response")
 		}
 	})
 }
 
-// A controller that may not know every cancellation must not renew leases.
+// A controller whose view may lack cancellations must not renew leases.
 func TestStaleControllerRefusesHeartbeats(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -250,8 +251,8 @@
 	})
 }
 
-// A controller whose view is old launches nothing: the job may have been cancelled since, and its
-// user told so. Stops and acknowledgements are sent all the same, and the lease is renewed.
+// A controller with an old view launches nothing: the job may have been cancelled since, and the
+// cancellation confirmed to its user. Other commands are still sent, and the lease is renewed.
 func TestNothingLaunchedOnOldView(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -277,8 +278,8 @@
 	})
 }
 
-// A machine that only answers direct commands is not reachable: its own heartbeats reach nobody,
-// and its lease expires.
+// A machine that only answers direct commands is not marked reachable: its own heartbeats reach no
+// controller, so its lease expires.
 func TestCommandResponsesAreNoHeartbeats(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -286,7 +287,7 @@
 		c := newController(ctx, t, &statecache.Machine{Incarnation: 1, FencingToken: 9}, &statecache.Job{TaskCount: 1})
 		c.receiver.HandleCommandResponse(&wire.Heartbeat{Machine: "i-1", Address: "i-1:1", MachineType: "t", Zone: "z", Incarnation: 1, Sequence: 5, FencingToken: 9})
 		if c.reachable() {
-			t.Error("reachable by the response to a command")
+			t.Error("marked reachable by the response to a command")
 		}
 		c.send(wire.Heartbeat{Incarnation: 1, Sequence: 6, FencingToken: 9})
 		if !c.reachable() {
@@ -295,14 +296,14 @@
 	})
 }
 
-// In an outage so long that nobody may renew leases, heartbeats are sent all the same: the leader
-// must not take all machines for unreachable when it is over.
+// In an outage so long that no controller may renew leases, refused heartbeats still mark machines
+// reachable. Otherwise the leader would consider all machines unreachable after the outage.
 func TestRefusedHeartbeatsCountAsReachable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		c := newController(ctx, t, &statecache.Machine{Incarnation: 1, FencingToken: 9}, &statecache.Job{TaskCount: 1})
-		time.Sleep(100 * time.Millisecond) // the watch repeats what was just committed
+		time.Sleep(100 * time.Millisecond) // until the watch has returned the commit, which refreshes the view
 		if r := c.sendAtViewAge(40*time.Second, wire.Heartbeat{Incarnation: 1, Sequence: 1, FencingToken: 9}); r.Outcome == Accepted || !c.reachable() {
 			t.Errorf("accepted %v, reachable %v", r.Outcome == Accepted, c.reachable())
 		}
--- a/internal/heartbeat/renewal.go
+++ b/internal/heartbeat/renewal.go
@@ -7,26 +7,26 @@
 	"lynxledge/wire"
 )
 
-// cancellationMarginHeartbeats, in heartbeat intervals, is left for clocks that drift and for
-// workers that check their leases only now and then. A lease counts from when the heartbeat was
-// sent, so responses under way need none.
+// cancellationMarginHeartbeats is the safety margin, in heartbeat intervals, for clock drift and
+// for workers that check their leases only periodically. It need not cover responses in flight,
+// since a lease counts from when the heartbeat was sent.
 const cancellationMarginHeartbeats = 0.5
 
-// renewalWindow is the time between the last moment at which this controller surely knew every
-// cancellation and the moment at which it must stop renewing leases.
+// renewalWindow returns how long this controller may go on renewing leases after the last time at
+// which its view certainly included every cancellation.
 func (r *Receiver) renewalWindow() time.Duration {
 	workers := r.config.Params.Workers
 	return workers.CancellationDeadline - workers.LeaseDuration - workers.Heartbeats(cancellationMarginHeartbeats)
 }
 
-// shouldRefuse tells whether this controller must not, or had better not, answer a worker. With
-// a view older than the renewal window, renewing leases could keep a cancelled task running
-// beyond its deadline. Workers that another controller can serve are redirected to it long
-// before that.
+// shouldRefuse reports whether to refuse or redirect a heartbeat because of the age of the view.
+// With a view older than the renewal window, renewing a lease could keep a cancelled task running
+// beyond the cancellation deadline. Workers that another controller can serve are redirected to it
+// long before that.
 //
-// A controller that reaches no other can't tell its own isolation from an outage of the store
-// for all: it sends each worker away once, to look for a better one, and goes on answering those
-// that come back.
+// A controller that reaches no other one can't tell its own isolation from a store outage that
+// affects all controllers. It refuses each worker once, so that the worker tries the others, and
+// accepts the heartbeats of workers that return.
 func (r *Receiver) shouldRefuse(machine wire.MachineID, viewAge time.Duration) bool {
 	switch {
 	case viewAge > r.renewalWindow():
@@ -35,15 +35,15 @@
 		return false
 	case r.routes.FreshPeer() != "":
 		return true
-	case r.routes.Isolated() && !r.redirectedOnStale[machine]:
-		r.redirectedOnStale[machine] = true
+	case r.routes.Isolated() && !r.refusedWhileIsolated[machine]:
+		r.refusedWhileIsolated[machine] = true
 		return true
 	}
 	return false
 }
 
-// hasOverdueCancellation tells whether a task is still bound whose job was cancelled longer than
-// the renewal window ago.
+// hasOverdueCancellation reports whether a task is still bound to the machine although its job was
+// cancelled longer than the renewal window ago.
 func (r *Receiver) hasOverdueCancellation(machine *statecache.Machine, now time.Time) bool {
 	for i := range machine.Bindings {
 		job := r.view.Jobs[machine.Bindings[i].Job]
--- a/internal/heartbeat/respond.go
+++ b/internal/heartbeat/respond.go
@@ -10,28 +10,28 @@
 	"lynxledge/wire"
 )
 
-// HandleHeartbeat answers a worker. It runs in the actor, and so does reply.
+// HandleHeartbeat answers a heartbeat of a worker. It must run in the actor; reply runs there too.
 func (r *Receiver) HandleHeartbeat(heartbeat *wire.Heartbeat, reply func(Response)) {
 	r.respond(heartbeat, reply, true)
 }
 
-// HandleCommandResponse takes a heartbeat that came in response to direct commands: what it
-// proves counts, but nobody waits for commands. It is no sign that the machine's own heartbeats,
-// which alone renew its lease, reach anybody.
+// HandleCommandResponse handles a heartbeat that came in response to direct commands. Its evidence
+// is forwarded, but it gets no response. It doesn't mark the machine as reachable, since it doesn't
+// show that the machine's own heartbeats, which alone renew its lease, reach any controller.
 func (r *Receiver) HandleCommandResponse(heartbeat *wire.Heartbeat) {
 	r.Post(func() {
 		machine := r.view.Machines[heartbeat.Machine]
 		if machine == nil {
 			return
 		}
-		c, _ := r.contact(heartbeat, time.Now())
+		state, _ := r.observeHeartbeat(heartbeat, time.Now())
 		result := reconcile.Heartbeat(machine, heartbeat, r.view.Active)
-		r.forwardEvidence(heartbeat, c, &result)
+		r.forwardEvidence(heartbeat, state, &result)
 	})
 }
 
-// respond answers by the view as it is, or, if that may be too old for this heartbeat, once
-// after it was refreshed.
+// respond answers a heartbeat from the current view. If the view may be too old for this heartbeat
+// and mayRefresh is set, it refreshes the view first.
 func (r *Receiver) respond(heartbeat *wire.Heartbeat, reply func(Response), mayRefresh bool) {
 	now := time.Now()
 	machine := r.view.Machines[heartbeat.Machine]
@@ -42,28 +42,29 @@
 	case mayRefresh && recordOutdated(machine, heartbeat):
 		r.refreshAndRespond(heartbeat, reply)
 	case machine == nil:
-		// The leader adopts a machine that it finds in the cloud's list. Its heartbeat
-		// alone may be a late copy, of a machine that was terminated.
+		// The leader adopts machines that it finds in the cloud's list. A heartbeat alone
+		// is not enough: it may be a delayed copy from a machine that was terminated.
 		reply(refused())
 	default:
 		reply(r.reconcileAndRespond(heartbeat, machine, now))
 	}
 }
 
-// observeRefused takes note of a heartbeat that is not answered: after an outage the leader must
-// not take every machine for unreachable.
+// observeRefused records a heartbeat that is refused or redirected. Its machine counts as reachable
+// unless responses don't reach it. Otherwise the leader would consider every machine unreachable
+// after an outage of the store.
 func (r *Receiver) observeRefused(heartbeat *wire.Heartbeat, machine *statecache.Machine, now time.Time) {
 	if machine == nil {
 		return
 	}
-	if c, isNew := r.contact(heartbeat, now); isNew && !c.inboundPartitioned {
+	if state, isNew := r.observeHeartbeat(heartbeat, now); isNew && !state.inboundPartitioned {
 		r.reachable[heartbeat.Machine] = true
 	}
 }
 
-// recordOutdated tells whether a heartbeat shows that its machine's record has changed since it
-// was read. A later incarnation than the first is a reason to refresh, since another controller
-// may have written it.
+// recordOutdated reports whether a heartbeat suggests that its machine's record has changed since
+// it was read. A later incarnation counts unless the record has none yet, since another controller
+// may already have recorded it.
 func recordOutdated(machine *statecache.Machine, heartbeat *wire.Heartbeat) bool {
 	return machine == nil || heartbeat.FencingToken > machine.FencingToken ||
 		heartbeat.Incarnation > machine.Incarnation && machine.Incarnation > 0
@@ -81,39 +82,39 @@
 	})
 }
 
-// reconcileAndRespond compares a heartbeat with its machine's record, forwards what it proves,
-// and decides whether the lease is renewed.
+// reconcileAndRespond compares a heartbeat with its machine's record, forwards its evidence, and
+// decides whether the lease is renewed.
 func (r *Receiver) reconcileAndRespond(heartbeat *wire.Heartbeat, machine *statecache.Machine, now time.Time) Response {
-	c, isNew := r.contact(heartbeat, now)
+	state, isNew := r.observeHeartbeat(heartbeat, now)
 	result := reconcile.Heartbeat(machine, heartbeat, r.view.Active)
-	unreachedWriter := r.forwardEvidence(heartbeat, c, &result)
-	if unreachedWriter != "" && now.Sub(c.redirectedAt) > r.config.Params.Workers.Heartbeats(evidenceWaitHeartbeats) {
-		c.redirectedAt = now
-		r.markReachable(heartbeat, c, isNew, now)
-		return redirected(unreachedWriter)
+	unreachableScheduler := r.forwardEvidence(heartbeat, state, &result)
+	if unreachableScheduler != "" && now.Sub(state.redirectedAt) > r.config.Params.Workers.Heartbeats(evidenceWaitHeartbeats) {
+		state.redirectedAt = now
+		r.markReachable(heartbeat, state, isNew, now)
+		return redirected(unreachableScheduler)
 	}
 	if heartbeat.FencingToken > machine.FencingToken {
 		slog.Warn("fencing token beyond machine record",
 			"machine", heartbeat.Machine, "fencing_token", heartbeat.FencingToken, "record_fencing_token", machine.FencingToken)
 		return refused()
 	}
-	r.markReachable(heartbeat, c, isNew, now)
+	r.markReachable(heartbeat, state, isNew, now)
 	if r.hasOverdueCancellation(machine, now) {
-		// A cancelled task is still bound here: let the lease expire. What the heartbeat
-		// proves counts all the same, or the machine would be refused for ever: that its
-		// incarnation is a new one may be the proof.
+		// A cancelled task is still bound: let the lease expire. The evidence was forwarded
+		// above nevertheless, or the machine could be refused forever: a new incarnation in
+		// this heartbeat may prove that the task has terminated.
 		slog.Warn("lease renewal refused", "machine", heartbeat.Machine, "reason", "cancelled task still bound")
 		return refused()
 	}
 	if heartbeat.FencingToken < machine.FencingToken {
-		c.expectAcknowledgement(machine.FencingToken, now)
+		state.expectAcknowledgement(machine.FencingToken, now)
 	}
 	return accepted(machine.FencingToken, r.allowedCommands(&result, now))
 }
 
-// allowedCommands are those that a heartbeat calls for, except launches if the view is too old
-// for them: a job may have been cancelled since. Its running tasks are kept within the
-// cancellation deadline by their lease, but none may start any more.
+// allowedCommands returns the commands that a heartbeat calls for, without launches if the view is
+// too old: the job may have been cancelled since. Tasks of a cancelled job that already run are
+// stopped by the cancellation deadline, when their lease expires, but no further ones may start.
 func (r *Receiver) allowedCommands(result *reconcile.Result, now time.Time) []wire.Command {
 	commands := result.Commands
 	if now.Sub(r.freshAsOf) > r.config.Params.Workers.MaxLaunchViewAge() {
--- a/internal/heartbeat/response.go
+++ b/internal/heartbeat/response.go
@@ -2,27 +2,27 @@
 
 import "lynxledge/wire"
 
-// Outcome is what becomes of a heartbeat.
+// Outcome says how a heartbeat was answered.
 type Outcome uint8
 
 // The outcomes.
 const (
-	Refused    Outcome = iota // neither accepted, nor is another controller known that might
+	Refused    Outcome = iota // not accepted, and no other controller is known to accept it
 	Accepted                  // the lease is renewed
-	Redirected                // the worker is to turn to another controller
+	Redirected                // the worker should send its heartbeats to another controller
 )
 
-// Response answers a heartbeat.
+// Response is the answer to a heartbeat.
 type Response struct {
 	Outcome    Outcome
-	Body       wire.HeartbeatResponse // of an accepted heartbeat
-	RedirectTo string                 // the member that a worker is redirected to
+	Body       wire.HeartbeatResponse // set if the heartbeat was accepted
+	RedirectTo string                 // the member that the worker is redirected to
 }
 
-// refused is the response that renews no lease and redirects to nobody.
+// refused returns the response that neither renews the lease nor redirects the worker.
 func refused() Response { return Response{Outcome: Refused} }
 
-// redirected sends a worker to another controller, or refuses its heartbeat if member is empty.
+// redirected returns the response that redirects a worker to a member; refused if member is empty.
 func redirected(member string) Response {
 	if member == "" {
 		return refused()
@@ -30,7 +30,7 @@
 	return Response{Outcome: Redirected, RedirectTo: member}
 }
 
-// accepted renews a worker's lease under the machine's fencing token.
+// accepted returns the response that renews a worker's lease, with the machine's fencing token.
 func accepted(fencingToken uint64, commands []wire.Command) Response {
 	return Response{Outcome: Accepted, Body: wire.HeartbeatResponse{FencingToken: fencingToken, Commands: commands}}
 }
