--- a/internal/peer/bench_test.go
+++ b/internal/peer/bench_test.go
@@ -11,9 +11,8 @@
 	"lynxledge/wire"
 )
 
-// BenchmarkPeerHeartbeat is one heartbeat on its way to another controller: what it takes to
-// encode, decode and handle it. It announces the machines reachable within a third of the
-// workers' heartbeat interval.
+// BenchmarkPeerHeartbeat measures encoding, decoding and handling one heartbeat of a controller. It
+// announces the machines that were reachable within a third of the workers' heartbeat interval.
 func BenchmarkPeerHeartbeat(b *testing.B) {
 	const controllers = 7
 	for _, machines := range []int{250, 1830, 4000} {
--- a/internal/peer/message.go
+++ b/internal/peer/message.go
@@ -7,23 +7,23 @@
 	"lynxledge/wire"
 )
 
-// PeerHeartbeat is one message of a stream.
+// PeerHeartbeat is a message between controllers; a stream is a sequence of them.
 type PeerHeartbeat struct {
 	Member        string `json:"member"`
-	ViewAgeMillis int64  `json:"ageMs"` // of the sender's view; negative: it has none
-	// Incarnation tells the sender's process from its earlier ones; 0: it is not announced.
+	ViewAgeMillis int64  `json:"ageMs"` // age of the sender's view; negative: it has none
+	// Incarnation identifies the sender's process; 0: not announced.
 	Incarnation uint64           `json:"boot,omitempty"`
-	Reachable   []wire.MachineID `json:"heard,omitempty"` // machines whose workers the sender had heartbeats from
-	// Evidence is for the receiver to write to the store, if its scheduler is active.
+	Reachable   []wire.MachineID `json:"heard,omitempty"` // machines that the sender had heartbeats from
+	// Evidence is written to the store by the receiver if its scheduler is active; may be nil.
 	Evidence *reconcile.Evidence `json:"note,omitempty"`
 }
 
-// viewAge is the age of the sender's view; negative: it has none.
+// viewAge returns the age of the sender's view; negative if it has none.
 func (h *PeerHeartbeat) viewAge() time.Duration {
 	return time.Duration(h.ViewAgeMillis) * time.Millisecond
 }
 
-// hasValidEvidence tells whether the message brings evidence that is well-formed.
+// hasValidEvidence reports whether the message contains well-formed evidence.
 func (h *PeerHeartbeat) hasValidEvidence() bool {
 	return h.Evidence != nil && h.Evidence.Heartbeat != nil && h.Evidence.Heartbeat.Validate() == nil
 }
--- a/internal/peer/stream.go
+++ b/internal/peer/stream.go
@@ -15,25 +15,25 @@
 	"github.com/go-chi/chi/v5"
 )
 
-// streamPath is where a controller takes the streams of the others.
+// streamPath is the path on which a controller accepts the streams of the others.
 const streamPath = "/beats"
 
-// errStreamEnded says that the other controller ended a stream.
+// errStreamEnded is returned when the other controller ended a stream.
 var errStreamEnded = errors.New("stream ended by peer")
 
-// http2Only are the protocols spoken between controllers: HTTP/2 without encryption.
+// http2Only returns the protocols used between controllers: only unencrypted HTTP/2.
 func http2Only() *http.Protocols {
 	protocols := new(http.Protocols)
 	protocols.SetUnencryptedHTTP2(true)
 	return protocols
 }
 
-// pings are the settings that find out dead connections.
-func pings(heartbeatInterval time.Duration) *http.HTTP2Config {
+// http2Config returns the settings of the HTTP/2 pings that detect dead connections.
+func http2Config(heartbeatInterval time.Duration) *http.HTTP2Config {
 	return &http.HTTP2Config{SendPingTimeout: 2 * heartbeatInterval, PingTimeout: 2 * heartbeatInterval}
 }
 
-// newClient makes the client for streams and forwarded requests.
+// newClient returns the HTTP client for streams and forwarded requests.
 func newClient(dial Dial, heartbeatInterval time.Duration) *http.Client {
 	return &http.Client{Transport: &http.Transport{
 		DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
@@ -42,12 +42,12 @@
 			return dial(ctx, network, addr)
 		},
 		Protocols: http2Only(),
-		HTTP2:     pings(heartbeatInterval),
+		HTTP2:     http2Config(heartbeatInterval),
 	}}
 }
 
-// connectLoop keeps one stream open until ctx ends.
-func (t *Transport) connectLoop(ctx context.Context, p *remote) {
+// connectLoop keeps a stream to one controller open until ctx ends.
+func (t *Transport) connectLoop(ctx context.Context, p *peerState) {
 	defer t.client.CloseIdleConnections()
 	for failures := 0; ctx.Err() == nil; failures++ {
 		openedAt := time.Now()
@@ -56,7 +56,7 @@
 		if time.Since(openedAt) > 10*t.heartbeatInterval {
 			failures = 0
 		}
-		backoff := t.heartbeatInterval << min(failures, 1) // peers are few, and soon missed
+		backoff := t.heartbeatInterval << min(failures, 1) // at most doubled: peers are few, and their heartbeats are soon missed
 		select {
 		case <-time.After(backoff + rand.N(backoff)):
 		case <-ctx.Done():
@@ -64,25 +64,25 @@
 	}
 }
 
-// stream sends the messages for another controller until the stream breaks or ctx ends. What it
-// started has ended when it returns.
-func (t *Transport) stream(ctx context.Context, p *remote) error {
+// stream opens a stream to another controller and sends it the queued messages until the stream
+// ends or ctx does. No goroutine that it started is left when it returns.
+func (t *Transport) stream(ctx context.Context, p *peerState) error {
 	ctx, cancel := context.WithCancel(ctx)
-	body, messages := io.Pipe()
+	body, bodyWriter := io.Pipe()
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+p.Address+streamPath, body)
 	if err != nil {
 		cancel()
 		return fmt.Errorf("stream to %s: %w", p.Name, err)
 	}
-	written := make(chan struct{})
+	writerDone := make(chan struct{})
 	go func() {
-		defer close(written)
-		writeMessages(ctx, messages, p.outbound)
+		defer close(writerDone)
+		writeMessages(ctx, bodyWriter, p.outbound)
 	}()
 	defer func() {
 		cancel()
-		body.Close() // ends a write that nobody reads
-		<-written
+		body.Close() // unblocks a write that nobody reads
+		<-writerDone
 	}()
 	response, err := t.client.Do(request)
 	if err != nil {
@@ -91,15 +91,15 @@
 	defer response.Body.Close()
 	p.connected.Store(true)
 	defer p.connected.Store(false)
-	t.observer.Opened(p.Name)
-	defer t.observer.Closed(p.Name)
+	t.observer.ConnectionOpened(p.Name)
+	defer t.observer.ConnectionClosed(p.Name)
 	if _, err := io.Copy(io.Discard, response.Body); err != nil {
 		return fmt.Errorf("stream to %s: %w", p.Name, err)
 	}
 	return errStreamEnded
 }
 
-// writeMessages encodes messages into a stream until ctx ends or the stream breaks.
+// writeMessages encodes messages into a stream until a write fails or ctx ends.
 func writeMessages(ctx context.Context, stream *io.PipeWriter, messages <-chan PeerHeartbeat) {
 	encoder := json.NewEncoder(stream)
 	for {
@@ -115,8 +115,8 @@
 	}
 }
 
-// Serve takes the others' streams, and has handler answer all other requests, until ctx ends or
-// the listener is closed.
+// Serve accepts the streams of other controllers, and passes all other requests to handler, until
+// ctx ends or the listener is closed.
 func (t *Transport) Serve(ctx context.Context, listener net.Listener, handler http.Handler) error {
 	router := chi.NewRouter()
 	router.Post(streamPath, t.receiveHeartbeats)
@@ -125,7 +125,7 @@
 		Handler:           router,
 		Protocols:         http2Only(),
 		ReadHeaderTimeout: 4 * t.heartbeatInterval,
-		HTTP2:             pings(t.heartbeatInterval),
+		HTTP2:             http2Config(t.heartbeatInterval),
 	}
 	stop := context.AfterFunc(ctx, func() { server.Close() })
 	defer stop()
@@ -135,7 +135,7 @@
 	return nil
 }
 
-// receiveHeartbeats reads another controller's stream until it breaks.
+// receiveHeartbeats reads messages from another controller's stream until the stream ends.
 func (t *Transport) receiveHeartbeats(w http.ResponseWriter, r *http.Request) {
 	w.WriteHeader(http.StatusOK)
 	if flusher, ok := w.(http.Flusher); ok {
@@ -145,7 +145,7 @@
 	sender := ""
 	defer func() {
 		if sender != "" {
-			t.observer.Closed(sender)
+			t.observer.ConnectionClosed(sender)
 		}
 	}()
 	for {
@@ -158,7 +158,7 @@
 		}
 		if sender == "" {
 			sender = heartbeat.Member
-			t.observer.Opened(sender)
+			t.observer.ConnectionOpened(sender)
 		}
 		t.observer.Heartbeat(heartbeat.Member, heartbeat.Incarnation)
 		t.Post(func() { t.handleHeartbeat(heartbeat) })
--- a/internal/peer/table.go
+++ b/internal/peer/table.go
@@ -7,23 +7,24 @@
 	"lynxledge/internal/config"
 )
 
-// maxQueuedMessages is how many messages wait for a stream; more are dropped. It holds the
-// evidence of some thousand machines over a few seconds, in which a stream may stall.
+// maxQueuedMessages is the capacity of the queue of messages for a stream. Further messages are
+// dropped. The queue holds the evidence of some thousand machines for a few seconds, for which a
+// stream may stall.
 const maxQueuedMessages = 256
 
-// remote is what a controller knows of another one.
-type remote struct {
+// peerState is the state that a controller keeps for another one.
+type peerState struct {
 	config.Peer
-	outbound  chan PeerHeartbeat // waits for the stream to that controller
+	outbound  chan PeerHeartbeat // messages queued for the stream to that controller
 	connected atomic.Bool        // the stream is open
 
-	// Of the transport's actor alone.
+	// Accessed only by the transport's actor.
 	lastHeartbeat time.Time
 	viewAge       time.Duration
 }
 
-// enqueue leaves a message for the stream; false if too many are waiting already.
-func (p *remote) enqueue(message PeerHeartbeat) bool {
+// enqueue queues a message for the stream. It returns false if the queue is full.
+func (p *peerState) enqueue(message PeerHeartbeat) bool {
 	select {
 	case p.outbound <- message:
 		return true
@@ -32,24 +33,25 @@
 	}
 }
 
-// table holds the other controllers. Its set of members is fixed; what is known of them
-// belongs to the transport's actor, which publishes the conclusions for everyone.
+// table holds the state of the other controllers, whose set is fixed. The data from their
+// heartbeats is accessed only by the transport's actor, which publishes freshest and isolated for
+// other goroutines.
 type table struct {
-	byName    map[string]*remote
-	staleness time.Duration // age beyond which heartbeats and views don't count any more
-	freshest  atomic.Pointer[remote]
-	isolated  atomic.Bool
+	byName   map[string]*peerState
+	maxAge   time.Duration // age beyond which heartbeats and views don't count
+	freshest atomic.Pointer[peerState]
+	isolated atomic.Bool
 }
 
-func newTable(peers []config.Peer, staleness time.Duration) *table {
-	t := &table{byName: map[string]*remote{}, staleness: staleness}
+func newTable(peers []config.Peer, maxAge time.Duration) *table {
+	t := &table{byName: map[string]*peerState{}, maxAge: maxAge}
 	for _, p := range peers {
-		t.byName[p.Name] = &remote{Peer: p, outbound: make(chan PeerHeartbeat, maxQueuedMessages)}
+		t.byName[p.Name] = &peerState{Peer: p, outbound: make(chan PeerHeartbeat, maxQueuedMessages)}
 	}
 	return t
 }
 
-// recordHeartbeat takes note of a heartbeat; false if its sender is not in the settings.
+// recordHeartbeat records a heartbeat. It returns false if the sender is not in the settings.
 func (t *table) recordHeartbeat(now time.Time, heartbeat *PeerHeartbeat) bool {
 	p := t.byName[heartbeat.Member]
 	if p == nil {
@@ -59,17 +61,18 @@
 	return true
 }
 
-// selectFreshest publishes which controller has the freshest view among those that sent
-// heartbeats lately, and whether there was none of them.
+// selectFreshest publishes which controller has the freshest view, among those with a heartbeat and
+// a view within maxAge, and whether this controller is isolated: there are others, but none with a
+// heartbeat within maxAge.
 func (t *table) selectFreshest() {
-	var freshest *remote
+	var freshest *peerState
 	isolated := len(t.byName) > 0
 	for _, p := range t.byName {
-		if time.Since(p.lastHeartbeat) > t.staleness {
+		if time.Since(p.lastHeartbeat) > t.maxAge {
 			continue
 		}
 		isolated = false
-		if p.viewAge < 0 || p.viewAge > t.staleness {
+		if p.viewAge < 0 || p.viewAge > t.maxAge {
 			continue
 		}
 		if freshest == nil || p.viewAge < freshest.viewAge {
--- a/internal/peer/transport.go
+++ b/internal/peer/transport.go
@@ -13,58 +13,59 @@
 	"lynxledge/wire"
 )
 
-// heartbeatsPerWorkerHeartbeat is how many peer heartbeats are sent in the interval between two
-// heartbeats of a worker.
-const heartbeatsPerWorkerHeartbeat = 3
+// peerHeartbeatsPerWorkerHeartbeat is the number of peer heartbeats per heartbeat interval of the
+// workers.
+const peerHeartbeatsPerWorkerHeartbeat = 3
 
-// stalenessHeartbeats is the age, in intervals of peer heartbeats, beyond which another
-// controller's last heartbeat and its view don't count any more.
-const stalenessHeartbeats = 3
+// maxAgeHeartbeats is the age, in intervals of peer heartbeats, beyond which another controller's
+// last heartbeat and its view don't count.
+const maxAgeHeartbeats = 3
 
-// Dial opens a connection.
+// Dial opens a connection to another controller.
 type Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// Options are what a Transport works with.
+// Options configures a Transport.
 type Options struct {
 	Config    *config.Config
 	Dial      Dial
-	FreshAsOf func() time.Time // of this controller's view; zero: it has none
+	FreshAsOf func() time.Time // time as of which this controller's view is current; zero: it has none
 }
 
-// Handlers receive what other controllers send. They must not wait for the transport.
+// Handlers handle the messages of other controllers. They must not wait for the transport.
 type Handlers struct {
-	// Reachable is told of the workers that another controller had heartbeats from. Nil: nobody is.
+	// Reachable is called with the machines that another controller had heartbeats from; may be nil.
 	Reachable func(member string, machines []wire.MachineID)
-	// Evidence is told of what heartbeats proved to another controller. Nil: nobody is.
+	// Evidence is called with the evidence that another controller forwards; may be nil.
 	Evidence func(reconcile.Evidence)
-	// FailureDetection is nil if it is off.
+	// FailureDetection is nil if early failover is off.
 	FailureDetection *FailureDetection
 }
 
-// FailureDetection has heartbeats sent more often, with the incarnation of this controller's
-// process, and an observer follow those of the others.
+// FailureDetection configures the heartbeats for failure detection: this controller sends
+// additional ones every Interval, announces the Incarnation of its process in all of them, and
+// passes the heartbeats and connections of other controllers to Observer.
 type FailureDetection struct {
 	Incarnation uint64
 	Interval    time.Duration
 	Observer    Observer
 }
 
-// Observer is told of the heartbeats and connections of other controllers. It must not wait
+// Observer is notified of the heartbeats and connections of other controllers. It must not wait
 // for the transport.
 type Observer interface {
 	Heartbeat(member string, incarnation uint64)
-	Opened(member string)
-	Closed(member string)
+	ConnectionOpened(member string)
+	ConnectionClosed(member string)
 }
 
-// noObserver is told in vain.
+// noObserver is an Observer that does nothing.
 type noObserver struct{}
 
 func (noObserver) Heartbeat(string, uint64) {}
-func (noObserver) Opened(string)            {}
-func (noObserver) Closed(string)            {}
+func (noObserver) ConnectionOpened(string)  {}
+func (noObserver) ConnectionClosed(string)  {}
 
-// Transport is the actor that knows the other controllers.
+// Transport is the actor that exchanges messages with the other controllers.
 type Transport struct {
 	*actor.Actor
 	member            string
@@ -73,21 +74,21 @@
 	peers             *table
 	client            *http.Client
 
-	// Set by Run, constant afterwards.
+	// Set by Run and not modified afterwards.
 	handlers    Handlers
 	observer    Observer
-	incarnation uint64 // announced; 0: none is
+	incarnation uint64 // announced to the other controllers; 0: not announced
 }
 
-// Start starts the actor, which ends with ctx. It sends and receives nothing before Run.
+// Start starts a Transport that runs until ctx ends. It sends and receives nothing before Run.
 func Start(ctx context.Context, o Options) *Transport {
-	interval := o.Config.Params.Workers.HeartbeatInterval / heartbeatsPerWorkerHeartbeat
+	interval := o.Config.Params.Workers.HeartbeatInterval / peerHeartbeatsPerWorkerHeartbeat
 	return &Transport{
 		Actor:             actor.Start(ctx, "peer", 128),
 		member:            o.Config.MemberName,
 		heartbeatInterval: interval,
 		freshAsOf:         o.FreshAsOf,
-		peers:             newTable(o.Config.Peers, stalenessHeartbeats*interval),
+		peers:             newTable(o.Config.Peers, maxAgeHeartbeats*interval),
 		client:            newClient(o.Dial, interval),
 		observer:          noObserver{},
 	}
@@ -112,10 +113,10 @@
 	}
 }
 
-// Isolated tells whether there are other controllers, but none sent heartbeats lately.
+// Isolated reports whether there are other controllers but none has sent a heartbeat recently.
 func (t *Transport) Isolated() bool { return t.peers.isolated.Load() }
 
-// FreshPeer names the controller with the freshest view, or nothing.
+// FreshPeer returns the name of the controller with the freshest view; empty if there is none.
 func (t *Transport) FreshPeer() string {
 	if p := t.peers.freshest.Load(); p != nil {
 		return p.Name
@@ -123,29 +124,29 @@
 	return ""
 }
 
-// AnnounceReachable tells the others from which workers heartbeats came here.
+// AnnounceReachable tells the other controllers which machines this one had heartbeats from.
 func (t *Transport) AnnounceReachable(machines []wire.MachineID) {
-	heartbeat := t.heartbeat()
+	heartbeat := t.newHeartbeat()
 	heartbeat.Reachable = machines
 	for _, p := range t.peers.byName {
-		p.enqueue(heartbeat) // or drops it: missed heartbeats prove nothing
+		p.enqueue(heartbeat) // dropped if the queue is full: a missed heartbeat proves nothing
 	}
 }
 
-// SendEvidence forwards what a heartbeat proves; false if the other controller is out of
-// reach. That it was sent proves nothing.
+// SendEvidence queues evidence for another controller. It returns false if that is unknown or not
+// connected, or if its queue is full. True does not mean that the evidence arrives.
 func (t *Transport) SendEvidence(member string, evidence reconcile.Evidence) bool {
 	p := t.peers.byName[member]
 	if p == nil || !p.connected.Load() {
 		return false
 	}
-	heartbeat := t.heartbeat()
+	heartbeat := t.newHeartbeat()
 	heartbeat.Evidence = &evidence
 	return p.enqueue(heartbeat)
 }
 
-// heartbeat is a message that says who sends it and how old the sender's view is.
-func (t *Transport) heartbeat() PeerHeartbeat {
+// newHeartbeat returns a message with this controller's name, incarnation and view age.
+func (t *Transport) newHeartbeat() PeerHeartbeat {
 	heartbeat := PeerHeartbeat{Member: t.member, ViewAgeMillis: -1, Incarnation: t.incarnation}
 	if freshAsOf := t.freshAsOf(); !freshAsOf.IsZero() {
 		heartbeat.ViewAgeMillis = time.Since(freshAsOf).Milliseconds()
@@ -153,7 +154,7 @@
 	return heartbeat
 }
 
-// handleHeartbeat takes a message over.
+// handleHeartbeat handles a message from another controller.
 func (t *Transport) handleHeartbeat(heartbeat PeerHeartbeat) {
 	if !t.peers.recordHeartbeat(time.Now(), &heartbeat) {
 		slog.Warn("heartbeat from unknown controller", "member", heartbeat.Member)
--- a/internal/peer/transport_test.go
+++ b/internal/peer/transport_test.go
@@ -22,15 +22,15 @@
 	"lynxledge/wire"
 )
 
-// controller is one end of a transport between two controllers. What it received belongs to
-// the transport's actor.
+// controller is a Transport that records what it receives. The records are accessed only by the
+// transport's actor.
 type controller struct {
 	*Transport
 	reachable []wire.MachineID
 	evidence  []reconcile.Evidence
 }
 
-// received asks the actor for what it was told up to now.
+// received returns copies of what the controller has received so far.
 func (c *controller) received(t *testing.T) (reachable []wire.MachineID, evidence []reconcile.Evidence) {
 	t.Helper()
 	type lists struct {
@@ -46,46 +46,46 @@
 	return got.reachable, got.evidence
 }
 
-// pair is two controllers, n0 and n1, on a simulated network.
+// pair holds two controllers, n0 and n1, on a simulated network.
 type pair struct {
-	net     *simulation.Network
+	network *simulation.Network
 	members [2]*controller
-	fresh   map[string]*atomic.Bool // by member: whether it has a view; the actors and streams ask at any time
+	fresh   map[string]*atomic.Bool // by member: whether it has a view; read concurrently by the actors
 }
 
-// withPair runs a test with two connected controllers in a synctest bubble, which fails it if a
-// goroutine of theirs is left.
+// withPair runs a test with two connected controllers in a synctest bubble, which fails the test if
+// any of their goroutines is left.
 func withPair(t *testing.T, test func(t *testing.T, p *pair)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		p := &pair{net: simulation.NewNetwork(1, time.Millisecond), fresh: map[string]*atomic.Bool{}}
-		pipes := simulation.NewConnections(p.net)
+		p := &pair{network: simulation.NewNetwork(1, time.Millisecond), fresh: map[string]*atomic.Bool{}}
+		connections := simulation.NewConnections(p.network)
 		names := []string{"n0", "n1"}
 		for _, name := range names {
 			p.fresh[name] = new(atomic.Bool)
 			p.fresh[name].Store(true)
 		}
 		for i, name := range names {
-			p.members[i] = startController(ctx, pipes, name, names[1-i], p.fresh[name])
+			p.members[i] = startController(ctx, connections, name, names[1-i], p.fresh[name])
 		}
 		time.Sleep(10 * time.Second)
 		test(t, p)
 		cancel()
 		for _, name := range names {
-			pipes.Crash(name)
+			connections.Crash(name)
 		}
 		time.Sleep(time.Minute)
 	})
 }
 
-// startController starts a controller that has one other, and a view as long as fresh is set.
-// It answers forwarded requests with what it received.
-func startController(ctx context.Context, pipes *simulation.Connections, name, other string, fresh *atomic.Bool) *controller {
+// startController starts a controller with one peer. It has a view while fresh is set, and answers
+// forwarded requests with their contents.
+func startController(ctx context.Context, connections *simulation.Connections, name, other string, fresh *atomic.Bool) *controller {
 	cfg := &config.Config{MemberName: name, Peers: []config.Peer{{Name: other, Address: other + ":1"}}}
 	cfg.Params.Workers.HeartbeatInterval = 3 * time.Second
 	c := &controller{}
-	c.Transport = Start(ctx, Options{Config: cfg, Dial: pipes.Dial(name), FreshAsOf: func() time.Time {
+	c.Transport = Start(ctx, Options{Config: cfg, Dial: connections.Dial(name), FreshAsOf: func() time.Time {
 		if fresh.Load() {
 			return time.Now()
 		}
@@ -95,7 +95,7 @@
 		Reachable: func(_ string, machines []wire.MachineID) { c.reachable = append(c.reachable, machines...) },
 		Evidence:  func(evidence reconcile.Evidence) { c.evidence = append(c.evidence, evidence) },
 	})
-	go c.Serve(ctx, pipes.Listen(name, name+":1"), http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	go c.Serve(ctx, connections.Listen(name, name+":1"), http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		w.WriteHeader(http.StatusCreated)
 		_, _ = io.WriteString(w, name+" "+r.Method+" "+r.URL.Path+" "+r.Header.Get(ForwardedHeader)+" "+string(body))
@@ -103,9 +103,9 @@
 	return c
 }
 
-// Announced machines and evidence reach the other controller until a partition. Then each
-// knows that it is isolated, and SendEvidence says so, since the worker has to bring the
-// evidence itself. After the partition all is as before.
+// Announced machines and evidence reach the other controller. During a partition each controller
+// detects that it is isolated, and SendEvidence returns false, since the worker then has to deliver
+// the evidence. After the partition everything works as before.
 func TestTransportThroughPartition(t *testing.T) {
 	withPair(t, func(t *testing.T, p *pair) {
 		n0, n1 := p.members[0], p.members[1]
@@ -115,7 +115,7 @@
 		}
 		n0.AnnounceReachable([]wire.MachineID{"i-1", "i-2"})
 		if !n0.SendEvidence("n1", evidence) || n0.SendEvidence("n9", evidence) {
-			t.Error("n1 out of reach, or n9 within")
+			t.Error("evidence not sent to n1, or sent to the unknown n9")
 		}
 		time.Sleep(time.Second)
 		reachable, received := n1.received(t)
@@ -125,12 +125,12 @@
 		if n0.Isolated() || n0.FreshPeer() != "n1" {
 			t.Errorf("isolated %v, fresh peer %q", n0.Isolated(), n0.FreshPeer())
 		}
-		p.net.Partition("n0", "n1", true)
+		p.network.Partition("n0", "n1", true)
 		time.Sleep(20 * time.Second)
 		if !n0.Isolated() || !n1.Isolated() || n0.FreshPeer() != "" || n0.SendEvidence("n1", evidence) {
 			t.Errorf("in a partition: isolated %v %v, fresh peer %q", n0.Isolated(), n1.Isolated(), n0.FreshPeer())
 		}
-		p.net.HealAll()
+		p.network.HealAll()
 		time.Sleep(20 * time.Second)
 		if n0.Isolated() || n0.FreshPeer() != "n1" || !n0.SendEvidence("n1", evidence) {
 			t.Errorf("after a partition: isolated %v, fresh peer %q", n0.Isolated(), n0.FreshPeer())
@@ -138,8 +138,8 @@
 	})
 }
 
-// Requests are forwarded only to a controller that has a view, and marked so that they are not
-// forwarded again.
+// Requests are forwarded only to a controller that has a view, with a header that prevents further
+// forwarding.
 func TestForwardNeedsFreshPeer(t *testing.T) {
 	withPair(t, func(t *testing.T, p *pair) {
 		n0 := p.members[0]
@@ -158,8 +158,8 @@
 	})
 }
 
-// A heartbeat from a controller that is not in the settings is ignored, and so is evidence
-// that is malformed.
+// A heartbeat from a controller that is not in the settings is ignored, and so is malformed
+// evidence.
 func TestHeartbeatFromUnknownController(t *testing.T) {
 	withPair(t, func(t *testing.T, p *pair) {
 		n0 := p.members[0]
@@ -173,8 +173,7 @@
 	})
 }
 
-// Messages of the version in production are understood, and encoded again field by field as
-// they were.
+// A message of the version in production can be decoded, and is encoded again to the same JSON.
 func TestMessagesOfTheVersionInProduction(t *testing.T) {
 	before, err := os.ReadFile("testdata/production.json")
 	if err != nil {
@@ -190,16 +189,16 @@
 	}
 }
 
-// A controller's streams, its server and their connections end with its context, without any
-// help of the network. The synctest bubble fails the test if a goroutine is left.
+// A controller's streams, its server and their connections end with its context, without being
+// closed by the network. The synctest bubble fails the test if a goroutine is left.
 func TestEverythingEndsWithContext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		pipes := simulation.NewConnections(simulation.NewNetwork(1, time.Millisecond))
+		connections := simulation.NewConnections(simulation.NewNetwork(1, time.Millisecond))
 		fresh := new(atomic.Bool)
 		fresh.Store(true)
-		n0 := startController(ctx, pipes, "n0", "n1", fresh)
-		n1 := startController(ctx, pipes, "n1", "n0", fresh)
+		n0 := startController(ctx, connections, "n0", "n1", fresh)
+		n1 := startController(ctx, connections, "n1", "n0", fresh)
 		time.Sleep(10 * time.Second)
 		if n0.FreshPeer() != "n1" || n1.FreshPeer() != "n0" {
 			t.Error("not connected")
--- a/internal/standby/hold_down.go
+++ b/internal/standby/hold_down.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// holdDown keeps verdicts on a member from being acted on after some were refuted, with an
-// exponential backoff.
+// holdDown suppresses actions on verdicts on a member after a verdict was refuted, with exponential
+// backoff.
 type holdDown struct {
 	refutations int
 	until       time.Time
 }
 
-// active tells whether verdicts are held down; on the nil holdDown they are not.
+// active reports whether verdicts are held down. It returns false for a nil holdDown.
 func (h *holdDown) active(now time.Time) bool { return h != nil && now.Before(h.until) }
 
-// maxHoldDownDoublings keeps the doubling of a hold-down from overflowing.
+// maxHoldDownDoublings limits the exponent of the backoff to prevent an overflow.
 const maxHoldDownDoublings = 30
 
-// refuteVerdict holds verdicts on a member down, longer each time.
+// refuteVerdict starts a hold-down of verdicts on a member, longer after each refutation.
 func (s *Standby) refuteVerdict(now time.Time, member string) {
 	h := s.holdDowns[member]
 	if h == nil {
@@ -31,7 +31,7 @@
 	slog.Warn("failure verdict refuted", "member", member, "refutations", h.refutations, "hold_seconds", int(duration.Seconds()))
 }
 
-// holdDownAfter is how long verdicts are held down after as many refutations before.
+// holdDownAfter returns the duration of a hold-down that follows the given number of earlier ones.
 func (s *Standby) holdDownAfter(refutations int) time.Duration {
 	section := s.config.Operator.Standby
 	doublings := min(refutations, maxHoldDownDoublings)
@@ -39,7 +39,7 @@
 	return s.config.Params.Workers.Heartbeats(heartbeats)
 }
 
-// maxHoldDown is the longest time for which verdicts on a member are held down.
+// maxHoldDown returns the maximum duration of a hold-down.
 func (s *Standby) maxHoldDown() time.Duration {
 	return s.config.Params.Workers.Heartbeats(s.config.Operator.Standby.HoldDownMaxHeartbeats)
 }
--- a/internal/standby/hold_down_test.go
+++ b/internal/standby/hold_down_test.go
@@ -7,8 +7,8 @@
 	"lynxledge/internal/config"
 )
 
-// Each refutation doubles the time for which verdicts on a member are held down, up to the
-// longest, however many there were.
+// Each refutation doubles the duration of the hold-down up to the maximum, without an overflow
+// after many refutations.
 func TestHoldDownDoublesWithRefutations(t *testing.T) {
 	cfg := &config.Config{}
 	cfg.Params.Workers.HeartbeatInterval = time.Second
@@ -25,6 +25,6 @@
 		t.Errorf("after 1000 refutations: %v", got)
 	}
 	if h := s.holdDowns["n1"]; !h.active(now) || h.active(h.until) || s.holdDowns["n2"].active(now) {
-		t.Error("held down at the wrong times")
+		t.Error("hold-down not active from its start until its end, or active for another member")
 	}
 }
--- a/internal/standby/standby.go
+++ b/internal/standby/standby.go
@@ -1,7 +1,7 @@
 // Package standby takes over a failed controller's roles before its lease has expired. Every
-// controller stands by for every other: who acts first follows from an order that all
-// work out for themselves, and if two act at once, the preconditions of the key-value store let
-// one through.
+// controller is a standby for every other one. Each of them computes the same order of successors,
+// which decides who acts first. If two act at once, the preconditions of their commits let only
+// one succeed.
 package standby
 
 import (
@@ -14,53 +14,54 @@
 	"lynxledge/internal/statecache"
 )
 
-// Election is what a standby may do; package election does it.
+// Election performs the actions of a Standby. It is implemented by package election.
 type Election interface {
-	// ClaimLeadership campaigns for the leadership whose record has a mod revision.
+	// ClaimLeadership campaigns if the leader record is still at modRevision.
 	ClaimLeadership(modRevision uint64)
-	// EvictMember ends the membership of a member's process.
+	// EvictMember deletes the record of a member's process if this controller leads.
 	EvictMember(member string, incarnation uint64)
 }
 
-// Standby is the actor.
+// Standby is the actor that detects failed controllers and takes over their roles.
 type Standby struct {
 	*actor.Actor
 	config            *config.Config
 	incarnation       uint64
 	election          Election
-	heartbeatInterval time.Duration // of the controllers
+	heartbeatInterval time.Duration // between heartbeats of a controller to its peers
 
 	detector  *failuredetector.Detector
-	view      *statecache.View // of members, the leader and assignments
+	view      *statecache.View // members, leader and assignments only
 	freshAsOf time.Time
 
-	verdicts   map[processID]*standingVerdict
+	verdicts   map[processID]*verdictState
 	holdDowns  map[string]*holdDown // by member
-	deposed    map[processID]bool   // leaders whose leadership others took, without a heartbeat since
+	deposed    map[processID]bool   // leaders replaced by another member, with no heartbeat since
 	lastAction Action
 }
 
-// processID is one process of a controller.
+// processID identifies one process of a controller.
 type processID struct {
 	member      string
 	incarnation uint64
 }
 
-// Options are what a Standby works with.
+// Options configures a Standby.
 type Options struct {
-	Config      *config.Config // with its Standby section
+	Config      *config.Config // Operator.Standby must be set
 	Incarnation uint64         // of this process
 	Cache       *statecache.Cache
 	Election    Election
 }
 
-// mailboxSize is how many messages may wait for the actor before senders do.
+// mailboxSize is the number of messages that the actor's mailbox holds. While it is full, Send
+// blocks and Post drops the message.
 const mailboxSize = 512
 
-// checksPerHeartbeat is how often per heartbeat interval the verdicts are checked.
+// checksPerHeartbeat is the number of failure detector checks per heartbeat interval.
 const checksPerHeartbeat = 4
 
-// Start runs the actor until ctx ends.
+// Start starts a Standby that runs until ctx ends.
 func Start(ctx context.Context, o Options) *Standby {
 	cfg := o.Config
 	interval := cfg.Operator.Standby.HeartbeatInterval(cfg.Params.Workers)
@@ -73,7 +74,7 @@
 		heartbeatInterval: interval,
 		detector:          failuredetector.New(now, detectorPolicy(cfg.Operator.Standby, interval), peerNames(cfg)),
 		view:              statecache.NewUnfinishedView(statecache.ChunkTasks(cfg.Params.Store.MaxValueKB)),
-		verdicts:          map[processID]*standingVerdict{},
+		verdicts:          map[processID]*verdictState{},
 		holdDowns:         map[string]*holdDown{},
 		deposed:           map[processID]bool{},
 	}
@@ -101,20 +102,20 @@
 	return names
 }
 
-// Opened takes note of a connection from a controller or to it.
-func (s *Standby) Opened(member string) {
+// ConnectionOpened records a new connection from or to a controller.
+func (s *Standby) ConnectionOpened(member string) {
 	s.Post(func() { s.detector.ConnectionOpened(member) })
 }
 
-// Closed takes note of the end of such a connection.
-func (s *Standby) Closed(member string) {
+// ConnectionClosed records the end of a connection from or to a controller.
+func (s *Standby) ConnectionClosed(member string) {
 	s.Post(func() { s.detector.ConnectionClosed(time.Now(), member) })
 }
 
-// Heartbeat takes note of a heartbeat of a controller's process. It refutes a verdict on that
-// process, and a takeover of its leadership, whoever made it: all controllers then hold verdicts
-// on it down. If only those did that had a verdict themselves, the leadership could swing from
-// one to the next.
+// Heartbeat records a heartbeat of a controller's process. It refutes this controller's verdict on
+// that process, and a takeover of its leadership by any controller, so that after a takeover all
+// controllers hold down verdicts on the member. If only those with a verdict of their own did so,
+// leadership could move on from one controller to the next.
 func (s *Standby) Heartbeat(member string, incarnation uint64) {
 	s.Post(func() {
 		now := time.Now()
@@ -130,7 +131,7 @@
 	})
 }
 
-// apply follows an update of the cache.
+// apply applies an update of the cache.
 func (s *Standby) apply(update statecache.Update) {
 	s.freshAsOf = update.FreshAsOf
 	for _, change := range update.Changes {
@@ -143,43 +144,44 @@
 	}
 }
 
-// applyLeaderChange takes note of a leader whose leadership another has taken. One that
-// resigned, or whose lease expired first, has lost its record before.
+// applyLeaderChange records a leader whose leadership was taken over by another member. The record
+// of a leader that resigned, or whose lease expired, was deleted before its successor's was
+// written, so such a leader is not recorded.
 func (s *Standby) applyLeaderChange(change statecache.Change) {
 	before := s.view.Leader
 	s.view.Apply(change)
 	if after := s.view.Leader; before != nil && after != nil && before.Member != after.Member {
-		clear(s.deposed) // from those before, no heartbeat came all the time
+		clear(s.deposed) // leaders deposed earlier have sent no heartbeat since
 		s.deposed[processID{before.Member, before.Incarnation}] = true
 	}
 }
 
-// check acts on the verdicts that stand.
+// check runs the failure detector and acts on its verdicts.
 func (s *Standby) check() {
 	now := time.Now()
 	verdicts := s.detector.Check(now)
 	if now.Sub(s.freshAsOf) > s.config.Params.Workers.HeartbeatInterval {
-		return // without the store nothing could be written
+		return // the store is unreachable, so no takeover could be committed
 	}
-	standing := map[processID]bool{}
+	current := map[processID]bool{}
 	for _, verdict := range verdicts {
 		process := processID{verdict.Member, verdict.Incarnation}
-		standing[process] = true
+		current[process] = true
 		if s.verdicts[process] == nil {
-			s.verdicts[process] = &standingVerdict{since: now}
+			s.verdicts[process] = &verdictState{since: now}
 		}
 		if !s.holdDowns[verdict.Member].active(now) {
 			s.act(now, verdict, s.verdicts[process])
 		}
 	}
-	s.forgetVerdicts(now, standing)
+	s.expireVerdicts(now, current)
 }
 
-// forgetVerdicts drops those that stand no more, but keeps them for a while: a heartbeat may
-// refute them.
-func (s *Standby) forgetVerdicts(now time.Time, standing map[processID]bool) {
-	for process, verdict := range s.verdicts {
-		if !standing[process] && now.Sub(verdict.since) > s.maxHoldDown() {
+// expireVerdicts deletes the verdicts that are no longer current. It keeps them for the maximum
+// hold-down first, since a late heartbeat may still refute them.
+func (s *Standby) expireVerdicts(now time.Time, current map[processID]bool) {
+	for process, state := range s.verdicts {
+		if !current[process] && now.Sub(state.since) > s.maxHoldDown() {
 			delete(s.verdicts, process)
 		}
 	}
--- a/internal/standby/status.go
+++ b/internal/standby/status.go
@@ -9,22 +9,22 @@
 	"lynxledge/internal/failuredetector"
 )
 
-// StatusPath is where a controller answers with its Status, on its peer address.
+// StatusPath is the path on a controller's peer address that serves its Status.
 const StatusPath = "/status/standby"
 
-// Status is what a controller takes the others for, and what it would do.
+// Status shows how a controller classifies its peers, and who would succeed the leader.
 type Status struct {
 	Member          string `json:"member"`
 	Leader          string `json:"leader,omitempty"`
 	ActiveScheduler string `json:"placer,omitempty"`
-	// Successors is who would claim the leadership if the leader failed now, in order.
+	// Successors are the members that would claim leadership if the leader failed now, in order.
 	Successors []string     `json:"standsBy"`
 	Peers      []PeerStatus `json:"others"`
-	// LastAction is the last takeover of this controller.
+	// LastAction is the last claim or eviction by this controller.
 	LastAction Action `json:"last"`
 }
 
-// PeerStatus is what is known of another controller.
+// PeerStatus is the status of another controller.
 type PeerStatus struct {
 	Member           string    `json:"member"`
 	Level            string    `json:"level"`
@@ -34,7 +34,7 @@
 	HeldUntil        time.Time `json:"heldUntil,omitzero"`
 }
 
-// ServeHTTP answers with the Status.
+// ServeHTTP writes the Status as JSON.
 func (s *Standby) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	status, ok := actor.Ask(s.Actor, func(reply func(Status)) { reply(s.status(time.Now())) })
 	if !ok {
@@ -42,7 +42,7 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(status) // the client may have gone
+	_ = json.NewEncoder(w).Encode(status) // fails only if the client has disconnected
 }
 
 func (s *Standby) status(now time.Time) Status {
