--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -42,7 +42,7 @@
 	lease             lease
 	requestInFlight   bool // a lease grant or a commit; at most one is in flight
 	campaignScheduled bool
-	resigned          bool // this process is leaving: it renews no lease and starts no other request
+	resigned          bool // this process is leaving; set by Resign
 }
 
 // Start starts an Election that runs until ctx ends.
--- a/internal/election/handover.go
+++ b/internal/election/handover.go
@@ -36,9 +36,9 @@
 	})
 }
 
-// Resign deletes this process's leader and membership records in one transaction, and stops it from
-// acquiring either again. It calls done once the transaction has an outcome, or at once if there
-// is no record to delete.
+// Resign deletes this process's leader and membership records in one transaction. From then on the
+// process renews no lease and starts no request, except for a campaign that is already scheduled.
+// It calls done once the transaction has an outcome, or at once if there is no record to delete.
 func (e *Election) Resign(done func()) {
 	e.Send(func() {
 		e.resigned = true
--- a/internal/failuredetector/detector.go
+++ b/internal/failuredetector/detector.go
@@ -7,7 +7,7 @@
 )
 
 // maxGapHeartbeats is the maximum time between two checks, in heartbeat intervals. A longer gap
-// means that this process itself was paused, so what it observed before no longer counts.
+// means that this process itself was paused, so silence up to the second check doesn't count.
 const maxGapHeartbeats = 3
 
 // Verdict states that a process is considered failed.
@@ -58,7 +58,7 @@
 }
 
 // Heartbeat records a heartbeat of a process. It returns false if it ignores the heartbeat because
-// the controller is unknown, the incarnation is 0, or the process has already been replaced.
+// the controller is unknown, the incarnation is 0, or it is that of the process last replaced.
 func (d *Detector) Heartbeat(now time.Time, member string, incarnation uint64) bool {
 	state := d.members[member]
 	if state == nil || incarnation == 0 || incarnation == state.replacedIncarnation {
--- a/internal/heartbeat/respond.go
+++ b/internal/heartbeat/respond.go
@@ -113,8 +113,8 @@
 }
 
 // allowedCommands returns the commands that a heartbeat calls for, without launches if the view is
-// too old: the job may have been cancelled since. Tasks of a cancelled job that already run are
-// stopped by the cancellation deadline, when their lease expires, but no further ones may start.
+// too old: the job may have been cancelled since. The lease keeps running tasks of a cancelled job
+// within the cancellation deadline, but no further ones may start.
 func (r *Receiver) allowedCommands(result *reconcile.Result, now time.Time) []wire.Command {
 	commands := result.Commands
 	if now.Sub(r.freshAsOf) > r.config.Params.Workers.MaxLaunchViewAge() {
--- a/internal/standby/standby.go
+++ b/internal/standby/standby.go
@@ -177,8 +177,8 @@
 	s.expireVerdicts(now, current)
 }
 
-// expireVerdicts deletes the verdicts that are no longer current. It keeps them for the maximum
-// hold-down first, since a late heartbeat may still refute them.
+// expireVerdicts deletes verdicts that are no longer current. It keeps each for the maximum
+// hold-down after it was first returned, since a late heartbeat may still refute it.
 func (s *Standby) expireVerdicts(now time.Time, current map[processID]bool) {
 	for process, state := range s.verdicts {
 		if !current[process] && now.Sub(state.since) > s.maxHoldDown() {
