--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,5 @@
-// Package config reads the settings file that the platform hands over (TOML)
-// and the operators' own settings (JSON with a schema).
+// Package config reads the settings file that the platform provides (TOML) and
+// the operators' settings (JSON with a schema).
 package config
 
 import (
@@ -12,7 +12,7 @@
 	"lynxledge/wire"
 )
 
-// Config is everything that a controller is told at its start.
+// Config holds all settings of a controller.
 type Config struct {
 	MemberName          string    `toml:"member"`
 	Zone                wire.Zone `toml:"area"`
@@ -23,9 +23,9 @@
 		Cloud string `toml:"cloud"`
 		State string `toml:"state"`
 	} `toml:"external"`
-	Params Params `toml:"-"` // converted from the document's
+	Params Params `toml:"-"` // converted from paramsDocument
 
-	// Operator holds the operators' own settings, which are a file of their own.
+	// Operator holds the operators' settings, which are read from a separate file.
 	Operator OperatorSettings `toml:"-"`
 }
 
@@ -40,7 +40,7 @@
 type Params struct {
 	ClusterSize int                 `toml:"size"`
 	Zones       []wire.Zone         `toml:"zones"`
-	ClockSkew   time.Duration       `toml:"-"` // this and the others without a name are converted from the document's
+	ClockSkew   time.Duration       `toml:"-"` // this and the other fields tagged "-" are converted from paramsDocument
 	Teams       []TeamQuota         `toml:"teams"`
 	Objectives  []Objective         `toml:"-"`
 	Workers     WorkerTimings       `toml:"-"`
@@ -49,7 +49,8 @@
 	Resources   ControllerResources `toml:"resources"`
 }
 
-// TeamQuota is a team's guaranteed and largest share of the cluster; 0 means none.
+// TeamQuota holds a team's guaranteed and maximum resources in the cluster; 0 means that there is
+// no guarantee or no maximum.
 type TeamQuota struct {
 	Name           wire.TeamName `toml:"name"`
 	GuaranteedCPUs float64       `toml:"cpus"`
@@ -58,7 +59,7 @@
 	MaxGPUs        float64       `toml:"gpus_max"`
 }
 
-// TeamQuota finds a team by name.
+// TeamQuota returns the quota of the team with a name, and whether there is one.
 func (p *Params) TeamQuota(name wire.TeamName) (TeamQuota, bool) {
 	for _, t := range p.Teams {
 		if t.Name == name {
@@ -71,40 +72,42 @@
 // WorkerTimings holds the intervals and timeouts of the workers.
 type WorkerTimings struct {
 	HeartbeatInterval time.Duration
-	LeaseDuration     time.Duration // from the last answered heartbeat until a worker stops its tasks
-	// CancellationDeadline is the time from a job's cancellation by which its tasks have to
-	// have stopped.
+	LeaseDuration     time.Duration // from the last heartbeat that got a response until the worker stops its tasks
+	// CancellationDeadline is the time after a job's cancellation within which its tasks have
+	// to stop.
 	CancellationDeadline time.Duration
 }
 
 // Heartbeats returns the duration of n heartbeat intervals.
-func (w WorkerTimings) Heartbeats(n float64) time.Duration { return multiple(w.HeartbeatInterval, n) }
+func (w WorkerTimings) Heartbeats(n float64) time.Duration {
+	return scaleDuration(w.HeartbeatInterval, n)
+}
 
-// Leases returns the duration of n leases.
-func (w WorkerTimings) Leases(n float64) time.Duration { return multiple(w.LeaseDuration, n) }
+// Leases returns n times the lease duration.
+func (w WorkerTimings) Leases(n float64) time.Duration { return scaleDuration(w.LeaseDuration, n) }
 
-// launchViewAgeHeartbeats is the greatest age, in heartbeat intervals, of a view from which tasks
-// are launched. A cache that reaches the store keeps its view fresher than that when nothing
-// changes.
+// launchViewAgeHeartbeats is the maximum age, in heartbeat intervals, of a view from which tasks
+// are launched. A cache that can reach the store keeps its view fresher than this even when
+// nothing changes.
 const launchViewAgeHeartbeats = 0.75
 
-// MaxLaunchViewAge returns how old the view may be from which a task is launched.
+// MaxLaunchViewAge returns the maximum age of a view from which tasks are launched.
 func (w WorkerTimings) MaxLaunchViewAge() time.Duration { return w.Heartbeats(launchViewAgeHeartbeats) }
 
-// CloudLimits holds the limits of the cloud.
+// CloudLimits holds the limits of the cloud's API.
 type CloudLimits struct {
 	RequestRate float64
-	ListLag     time.Duration // until its list of instances shows a change
+	ListLag     time.Duration // from a change until the list of instances shows it
 }
 
-// ControllerResources is what this process may use.
+// ControllerResources holds the resources that the controller process may use.
 type ControllerResources struct {
 	CPUCores            float64 `toml:"cpu"`
 	MemoryMB            float64 `toml:"memory_mb"`
 	FileDescriptorLimit int     `toml:"fd_limit"`
 }
 
-// Load reads the platform's file and, when operatorPath is not empty, the operators' own.
+// Load reads the platform's settings file and, if operatorPath is not empty, the operators'.
 func Load(path, operatorPath string) (*Config, error) {
 	text, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -15,7 +15,7 @@
 	_ "lynxledge/internal/rapidseed"
 )
 
-const sound = `
+const validSettings = `
 member = "n0"
 area = "a"
 client_listen = "127.0.0.1:1"
@@ -65,9 +65,9 @@
 memory_mb = 70.0
 `
 
-// One wrong field is refused with a message that names it.
+// A single invalid field is rejected with an error that names it.
 func TestWrongSettingsAreNamed(t *testing.T) {
-	if _, err := Parse(sound); err != nil {
+	if _, err := Parse(validSettings); err != nil {
 		t.Fatal(err)
 	}
 	for _, c := range []struct{ old, new, names string }{
@@ -89,7 +89,7 @@
 		{`cpu = 0.1`, `cpu = 0.0`, "params.resources.cpu"},
 		{`cpu = 0.1`, `cpu = -0.1`, "params.resources.cpu"},
 	} {
-		_, err := Parse(strings.Replace(sound, c.old, c.new, 1))
+		_, err := Parse(strings.Replace(validSettings, c.old, c.new, 1))
 		if err == nil || !strings.Contains(err.Error(), c.names) {
 			t.Errorf("%s -> %s: %v", c.old, c.new, err)
 		}
@@ -99,7 +99,7 @@
 	}
 }
 
-// Small resources give warnings that name them; they are no errors.
+// Resources that are too small give warnings that name them, not errors.
 func TestSmallResourcesGiveWarnings(t *testing.T) {
 	for _, c := range []struct {
 		resources ControllerResources
@@ -115,24 +115,24 @@
 			t.Errorf("%+v: %v, not %v", c.resources, got, c.want)
 		}
 	}
-	slow, err := Parse(strings.Replace(sound, "rps = 150.0", "rps = 2.0", 1))
+	slow, err := Parse(strings.Replace(validSettings, "rps = 150.0", "rps = 2.0", 1))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if got, want := slow.Warnings(), []string{"params.state.rps<4"}; !slices.Equal(got, want) {
 		t.Errorf("a store too slow for lease renewals: %v, not %v", got, want)
 	}
-	small := strings.NewReplacer("cpu = 0.1", "cpu = 0.001", "memory_mb = 70.0", "memory_mb = 1.0").Replace(sound)
+	small := strings.NewReplacer("cpu = 0.1", "cpu = 0.001", "memory_mb = 70.0", "memory_mb = 1.0").Replace(validSettings)
 	if _, err := Parse(small); err != nil {
-		t.Errorf("a small machine is refused: %v", err)
+		t.Errorf("too small resources give an error: %v", err)
 	}
 }
 
-// Upcoming store limits are optional; if present, each of them is validated. Sizes fit the
-// smaller of both from the start.
+// Upcoming store limits are optional and validated if present. Of the current and the upcoming
+// size limits the smaller ones apply from the start.
 func TestUpcomingStoreLimits(t *testing.T) {
 	with := func(next string) (*Config, error) {
-		return Parse(strings.Replace(sound, "[params.cloud]", "[params.state.next]\n"+next+"\n[params.cloud]", 1))
+		return Parse(strings.Replace(validSettings, "[params.cloud]", "[params.state.next]\n"+next+"\n[params.cloud]", 1))
 	}
 	c, err := with("write_rps = 35.0\nvalue_kb = 2.0\ntxn_ops = 24")
 	if err != nil || c.Params.Store.ValueSizeLimit() != 2048 || c.Params.Store.TxnOpsLimit() != 8 {
@@ -158,33 +158,33 @@
 }
 
 func TestDeadlines(t *testing.T) {
-	c, err := Parse(sound)
+	c, err := Parse(validSettings)
 	if err != nil {
 		t.Fatal(err)
 	}
-	own := 40 * time.Second
+	ownDeadline := 40 * time.Second
 	for _, x := range []struct {
-		class string
-		own   *time.Duration
-		want  []time.Duration
+		class       string
+		ownDeadline *time.Duration
+		want        []time.Duration
 	}{
-		{"c", nil, seconds(100, 150)}, {"c", &own, seconds(40, 100, 150)}, {"d", &own, seconds(40, 70)},
-		{"w", &own, seconds(40, 127)}, // a new machine can keep it
+		{"c", nil, seconds(100, 150)}, {"c", &ownDeadline, seconds(40, 100, 150)}, {"d", &ownDeadline, seconds(40, 70)},
+		{"w", &ownDeadline, seconds(40, 127)}, // a new machine can meet the start objective of 120 s; the runtime is 7 s
 		{"other", nil, []time.Duration{c.Operator.DefaultDeadline}},
 	} {
-		if got := c.Deadlines(x.class, x.own, 7*time.Second, 0); !slices.Equal(got, x.want) {
+		if got := c.Deadlines(x.class, x.ownDeadline, 7*time.Second, 0); !slices.Equal(got, x.want) {
 			t.Errorf("%s: %v, want %v", x.class, got, x.want)
 		}
 	}
-	// The time that a job waited for its dependencies shortens its own deadline alone.
-	if got, want := c.Deadlines("w", &own, 7*time.Second, 30*time.Second), seconds(10, 127); !slices.Equal(got, want) {
+	// The time that a job waited for its dependencies shortens only its own deadline.
+	if got, want := c.Deadlines("w", &ownDeadline, 7*time.Second, 30*time.Second), seconds(10, 127); !slices.Equal(got, want) {
 		t.Errorf("after a wait: %v, want %v", got, want)
 	}
 }
 
 func TestOperatorsSettings(t *testing.T) {
 	if o, err := ParseOperatorSettings(operatorSettingsDefaults); err != nil || o != DefaultOperatorSettings() {
-		t.Fatalf("the defaults don't conform to the schema: %v", err)
+		t.Fatalf("the embedded defaults don't conform to the schema or aren't the defaults: %v", err)
 	}
 	for body, names := range map[string]string{
 		`{"pass_s": "5"}`: "/pass_s", `{"pass_s": 0}`: "/pass_s", `{"state_share": 2}`: "/state_share", `{"passs": 5}`: "passs",
@@ -204,10 +204,10 @@
 		}
 	})
 	path := filepath.Join(t.TempDir(), "c.toml")
-	if err := os.WriteFile(path, []byte(sound), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(validSettings), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := Load(path, path); err == nil {
-		t.Error("TOML passed for JSON")
+		t.Error("a TOML file was accepted as operators' settings")
 	}
 }
--- a/internal/config/document.go
+++ b/internal/config/document.go
@@ -6,8 +6,8 @@
 	"github.com/BurntSushi/toml"
 )
 
-// The documents below are the settings as the platform's file has them, with durations as
-// numbers. Their own fields hide those of the same name that they embed.
+// The types below mirror the platform's settings file, with durations as numbers. Fields that
+// need conversion shadow those of the same name in the embedded struct.
 
 type configDocument struct {
 	Config
@@ -41,7 +41,7 @@
 	ListLag     float64 `toml:"list_lag_s"`
 }
 
-// Parse reads and checks the platform's settings. The operators' settings are the defaults.
+// Parse decodes and validates the platform's settings. The operators' settings are the defaults.
 func Parse(text string) (*Config, error) {
 	var document configDocument
 	if _, err := toml.Decode(text, &document); err != nil {
@@ -53,7 +53,7 @@
 	return document.config(), nil
 }
 
-// config converts a document that was validated.
+// config converts a validated document.
 func (d *configDocument) config() *Config {
 	c := d.Config
 	c.Params = d.Params.params()
@@ -63,16 +63,16 @@
 
 func (p *paramsDocument) params() Params {
 	converted := p.Params
-	converted.ClockSkew = fromSettings(p.ClockSkewMillis, time.Millisecond)
+	converted.ClockSkew = durationFromSettings(p.ClockSkewMillis, time.Millisecond)
 	converted.Workers = WorkerTimings{
-		HeartbeatInterval:    fromSettings(p.Workers.HeartbeatInterval, time.Second),
-		LeaseDuration:        fromSettings(p.Workers.LeaseDuration, time.Second),
-		CancellationDeadline: fromSettings(p.Workers.CancellationDeadline, time.Second),
+		HeartbeatInterval:    durationFromSettings(p.Workers.HeartbeatInterval, time.Second),
+		LeaseDuration:        durationFromSettings(p.Workers.LeaseDuration, time.Second),
+		CancellationDeadline: durationFromSettings(p.Workers.CancellationDeadline, time.Second),
 	}
-	converted.Cloud = CloudLimits{RequestRate: p.Cloud.RequestRate, ListLag: fromSettings(p.Cloud.ListLag, time.Second)}
+	converted.Cloud = CloudLimits{RequestRate: p.Cloud.RequestRate, ListLag: durationFromSettings(p.Cloud.ListLag, time.Second)}
 	for _, o := range p.Objectives {
 		converted.Objectives = append(converted.Objectives, Objective{
-			Kind: o.Kind, Class: o.Class, Within: fromSettings(o.Within, time.Second), Share: o.Share, DeadlineMultiple: o.DeadlineMultiple,
+			Kind: o.Kind, Class: o.Class, Within: durationFromSettings(o.Within, time.Second), Share: o.Share, DeadlineMultiple: o.DeadlineMultiple,
 		})
 	}
 	return converted
--- a/internal/config/durations.go
+++ b/internal/config/durations.go
@@ -7,29 +7,30 @@
 	"lynxledge/wire"
 )
 
-// MaxDuration is the longest duration that settings have: longer ones, infinite ones
-// included, count as this.
+// MaxDuration is the longest duration in the settings. Longer ones, infinite ones included, are
+// truncated to it.
 const MaxDuration = wire.MaxDuration
 
-// Seconds converts seconds to a duration, truncated to whole nanoseconds and to at most
-// MaxDuration either way. NaN becomes 0.
+// Seconds converts seconds to a duration, truncated to whole nanoseconds and limited to the range
+// from -MaxDuration to MaxDuration. NaN becomes 0.
 func Seconds(s float64) time.Duration { return wire.Seconds(s).Duration() }
 
-// Milliseconds converts milliseconds to a duration of at most MaxDuration either way.
+// Milliseconds converts milliseconds to a duration, limited to the range from -MaxDuration to
+// MaxDuration.
 func Milliseconds(ms int64) time.Duration {
 	const limit = int64(MaxDuration / time.Millisecond)
 	return time.Duration(max(-limit, min(ms, limit))) * time.Millisecond
 }
 
-// multiple returns n times d, truncated like Seconds.
-func multiple(d time.Duration, n float64) time.Duration {
+// scaleDuration returns n times d, truncated and limited like Seconds.
+func scaleDuration(d time.Duration, n float64) time.Duration {
 	return wire.DurationOfNanoseconds(float64(d) * n)
 }
 
-// fromSettings converts a number of a settings file to a duration. It rounds, so that the
-// multiples of a duration differ from those of the number in the file by no more than their
-// own truncation, and it keeps what is above 0 above 0.
-func fromSettings(n float64, unit time.Duration) time.Duration {
+// durationFromSettings converts a number from a settings file to a duration. It rounds, so that
+// multiples of the duration differ from multiples of the number in the file only by their own
+// truncation. A number above 0 gives a duration above 0.
+func durationFromSettings(n float64, unit time.Duration) time.Duration {
 	d := wire.DurationOfNanoseconds(math.Round(n * float64(unit)))
 	if n > 0 {
 		return max(d, 1)
--- a/internal/config/durations_test.go
+++ b/internal/config/durations_test.go
@@ -10,13 +10,13 @@
 	"pgregory.net/rapid"
 )
 
-// Multiples of a duration from the settings differ by at most a nanosecond from those of the
-// number in the file, if that is one of whole microseconds.
+// Multiples of a duration from the settings differ by at most a nanosecond from multiples of the
+// number in the file, if that is a whole number of microseconds.
 func TestMultiplesKeepTheSettingsPrecision(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		interval := float64(rapid.IntRange(1, 600e6).Draw(t, "microseconds")) / 1e6
 		n := rapid.Float64Range(0, 100).Draw(t, "multiple")
-		got := WorkerTimings{HeartbeatInterval: fromSettings(interval, time.Second)}.Heartbeats(n)
+		got := WorkerTimings{HeartbeatInterval: durationFromSettings(interval, time.Second)}.Heartbeats(n)
 		if want := time.Duration(interval * n * float64(time.Second)); (got - want).Abs() > 1 {
 			t.Fatalf("%v times %v s: %v, not %v", n, interval, got, want)
 		}
@@ -31,7 +31,7 @@
 		{0, 0}, {-1, -time.Second}, {1.5, 1500 * time.Millisecond}, {0.1, 100 * time.Millisecond}, {1e-12, 1}, {math.NaN(), 0},
 		{math.Inf(1), MaxDuration}, {math.Inf(-1), -MaxDuration}, {1e300, MaxDuration}, {-1e300, -MaxDuration},
 	} {
-		if got := fromSettings(c.seconds, time.Second); got != c.want {
+		if got := durationFromSettings(c.seconds, time.Second); got != c.want {
 			t.Errorf("%v s: %v, not %v", c.seconds, got, c.want)
 		}
 	}
@@ -42,8 +42,8 @@
 	}
 }
 
-// Durations that are not finite are refused where they have to be above 0; the error names
-// the field.
+// NaN and infinite durations are rejected where a duration must be above 0. Errors name the field
+// by its path in the settings file.
 func TestFieldErrors(t *testing.T) {
 	for _, c := range []struct{ old, new, field, message string }{
 		{`report_s = 3.0`, `report_s = nan`, "params.workers.report_s", "params.workers.report_s must be more than 0"},
@@ -54,7 +54,7 @@
 		{`cpus = 8.0`, `cpus = -8.0`, "params.teams[0]", "params.teams[0]: an amount is negative"},
 		{`cancel_s = 64.0`, `cancel_s = 40.0`, "params.workers.cancel_s", "params.workers.cancel_s must be longer than lease_s by more than two report_s: cancellations could not be kept"},
 	} {
-		_, err := Parse(strings.Replace(sound, c.old, c.new, 1))
+		_, err := Parse(strings.Replace(validSettings, c.old, c.new, 1))
 		var invalid *FieldError
 		if !errors.As(err, &invalid) || invalid.Field != c.field || err.Error() != c.message {
 			t.Errorf("%s: %v", c.new, err)
@@ -69,7 +69,7 @@
 	if _, err := ParseOperatorSettings([]byte(`{"pass_s": 0}`)); !errors.As(err, &schema) {
 		t.Errorf("schema: %v", err)
 	}
-	if _, err := Parse(sound + "[[params.objectives]]\nkind = \"wait\"\nwithin_s = inf\n[[params.objectives]]\nkind = \"up\"\n"); err != nil {
-		t.Errorf("accepted until now: %v", err)
+	if _, err := Parse(validSettings + "[[params.objectives]]\nkind = \"wait\"\nwithin_s = inf\n[[params.objectives]]\nkind = \"up\"\n"); err != nil {
+		t.Errorf("objectives without a class or with an infinite bound are no longer accepted: %v", err)
 	}
 }
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -5,37 +5,38 @@
 	"strings"
 )
 
-// FieldError is a settings file's field that has an unacceptable value.
+// FieldError is the error for a missing or invalid field of a settings file.
 type FieldError struct {
-	Field  string // its path in the file
-	Reason string // what is wrong with it
-	// separator stands between the two: a colon unless the field is the reason's subject.
+	Field  string // path of the field in the file
+	Reason string // what is wrong with the field
+	// separator joins Field and Reason: ": ", or " " if Field is the grammatical subject of Reason.
 	separator string
 }
 
-// Error names the field and what is wrong with it.
+// Error returns the field's path and the reason.
 func (e *FieldError) Error() string { return e.Field + e.separator + e.Reason }
 
-// fieldMust returns the error of a field whose reason continues its name: "x must be y".
-func fieldMust(field, format string, args ...any) error {
+// fieldSubjectErrorf returns a FieldError whose reason has the field as its subject, as in
+// "x must be y".
+func fieldSubjectErrorf(field, format string, args ...any) error {
 	return &FieldError{Field: field, Reason: fmt.Sprintf(format, args...), separator: " "}
 }
 
-// fieldProblem returns the error of a field whose reason is a clause of its own.
-func fieldProblem(field, format string, args ...any) error {
+// fieldErrorf returns a FieldError whose reason follows the field after a colon.
+func fieldErrorf(field, format string, args ...any) error {
 	return &FieldError{Field: field, Reason: fmt.Sprintf(format, args...), separator: ": "}
 }
 
-// pointer returns the JSON pointer of a field of the operators' settings.
-func pointer(path ...string) string { return "/" + strings.Join(path, "/") }
+// jsonPointer returns the JSON pointer of a field of the operators' settings.
+func jsonPointer(path ...string) string { return "/" + strings.Join(path, "/") }
 
-// SchemaError tells where the operators' settings don't conform to their schema.
+// SchemaError is the error for operators' settings that do not conform to their schema.
 type SchemaError struct {
-	Err error // the validator's
+	Err error // from the schema validator
 }
 
-// Error says that the settings do not match their schema, and where.
+// Error returns the validator's message, which names the place in the settings.
 func (e *SchemaError) Error() string { return describeSchemaViolation(e.Err) }
 
-// Unwrap returns the validator's error.
+// Unwrap returns the error of the schema validator.
 func (e *SchemaError) Unwrap() error { return e.Err }
--- a/internal/config/operator_settings.go
+++ b/internal/config/operator_settings.go
@@ -17,8 +17,8 @@
 //go:embed operators.default.json
 var operatorSettingsDefaults []byte
 
-// OperatorSettings are the operators' own settings. The schema beside this file says what
-// each means; ratios refer to figures of the platform's settings.
+// OperatorSettings are the operators' settings. operators.schema.json describes each of them;
+// those in heartbeats, shares and multiples are relative to the platform's settings.
 type OperatorSettings struct {
 	PlanningInterval      time.Duration
 	BootLag               time.Duration
@@ -32,18 +32,17 @@
 	CloudRateShare        float64
 	BootTimeoutMultiple   float64
 
-	// Sections switch features on that are off when they are nil.
+	// Optional features; nil: disabled.
 	ZoneRecovery *ZoneRecovery
 	Standby      *Standby
 }
 
 // PlanningIntervals returns the duration of n planning intervals.
 func (o *OperatorSettings) PlanningIntervals(n float64) time.Duration {
-	return multiple(o.PlanningInterval, n)
+	return scaleDuration(o.PlanningInterval, n)
 }
 
-// operatorSettingsDocument is OperatorSettings as the file has them, with durations as
-// numbers.
+// operatorSettingsDocument mirrors the operators' settings file, with durations as numbers.
 type operatorSettingsDocument struct {
 	PlanningIntervalSeconds float64       `json:"pass_s"`
 	BootLagSeconds          float64       `json:"boot_lag_s"`
@@ -62,10 +61,10 @@
 
 func (d *operatorSettingsDocument) settings() OperatorSettings {
 	return OperatorSettings{
-		PlanningInterval:      fromSettings(d.PlanningIntervalSeconds, time.Second),
-		BootLag:               fromSettings(d.BootLagSeconds, time.Second),
-		BillingPeriod:         fromSettings(d.BillingPeriodSeconds, time.Second),
-		DefaultDeadline:       fromSettings(d.DefaultDeadlineSeconds, time.Second),
+		PlanningInterval:      durationFromSettings(d.PlanningIntervalSeconds, time.Second),
+		BootLag:               durationFromSettings(d.BootLagSeconds, time.Second),
+		BillingPeriod:         durationFromSettings(d.BillingPeriodSeconds, time.Second),
+		DefaultDeadline:       durationFromSettings(d.DefaultDeadlineSeconds, time.Second),
 		MemberLeaseHeartbeats: d.MemberLeaseHeartbeats,
 		UnreachableHeartbeats: d.UnreachableHeartbeats,
 		HeadroomShare:         d.HeadroomShare,
@@ -87,7 +86,7 @@
 func defaultOperatorSettingsDocument() operatorSettingsDocument {
 	var d operatorSettingsDocument
 	if err := json.Unmarshal(operatorSettingsDefaults, &d); err != nil {
-		panic(err) // a test checks the embedded file
+		panic(err) // can't happen: TestOperatorsSettings checks the embedded file
 	}
 	return d
 }
@@ -104,8 +103,8 @@
 	return o, nil
 }
 
-// ParseOperatorSettings checks the operators' settings against the schema and lays them
-// over the defaults.
+// ParseOperatorSettings validates the operators' settings against their schema. Missing fields
+// get their defaults.
 func ParseOperatorSettings(text []byte) (OperatorSettings, error) {
 	if err := validateSchema(text); err != nil {
 		return OperatorSettings{}, err
@@ -117,7 +116,7 @@
 	return d.settings(), nil
 }
 
-// validateSchema checks the operators' settings against their schema.
+// validateSchema validates the operators' settings against their schema.
 func validateSchema(text []byte) error {
 	var document any
 	if err := json.Unmarshal(text, &document); err != nil {
@@ -137,12 +136,12 @@
 	return nil
 }
 
-// describeSchemaViolation names the offending path from the document's root, "/".
-func describeSchemaViolation(invalid error) string {
-	return strings.Replace(invalid.Error(), "validating root", "/", 1)
+// describeSchemaViolation returns the validator's message with the document's root written as "/".
+func describeSchemaViolation(err error) string {
+	return strings.Replace(err.Error(), "validating root", "/", 1)
 }
 
-// validateAgainst checks the operators' settings against the platform's.
+// validateAgainst validates the operators' settings against the platform's.
 func (o *OperatorSettings) validateAgainst(w WorkerTimings) error {
 	if o.ZoneRecovery != nil {
 		return o.ZoneRecovery.validateAgainst(w)
--- a/internal/config/standby_test.go
+++ b/internal/config/standby_test.go
@@ -6,11 +6,11 @@
 	"testing"
 )
 
-// The section enables early failover; errors name its wrong fields; a warning names the
-// settings with which failover misses its target.
+// The section enables early failover. Errors name its invalid fields. A warning names the settings
+// if failure detection takes longer than a failover should.
 func TestStandbySection(t *testing.T) {
 	if DefaultOperatorSettings().Standby != nil {
-		t.Error("on by default")
+		t.Error("enabled by default")
 	}
 	o, err := ParseOperatorSettings([]byte(`{"standby": {"failed_beats": 3}}`))
 	if want := DefaultStandby(); err != nil || o.Standby.FailedAfterHeartbeats != 3 || o.Standby.HeartbeatIntervalMultiple != want.HeartbeatIntervalMultiple {
@@ -29,14 +29,14 @@
 			t.Errorf("%s: %v", body, err)
 		}
 	}
-	c, err := Parse(sound)
+	c, err := Parse(validSettings)
 	if err != nil {
 		t.Fatal(err)
 	}
 	section := DefaultStandby()
 	c.Operator.Standby = &section
 	if w := c.Warnings(); len(w) > 0 {
-		t.Errorf("warnings about sound settings: %v", w)
+		t.Errorf("warnings about valid settings: %v", w)
 	}
 	section.FailedAfterHeartbeats = 20
 	if w := c.Warnings(); !slices.ContainsFunc(w, func(s string) bool { return strings.Contains(s, "standby") }) {
--- a/internal/config/store_limits.go
+++ b/internal/config/store_limits.go
@@ -6,12 +6,12 @@
 	WriteRate   float64 `toml:"write_rps"`
 	MaxValueKB  float64 `toml:"value_kb"`
 	MaxTxnOps   int     `toml:"txn_ops"`
-	// Upcoming holds the limits that come into force at some later time, without notice;
-	// nil if none do.
+	// Upcoming holds limits that replace these at an unknown later time, without notice; nil:
+	// none.
 	Upcoming *UpcomingStoreLimits `toml:"next"`
 }
 
-// UpcomingStoreLimits holds the limits that will replace the present ones.
+// UpcomingStoreLimits holds the limits that will replace the current ones.
 type UpcomingStoreLimits struct {
 	RequestRate *float64 `toml:"rps"` // nil: unchanged
 	WriteRate   float64  `toml:"write_rps"`
@@ -19,8 +19,8 @@
 	MaxTxnOps   int      `toml:"txn_ops"`
 }
 
-// ValueSizeLimit returns the largest value in bytes that both the present and the upcoming
-// limits accept. Values are written within it from the start.
+// ValueSizeLimit returns the largest value size in bytes that both the current and the upcoming
+// limits allow. All values are written within it, also before the upcoming limits are in force.
 func (s *StoreLimits) ValueSizeLimit() int {
 	kb := s.MaxValueKB
 	if s.Upcoming != nil {
@@ -29,8 +29,8 @@
 	return int(kb * 1024)
 }
 
-// RequestRateLimit returns the request rate that both the present and the upcoming limits
-// accept.
+// RequestRateLimit returns the highest request rate that both the current and the upcoming limits
+// allow.
 func (s *StoreLimits) RequestRateLimit() float64 {
 	if s.Upcoming != nil && s.Upcoming.RequestRate != nil {
 		return min(s.RequestRate, *s.Upcoming.RequestRate)
@@ -38,8 +38,8 @@
 	return s.RequestRate
 }
 
-// TxnOpsLimit returns the number of writes in a transaction that both the present and the
-// upcoming limits accept.
+// TxnOpsLimit returns the largest number of writes in a transaction that both the current and the
+// upcoming limits allow.
 func (s *StoreLimits) TxnOpsLimit() int {
 	if s.Upcoming != nil {
 		return min(s.MaxTxnOps, s.Upcoming.MaxTxnOps)
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -9,15 +9,16 @@
 )
 
 const (
-	// minTxnOps is the largest atomic change that is written: a machine's record, a task's
-	// completions, the job and one spare.
+	// minTxnOps is the number of writes in the largest atomic change: a machine's record, the
+	// record of a task's completion and the job's record; plus one spare.
 	minTxnOps = 4
 
-	// minValueKB holds a group of one machine with a few tasks, and a job.
+	// minValueKB is enough for the record of a group of one machine with a few tasks, and for a
+	// job's record.
 	minValueKB = 1.0
 )
 
-// validate checks the document section by section; the error is a *FieldError.
+// validate checks the document section by section and returns the first error, a *FieldError.
 func (d *configDocument) validate() error {
 	p := &d.Params
 	for _, check := range []func() error{
@@ -32,7 +33,7 @@
 
 func (d *configDocument) validateAddresses() error {
 	if d.MemberName == "" {
-		return fieldMust("member", "is missing")
+		return fieldSubjectErrorf("member", "is missing")
 	}
 	for _, a := range []struct{ field, address string }{
 		{"client_listen", d.ClientListenAddress}, {"mesh_addr", d.PeerListenAddress},
@@ -49,7 +50,7 @@
 	seen := map[string]bool{d.MemberName: true}
 	for i, p := range d.Peers {
 		if p.Name == "" || seen[p.Name] {
-			return fieldProblem(fmt.Sprintf("others[%d].member", i), "%q is empty or named twice", p.Name)
+			return fieldErrorf(fmt.Sprintf("others[%d].member", i), "%q is empty or named twice", p.Name)
 		}
 		seen[p.Name] = true
 		if err := validateAddress(fmt.Sprintf("others[%d].endpoint", i), p.Address); err != nil {
@@ -61,12 +62,12 @@
 
 func validateAddress(field, address string) error {
 	if _, _, err := net.SplitHostPort(address); err != nil {
-		return fieldProblem(field, "%q is not host:port", address)
+		return fieldErrorf(field, "%q is not host:port", address)
 	}
 	return nil
 }
 
-// validateAmounts checks the numbers that have to be above 0.
+// validateAmounts checks the numbers that must be above 0.
 func (p *paramsDocument) validateAmounts() error {
 	for _, a := range []struct {
 		field string
@@ -91,10 +92,10 @@
 	return nil
 }
 
-// validatePositive refuses NaN and infinity as well.
+// validatePositive rejects NaN and infinity as well.
 func validatePositive(field string, value float64) error {
 	if !(value > 0) || math.IsInf(value, 0) {
-		return fieldMust(field, "must be more than 0")
+		return fieldSubjectErrorf(field, "must be more than 0")
 	}
 	return nil
 }
@@ -120,22 +121,22 @@
 
 func validateStoreSizes(section string, valueKB float64, txnOps int) error {
 	if txnOps < minTxnOps {
-		return fieldMust(section+".txn_ops", "must be at least %d", minTxnOps)
+		return fieldSubjectErrorf(section+".txn_ops", "must be at least %d", minTxnOps)
 	}
 	if !(valueKB >= minValueKB) || math.IsInf(valueKB, 0) {
-		return fieldMust(section+".value_kb", "must be at least %v: a machine's record would not fit", minValueKB)
+		return fieldSubjectErrorf(section+".value_kb", "must be at least %v: a machine's record would not fit", minValueKB)
 	}
 	return nil
 }
 
 func (w *workerTimingsDocument) validate() error {
 	if w.LeaseDuration <= w.HeartbeatInterval {
-		return fieldMust("params.workers.lease_s", "must be longer than report_s")
+		return fieldSubjectErrorf("params.workers.lease_s", "must be longer than report_s")
 	}
-	// A worker whose last heartbeat was answered just before its controller learned of a
-	// cancellation keeps its tasks for one more lease.
+	// A worker whose last heartbeat got its response just before the controller learned of a
+	// cancellation runs its tasks for one more lease.
 	if w.CancellationDeadline <= w.LeaseDuration+2*w.HeartbeatInterval {
-		return fieldMust("params.workers.cancel_s", "must be longer than lease_s by more than two report_s: cancellations could not be kept")
+		return fieldSubjectErrorf("params.workers.cancel_s", "must be longer than lease_s by more than two report_s: cancellations could not be kept")
 	}
 	return nil
 }
@@ -144,15 +145,15 @@
 	seen := map[wire.TeamName]bool{}
 	for i, t := range p.Teams {
 		if t.Name == "" || seen[t.Name] {
-			return fieldProblem(fmt.Sprintf("params.teams[%d].name", i), "%q is empty or named twice", t.Name)
+			return fieldErrorf(fmt.Sprintf("params.teams[%d].name", i), "%q is empty or named twice", t.Name)
 		}
 		seen[t.Name] = true
 		if t.GuaranteedCPUs < 0 || t.MaxCPUs < 0 || t.GuaranteedGPUs < 0 || t.MaxGPUs < 0 {
-			return fieldProblem(fmt.Sprintf("params.teams[%d]", i), "an amount is negative")
+			return fieldErrorf(fmt.Sprintf("params.teams[%d]", i), "an amount is negative")
 		}
 	}
 	if len(p.Teams) == 0 {
-		return fieldMust("params.teams", "is empty")
+		return fieldSubjectErrorf("params.teams", "is empty")
 	}
 	return nil
 }
--- a/internal/config/warnings.go
+++ b/internal/config/warnings.go
@@ -5,12 +5,12 @@
 	"math"
 )
 
-// The least resources with which a controller serves a deployment of a few hundred
-// machines, as measured: docs/performance.md.
+// Minimum resources with which a controller serves a deployment of a few hundred machines.
+// docs/performance.md has the measurements.
 const (
 	minRecommendedCPU             = 0.02 // of a core
 	minRecommendedMemoryMB        = 40.0
-	minRecommendedFileDescriptors = 100 // sockets; with fewer, commands and heartbeats queue for them
+	minRecommendedFileDescriptors = 100 // for sockets; with fewer, commands and heartbeats have to wait for one
 )
 
 const (
@@ -23,8 +23,8 @@
 	leaseRenewalRateShare = 0.25
 )
 
-// Warnings names the settings that look too small, and what each should be at least.
-// A controller starts in spite of them and does the best that it can.
+// Warnings lists settings that are probably inadequate, each as the condition that it meets. They
+// are not errors: the controller starts nevertheless.
 func (c *Config) Warnings() []string {
 	warnings := c.Params.Resources.Warnings()
 	if needed := c.leaseRenewalRate() / leaseRenewalRateShare; c.Params.Store.RequestRateLimit() < needed {
@@ -36,13 +36,13 @@
 	return warnings
 }
 
-// leaseRenewalRate returns how many lease renewals all controllers send per second.
+// leaseRenewalRate returns the rate of the lease renewals of all controllers, per second.
 func (c *Config) leaseRenewalRate() float64 {
 	leaseTTLSeconds := c.Params.Workers.HeartbeatInterval.Seconds() * c.Operator.MemberLeaseHeartbeats
 	return float64(len(c.Peers)+1) * RenewalsPerLeaseTTL / leaseTTLSeconds
 }
 
-// Warnings names the resources that look too small.
+// Warnings lists resources that are probably too small.
 func (r ControllerResources) Warnings() []string {
 	var warnings []string
 	if r.CPUCores < minRecommendedCPU {
--- a/internal/config/zone_recovery.go
+++ b/internal/config/zone_recovery.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// ZoneRecovery is the section of the operators' settings that switches zone recovery
-// on. docs/zone-recovery.md describes each field.
+// ZoneRecovery is the section of the operators' settings that enables zone recovery.
+// docs/zone-recovery.md describes each field.
 type ZoneRecovery struct {
 	DegradedShare         float64   `json:"degraded_share"`
 	LostShare             float64   `json:"lost_share"`
@@ -24,7 +24,7 @@
 	EvacuateLeases        float64   `json:"evacuate_leases"`
 }
 
-// DefaultZoneRecovery returns the section with every field left out.
+// DefaultZoneRecovery returns the defaults of the section's fields.
 func DefaultZoneRecovery() ZoneRecovery {
 	return ZoneRecovery{
 		DegradedShare:         0.3,
@@ -43,11 +43,11 @@
 	}
 }
 
-// UnmarshalJSON lays the section's fields over the defaults.
+// UnmarshalJSON decodes the section. Missing fields get their defaults.
 func (z *ZoneRecovery) UnmarshalJSON(b []byte) error {
-	type plain ZoneRecovery // without this method
+	type plain ZoneRecovery // without this method, to avoid recursion
 	p := plain(DefaultZoneRecovery())
-	p.Steps = nil // a shorter list must not keep defaults behind it
+	p.Steps = nil // a given list replaces the default as a whole, also if it is shorter
 	if err := json.Unmarshal(b, &p); err != nil {
 		return err
 	}
@@ -58,52 +58,52 @@
 	return z.validate()
 }
 
-// validate refuses combinations that the schema cannot express.
+// validate rejects invalid combinations that the schema can't express.
 func (z *ZoneRecovery) validate() error {
 	switch {
 	case z.LostShare <= z.DegradedShare:
-		return fieldMust(pointer("zone_recovery", "lost_share"), "must be above degraded_share")
+		return fieldSubjectErrorf(jsonPointer("zone_recovery", "lost_share"), "must be above degraded_share")
 	case z.ReturnShare >= z.LostShare:
-		return fieldMust(pointer("zone_recovery", "return_share"), "must be below lost_share")
+		return fieldSubjectErrorf(jsonPointer("zone_recovery", "return_share"), "must be below lost_share")
 	case z.HoldDownMaxLeases < z.HoldDownLeases:
-		return fieldMust(pointer("zone_recovery", "hold_down_max_leases"), "must not be below hold_down_leases")
+		return fieldSubjectErrorf(jsonPointer("zone_recovery", "hold_down_max_leases"), "must not be below hold_down_leases")
 	}
 	last := 0.0
 	for i, share := range z.Steps {
 		if share <= last {
-			return fieldMust(pointer("zone_recovery", "steps", strconv.Itoa(i)), "must be above the step before it")
+			return fieldSubjectErrorf(jsonPointer("zone_recovery", "steps", strconv.Itoa(i)), "must be above the step before it")
 		}
 		last = share
 	}
 	return nil
 }
 
-// maxZoneReturnLeases bounds for how long batch work may be kept off a zone that has
-// recovered, in worker leases.
+// maxZoneReturnLeases bounds the time for which settings may withhold a recovered zone from batch
+// work, in worker leases.
 const maxZoneReturnLeases = 2
 
-// validateAgainst refuses settings that don't fit this deployment: those that keep work off a
-// recovered zone for too long or evacuate machines whose leases may still be valid.
+// validateAgainst rejects settings that are invalid with this deployment's timings: those that
+// withhold a recovered zone for too long or evacuate machines whose leases may still be valid.
 func (z *ZoneRecovery) validateAgainst(w WorkerTimings) error {
 	if w.Leases(z.EvacuateLeases) < w.LeaseDuration+w.HeartbeatInterval {
-		return fieldMust(pointer("zone_recovery", "evacuate_leases"), "must be a report interval above one lease: replicas could still run")
+		return fieldSubjectErrorf(jsonPointer("zone_recovery", "evacuate_leases"), "must be a report interval above one lease: replicas could still run")
 	}
-	if most := z.maxReturnTime(w); most > w.Leases(maxZoneReturnLeases) {
-		return fieldProblem(pointer("zone_recovery"), "proof, hold-down and steps withhold a zone for up to %v, over %d leases",
-			most.Round(time.Second), maxZoneReturnLeases)
+	if longest := z.maxReturnTime(w); longest > w.Leases(maxZoneReturnLeases) {
+		return fieldErrorf(jsonPointer("zone_recovery"), "proof, hold-down and steps withhold a zone for up to %v, over %d leases",
+			longest.Round(time.Second), maxZoneReturnLeases)
 	}
 	return nil
 }
 
-// maxReturnTime returns the longest time for which batch work is kept off a zone whose
-// machines all send heartbeats.
+// maxReturnTime returns the longest time for which a zone whose machines all send heartbeats is
+// withheld, wholly or in part, from batch work.
 func (z *ZoneRecovery) maxReturnTime(w WorkerTimings) time.Duration {
 	steps := time.Duration(len(z.Steps)) * z.StepTime(w)
 	return w.Heartbeats(z.ReturnHeartbeats) + w.Leases(z.HoldDownMaxLeases) + steps
 }
 
-// StepTime returns how long a step of a zone's return lasts: at least a heartbeat interval,
-// since there is no new evidence before that.
+// StepTime returns the duration of a step of a zone's return: at least a heartbeat interval, since
+// there is no new evidence before that.
 func (z *ZoneRecovery) StepTime(w WorkerTimings) time.Duration {
 	return max(w.Leases(z.StepLeases), w.HeartbeatInterval)
 }
--- a/internal/config/zone_recovery_test.go
+++ b/internal/config/zone_recovery_test.go
@@ -8,10 +8,11 @@
 	"testing"
 )
 
-// The section's presence enables the feature with its defaults; errors name its wrong fields.
+// The section enables the feature, even if it is empty: missing fields get their defaults. Errors
+// name its invalid fields.
 func TestZoneRecoverySection(t *testing.T) {
 	if o := DefaultOperatorSettings(); o.ZoneRecovery != nil {
-		t.Error("on by default")
+		t.Error("enabled by default")
 	}
 	o, err := ParseOperatorSettings([]byte(`{"zone_recovery": {}}`))
 	if err != nil || !reflect.DeepEqual(*o.ZoneRecovery, DefaultZoneRecovery()) {
@@ -50,8 +51,9 @@
 	}
 }
 
-// Work must not be kept off a recovered zone for longer than two leases, which
-// depends on the deployment: it is refused when both files are loaded.
+// Settings must not withhold a recovered zone from work for longer than two leases, nor evacuate
+// machines within a lease and a heartbeat interval. Both depend on the deployment's timings and
+// are checked when both files are loaded.
 func TestZoneRecoveryFitsTheDeployment(t *testing.T) {
 	write := func(name, text string) string {
 		path := filepath.Join(t.TempDir(), name)
@@ -60,13 +62,13 @@
 		}
 		return path
 	}
-	platform := write("c.toml", sound)
+	platform := write("c.toml", validSettings)
 	if c, err := Load(platform, write("o.json", `{"zone_recovery": {}}`)); err != nil || c.Operator.ZoneRecovery == nil {
 		t.Error(err)
 	}
 	_, err := Load(platform, write("o.json", `{"zone_recovery": {"hold_down_max_leases": 1.8}}`))
 	if err == nil || !strings.Contains(err.Error(), "zone_recovery") {
-		t.Errorf("work kept off for too long: %v", err)
+		t.Errorf("zone withheld for too long: %v", err)
 	}
 	_, err = Load(platform, write("o.json", `{"zone_recovery": {"evacuate_leases": 1.05}}`))
 	if err == nil || !strings.Contains(err.Error(), "evacuate_leases") {
