--- a/internal/actor/actor.go
+++ b/internal/actor/actor.go
@@ -1,5 +1,5 @@
-// Package actor runs goroutines that own their state and communicate by messages. A message is a
-// function that the owner runs, one at a time.
+// Package actor provides goroutines that own their state and communicate by messages. A message is
+// a function; the receiving goroutine runs its messages one at a time.
 package actor
 
 import (
@@ -16,7 +16,7 @@
 	done    <-chan struct{}
 }
 
-// Start starts an actor with a mailbox of the given size. It runs until ctx ends.
+// Start starts an actor whose mailbox holds up to size messages. It runs until ctx ends.
 func Start(ctx context.Context, name string, size int) *Actor {
 	a := &Actor{name: name, mailbox: make(chan func(), size), done: ctx.Done()}
 	go a.loop()
@@ -34,7 +34,7 @@
 	}
 }
 
-// handle runs a message. One that panics is logged and does not end the process.
+// handle runs a message. A panic is logged and does not end the process.
 func (a *Actor) handle(message func()) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -44,7 +44,7 @@
 	message()
 }
 
-// Post sends a message if the mailbox has room, and tells whether it had.
+// Post sends a message without blocking. It reports whether the mailbox had room for it.
 func (a *Actor) Post(message func()) bool {
 	select {
 	case a.mailbox <- message:
@@ -54,7 +54,7 @@
 	}
 }
 
-// Send sends a message. It waits until the mailbox has room or the actor has ended.
+// Send sends a message. It blocks until the mailbox has room or the actor has ended.
 func (a *Actor) Send(message func()) {
 	select {
 	case a.mailbox <- message:
@@ -67,7 +67,7 @@
 	time.AfterFunc(d, func() { a.Send(message) })
 }
 
-// Every sends a message now, and again d after each time it has run.
+// Every sends a message now, and again each time d has passed since it last ran.
 func (a *Actor) Every(d time.Duration, message func()) {
 	var next func()
 	next = func() {
@@ -79,8 +79,8 @@
 	next()
 }
 
-// Ask runs f in the actor and waits for its reply. ok is false if the mailbox is full or the
-// actor has ended.
+// Ask runs f in the actor's goroutine and waits until it replies. ok is false if the mailbox is
+// full or the actor ends before that.
 func Ask[T any](a *Actor, f func(reply func(T))) (v T, ok bool) {
 	replies := make(chan T, 1)
 	if !a.Post(func() { f(func(v T) { replies <- v }) }) {
--- a/internal/config/operator_settings.go
+++ b/internal/config/operator_settings.go
@@ -17,8 +17,8 @@
 //go:embed operators.default.json
 var operatorSettingsDefaults []byte
 
-// OperatorSettings are the operators' settings. operators.schema.json describes each of them;
-// those in heartbeats, shares and multiples are relative to the platform's settings.
+// OperatorSettings are the operators' settings. operators.schema.json describes each of them.
+// Numbers of heartbeats and shares of rates are relative to the platform's settings.
 type OperatorSettings struct {
 	PlanningInterval      time.Duration
 	BootLag               time.Duration
--- a/internal/connlimit/connlimit.go
+++ b/internal/connlimit/connlimit.go
@@ -1,11 +1,11 @@
-// Package connlimit bounds the connections that an HTTP server holds open, so that a
-// process with few sockets serves any number of clients and keeps the sockets that it
-// needs for itself.
+// Package connlimit bounds the number of open connections of an HTTP server, so that a
+// process with a low file descriptor limit can serve any number of clients and still has
+// sockets for its own outgoing connections.
 //
-// Two bounds work together. Above the lower one every response asks its client to close
-// the connection, so sockets come free without a request being lost. Above the upper one
-// the connection that has been idle longest is closed for each new one, so a client is
-// never shut out by others that say nothing.
+// There are two bounds. Above the lower one every response asks its client to close the
+// connection, which frees sockets without losing requests. Above the upper one the
+// connection that has been idle longest is closed for each new one, so that idle clients
+// do not lock out others.
 package connlimit
 
 import (
@@ -15,40 +15,42 @@
 	"sync"
 )
 
-// reuseShare is the part of the connections beyond which they are no longer kept open
-// for the next request. The rest is for those that open while the first ones close.
-const reuseShare = 0.75
+// keepAliveShare is the share of the maximum number of open connections above which
+// connections are not kept alive after a response. The rest is for connections that open
+// while others close.
+const keepAliveShare = 0.75
 
-// Limiter counts the connections of one server. Its methods ConnState and Handler are
-// to be installed in that server.
+// Limiter tracks the connections of one server. The server must use its ConnState method as
+// the hook of that name, and a handler that Handler returns.
 type Limiter struct {
-	maxOpen  int
-	maxReuse int
+	maxOpen      int
+	maxKeepAlive int // with more open connections, responses ask to close theirs
 
 	mu   sync.Mutex
-	open map[net.Conn]*list.Element // its element of idle; nil while a request is served
-	idle *list.List                 // of net.Conn; the one idle longest is in front
+	open map[net.Conn]*list.Element // the connection's element of idle; nil while it serves a request
+	idle *list.List                 // of net.Conn, the longest idle first
 }
 
-// New makes a limiter that lets at most maxOpen connections stay open.
+// New returns a limiter for at most maxOpen open connections.
 func New(maxOpen int) *Limiter {
 	return &Limiter{
-		maxOpen:  maxOpen,
-		maxReuse: int(float64(maxOpen) * reuseShare),
-		open:     map[net.Conn]*list.Element{},
-		idle:     list.New(),
+		maxOpen:      maxOpen,
+		maxKeepAlive: int(float64(maxOpen) * keepAliveShare),
+		open:         map[net.Conn]*list.Element{},
+		idle:         list.New(),
 	}
 }
 
-// ConnState follows the connections; it is the server's hook of that name.
+// ConnState records the state of a connection and closes one if too many are open. It is for
+// http.Server.ConnState.
 func (l *Limiter) ConnState(conn net.Conn, state http.ConnState) {
 	if surplus := l.track(conn, state); surplus != nil {
 		surplus.Close()
 	}
 }
 
-// track follows a change, and returns the connection to close for it, or nil. The
-// server reports that connection as closed afterwards, like any other.
+// track records a state change and returns the connection to close because of it, or nil.
+// That stays counted as open until the server reports it as closed.
 func (l *Limiter) track(conn net.Conn, state http.ConnState) (surplus net.Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -64,13 +66,13 @@
 	if state != http.StateNew || len(l.open) <= l.maxOpen {
 		return nil
 	}
-	// The new one is idle too: it goes if all others are busy.
+	// The new connection is idle too, and is closed if all others are serving requests.
 	surplus = l.idle.Front().Value.(net.Conn)
 	l.removeIdle(surplus)
 	return surplus
 }
 
-// removeIdle takes a connection off the list of idle ones, if it is there.
+// removeIdle removes a connection from the list of idle ones, if it is in it.
 func (l *Limiter) removeIdle(conn net.Conn) {
 	if element := l.open[conn]; element != nil {
 		l.idle.Remove(element)
@@ -78,17 +80,18 @@
 	}
 }
 
-// Open is the number of open connections.
+// Open returns the number of open connections.
 func (l *Limiter) Open() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.open)
 }
 
-// Handler has responses close their connections while too many are open.
+// Handler returns a handler that serves requests with next, and asks clients to close their
+// connections while too many are open.
 func (l *Limiter) Handler(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if l.Open() > l.maxReuse {
+		if l.Open() > l.maxKeepAlive {
 			w.Header().Set("Connection", "close")
 		}
 		next.ServeHTTP(w, r)
--- a/internal/connlimit/connlimit_test.go
+++ b/internal/connlimit/connlimit_test.go
@@ -11,7 +11,7 @@
 	_ "lynxledge/internal/rapidseed"
 )
 
-// fakeConn remembers that it was closed.
+// fakeConn records whether it was closed.
 type fakeConn struct {
 	net.Conn
 	closed bool
@@ -22,15 +22,15 @@
 	return nil
 }
 
-// However connections come, work and go, no more than the bound stay open, no busy one
-// is closed, and of the idle ones always that which has been idle longest.
+// In any sequence of connection states, no more than maxOpen connections stay open, none is
+// closed while it serves a request, and the connection that is closed is the longest idle.
 func TestLimiter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		maxOpen := rapid.IntRange(1, 6).Draw(t, "maxOpen")
 		limiter := New(maxOpen)
 		busy := map[*fakeConn]bool{}
-		var idle []*fakeConn // the one idle longest first
-		take := func(i int) *fakeConn {
+		var idle []*fakeConn // the longest idle first
+		takeIdle := func(i int) *fakeConn {
 			conn := idle[i]
 			idle = append(idle[:i:i], idle[i+1:]...)
 			return conn
@@ -48,10 +48,10 @@
 					t.Fatalf("%d busy, %d idle of %d: closed %v", len(busy), len(idle), maxOpen, oldest.closed)
 				}
 				if full {
-					limiter.ConnState(take(0), http.StateClosed)
+					limiter.ConnState(takeIdle(0), http.StateClosed)
 				}
 			case step == "active" && len(idle) > 0:
-				conn := take(rapid.IntRange(0, len(idle)-1).Draw(t, "which"))
+				conn := takeIdle(rapid.IntRange(0, len(idle)-1).Draw(t, "which"))
 				limiter.ConnState(conn, http.StateActive)
 				busy[conn] = true
 			case step == "idle" && len(busy) > 0:
@@ -62,7 +62,7 @@
 					break
 				}
 			case step == "close" && len(idle) > 0:
-				limiter.ConnState(take(rapid.IntRange(0, len(idle)-1).Draw(t, "which")), http.StateClosed)
+				limiter.ConnState(takeIdle(rapid.IntRange(0, len(idle)-1).Draw(t, "which")), http.StateClosed)
 			}
 			if limiter.Open() != len(busy)+len(idle) || limiter.Open() > maxOpen {
 				t.Fatalf("%d open, %d busy and %d idle, at most %d", limiter.Open(), len(busy), len(idle), maxOpen)
@@ -74,15 +74,15 @@
 			}
 			for _, conn := range idle {
 				if conn.closed {
-					t.Fatal("closed, but not the one idle longest")
+					t.Fatal("closed, but not the longest idle connection")
 				}
 			}
 		}
 	})
 }
 
-// Responses ask for their connections back before the bound is reached, and only then.
-func TestResponsesCloseWhenCrowded(t *testing.T) {
+// Responses ask to close their connections if more than 6 of at most 8 are open, and only then.
+func TestResponsesCloseAboveKeepAliveLimit(t *testing.T) {
 	limiter := New(8)
 	handler := limiter.Handler(http.NotFoundHandler())
 	for open := 1; open <= 8; open++ {
--- a/internal/httpjson/client.go
+++ b/internal/httpjson/client.go
@@ -12,17 +12,17 @@
 	"time"
 )
 
-// ErrNotSent marks a request that could not be put together, so that it was certainly not
-// executed. Trying again does not help.
+// ErrNotSent means that a request could not be built, so it was certainly not executed. A retry
+// does not help.
 var ErrNotSent = errors.New("request not sent")
 
-const maxResponseBytes = 64 << 20 // watches have no limit of their own
+const maxResponseBytes = 64 << 20 // for responses to watches, whose size nothing else limits
 
 // idleConnTimeout is how long an idle connection is kept open.
 const idleConnTimeout = 2 * time.Minute
 
-// NewHTTPClient returns an HTTP client that keeps idlePerHost idle connections open, and
-// idleTotal over all hosts; 0: no limit.
+// NewHTTPClient returns an HTTP client that keeps up to idlePerHost idle connections per host, and
+// up to idleTotal in total; idleTotal 0: no limit on the total.
 func NewHTTPClient(dialTimeout time.Duration, idlePerHost, idleTotal int) *http.Client {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	return &http.Client{Transport: &http.Transport{
@@ -31,7 +31,8 @@
 	}}
 }
 
-// Call sends in as JSON, if it is not nil, and returns the response's status and body.
+// Call sends in as JSON, unless it is nil, and returns the response's status and body. The body is
+// truncated to maxResponseBytes. The error is ErrNotSent or one of the transport.
 func Call(ctx context.Context, client *http.Client, timeout time.Duration, method, url string, in any) (status int, body []byte, err error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -61,8 +62,8 @@
 	if err != nil {
 		return nil, err
 	}
-	// The transport must never send a request again by itself: whether one that got no response
-	// is repeated is the caller's to decide.
+	// Without GetBody the transport does not retry a request with a body by itself. Whether to
+	// retry a request that got no response is for the caller to decide.
 	req.GetBody = nil
 	return req, nil
 }
--- a/internal/httpjson/doc.go
+++ b/internal/httpjson/doc.go
@@ -1,3 +1,3 @@
-// Package httpjson is what the clients of JSON services share: requests and responses over
-// HTTP/1.1 whose size and time are bounded, and a client that keeps to a rate.
+// Package httpjson provides HTTP clients for JSON services: calls over HTTP/1.1 with a timeout and
+// a limited response size, and a client that limits its request rate.
 package httpjson
--- a/internal/httpjson/service.go
+++ b/internal/httpjson/service.go
@@ -11,11 +11,11 @@
 	"golang.org/x/time/rate"
 )
 
-// ErrRateLimited marks a request that was not sent, since the service's rate leaves no room for
-// it before its context ends.
-var ErrRateLimited = errors.New("request not sent within the rate")
+// ErrRateLimited means that a request was not sent because the rate limit does not permit it
+// before its context ends.
+var ErrRateLimited = errors.New("request not sent: rate limited")
 
-// StatusError is a response with another status than 200.
+// StatusError is the error for a response with a status other than 200.
 type StatusError struct {
 	StatusCode int
 	Body       []byte
@@ -24,14 +24,15 @@
 // Error implements the error interface.
 func (e *StatusError) Error() string { return fmt.Sprintf("status %d: %.200s", e.StatusCode, e.Body) }
 
-// Service is the client of a JSON service that never calls it more often than a rate.
+// Service is a client of a JSON service that limits its own request rate.
 type Service struct {
 	baseURL    string
 	httpClient *http.Client
 	limiter    *rate.Limiter
 }
 
-// NewService returns a client of the service at an address.
+// NewService returns a client of the service at addr that sends up to requestRate requests per
+// second and keeps up to idleConns idle connections.
 func NewService(addr string, requestRate float64, dialTimeout time.Duration, idleConns int) *Service {
 	return &Service{
 		baseURL: "http://" + addr, httpClient: NewHTTPClient(dialTimeout, idleConns, 0),
@@ -40,8 +41,8 @@
 }
 
 // Call sends in as JSON, unless it is nil, and decodes the response into out, unless that is nil.
-// The errors are ErrRateLimited and ErrNotSent, after which the request was certainly not
-// executed, *StatusError, and those of the transport.
+// The request was certainly not executed if the error is ErrRateLimited or ErrNotSent. Other
+// errors are *StatusError and those of the transport and of decoding the response.
 func (s *Service) Call(ctx context.Context, timeout time.Duration, method, path string, in, out any) error {
 	if err := Wait(ctx, s.limiter, 1); err != nil {
 		return err
@@ -61,8 +62,8 @@
 	return nil
 }
 
-// Wait waits until a limiter permits n events. It fails with ErrRateLimited if that is not before
-// the context ends.
+// Wait waits until a limiter permits n events. It returns ErrRateLimited if that would be after the
+// context ends.
 func Wait(ctx context.Context, limiter *rate.Limiter, n int) error {
 	if err := limiter.WaitN(ctx, n); err != nil {
 		return fmt.Errorf("%w: %w", ErrRateLimited, err)
--- a/internal/overload/overload.go
+++ b/internal/overload/overload.go
@@ -1,8 +1,8 @@
-// Package overload tells when a process gets less processor time than its work needs.
+// Package overload detects that a process gets less CPU time than its work needs.
 //
-// What can wait then does: planning first, then the search for preemption victims, then new
-// submissions, whose users are told when to come back. Health checks, responses to workers,
-// cancellations and the election go on.
+// Work that can wait is then delayed: first planning and the search for preemption victims, then
+// new submissions, which are rejected with Retry-After. Health checks, responses to workers,
+// cancellations and the election are not delayed.
 package overload
 
 import (
@@ -11,38 +11,39 @@
 	"time"
 )
 
-// Level is how far the process is behind.
+// Level is the degree of overload.
 type Level int32
 
-// Levels, in order.
+// Levels, in ascending order.
 const (
 	Normal Level = iota
-	// Behind: what can wait for seconds should.
+	// Behind means that work that can wait for seconds should be delayed.
 	Behind
-	// Overloaded: no new work should be taken.
+	// Overloaded means that no new work should be accepted.
 	Overloaded
 )
 
-// Shares of the workers' heartbeat interval: the lateness of timers at which a level begins, and
-// the time between two checks.
+// Shares of the workers' heartbeat interval: the lateness of timers above which a level begins,
+// and the interval between checks.
 const (
 	behindLatenessShare     = 1.0 / 20
 	overloadedLatenessShare = 1.0 / 8
 	checkIntervalShare      = 1.0 / 20
 )
 
-// calmChecksToRecover is for how many checks in a row timers have to fire in time before a level
-// is left: load comes in waves.
-const calmChecksToRecover = 10
+// checksBeforeLowering is the number of consecutive checks below the current level after which the
+// next one lowers it. Load comes in waves, so a few such checks do not mean that it is over.
+const checksBeforeLowering = 10
 
-// Gauge measures how late timers fire. The nil Gauge is always at Normal.
+// Gauge derives the level from how late timers fire. The level of a nil Gauge is Normal.
 type Gauge struct {
 	heartbeatInterval time.Duration
 	level             atomic.Int32
-	calmChecks        int // since the level was reached last; of the measuring goroutine alone
+	lowerChecks       int // consecutive checks below the current level; used only by the measuring goroutine
 }
 
-// Start measures until ctx ends. The workers' heartbeat interval is the scale for lateness.
+// Start returns a Gauge that measures until ctx ends. Lateness is measured relative to the
+// workers' heartbeat interval.
 func Start(ctx context.Context, heartbeatInterval time.Duration) *Gauge {
 	g := &Gauge{heartbeatInterval: heartbeatInterval}
 	go g.measure(ctx)
@@ -58,7 +59,7 @@
 	}
 }
 
-// observe takes note of how late a timer fired.
+// observe updates the level with how late a timer fired.
 func (g *Gauge) observe(lateness time.Duration) {
 	level := Normal
 	switch share := float64(lateness) / float64(g.heartbeatInterval); {
@@ -67,14 +68,14 @@
 	case share > behindLatenessShare:
 		level = Behind
 	}
-	g.calmChecks++
-	if level >= g.Level() || g.calmChecks > calmChecksToRecover {
+	g.lowerChecks++
+	if level >= g.Level() || g.lowerChecks > checksBeforeLowering {
 		g.level.Store(int32(level))
-		g.calmChecks = 0
+		g.lowerChecks = 0
 	}
 }
 
-// Level is how far the process is behind now.
+// Level returns the current level.
 func (g *Gauge) Level() Level {
 	if g == nil {
 		return Normal
--- a/internal/overload/overload_test.go
+++ b/internal/overload/overload_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// The level follows the latest timers at once upwards, and downwards only after a while.
+// A late timer raises the level at once. Timers in time lower it only after
+// checksBeforeLowering of them.
 func TestLevels(t *testing.T) {
 	const heartbeatInterval = 8 * time.Second
 	late := func(share float64) time.Duration { return time.Duration(share * float64(heartbeatInterval)) }
@@ -22,14 +23,14 @@
 	expect(Behind, "a late timer")
 	g.observe(late(overloadedLatenessShare * 1.1))
 	expect(Overloaded, "a very late timer")
-	for range calmChecksToRecover {
+	for range checksBeforeLowering {
 		g.observe(0)
 	}
-	expect(Overloaded, "a short calm")
+	expect(Overloaded, "checksBeforeLowering timers in time")
 	g.observe(0)
-	expect(Normal, "a long calm")
-	var none *Gauge
-	if none.Level() != Normal {
-		t.Error("no gauge: not at normal")
+	expect(Normal, "one more timer in time")
+	var nilGauge *Gauge
+	if nilGauge.Level() != Normal {
+		t.Error("the level of a nil gauge is not Normal")
 	}
 }
--- a/internal/worker/client.go
+++ b/internal/worker/client.go
@@ -1,4 +1,4 @@
-// Package worker is the client of the agents on the machines.
+// Package worker provides a client for the workers, which are the agents on the machines.
 package worker
 
 import (
@@ -13,20 +13,20 @@
 	"lynxledge/wire"
 )
 
-// ErrTooManyRequests says that a request was not sent, since the limit of requests in flight left
-// no room for it in time. Trying again helps.
+// ErrTooManyRequests means that a request was not sent because the limit of requests in flight left
+// no slot for it within the timeout. A retry may succeed.
 var ErrTooManyRequests = errors.New("too many requests to workers in flight")
 
-// Client sends requests straight to workers.
+// Client sends requests directly to workers.
 type Client struct {
 	httpClient *http.Client
 	timeout    time.Duration
-	inFlight   chan struct{} // has an element for each request in flight
+	inFlight   chan struct{} // semaphore with an element for each request in flight
 }
 
-// New returns a client whose requests give up after timeout. A command that was given up may
-// still be executed later. The client keeps up to maxIdle idle connections and has at most
-// maxInFlight requests in flight, each of which may take one more.
+// New returns a client whose requests time out after timeout. Commands whose request timed out may
+// still be executed. The client keeps up to maxIdle idle connections and sends up to maxInFlight
+// requests at a time, each of which may use one more connection.
 func New(timeout time.Duration, maxIdle, maxInFlight int) *Client {
 	return &Client{
 		httpClient: httpjson.NewHTTPClient(timeout/2, 1, max(1, maxIdle)), timeout: timeout,
@@ -34,12 +34,13 @@
 	}
 }
 
-// SendCommands sends commands. The worker returns its heartbeat whether or not it executed them.
+// SendCommands sends a batch of commands and returns the worker's heartbeat, which the worker sends
+// whether or not it executed them.
 func (c *Client) SendCommands(ctx context.Context, addr string, batch wire.CommandBatch) (*wire.Heartbeat, error) {
 	return c.exchange(ctx, http.MethodPost, "http://"+addr+"/do", batch)
 }
 
-// Inspect reads a worker's heartbeat.
+// Inspect requests a worker's heartbeat.
 func (c *Client) Inspect(ctx context.Context, addr string) (*wire.Heartbeat, error) {
 	return c.exchange(ctx, http.MethodGet, "http://"+addr+"/inspect", nil)
 }
