--- a/internal/worker/client.go
+++ b/internal/worker/client.go
@@ -13,9 +13,9 @@
 	"lynxledge/wire"
 )
 
-// ErrTooManyRequests means that a request was not sent because the limit of requests in flight left
+// ErrInFlightLimit means that a request was not sent because the limit of requests in flight left
 // no slot for it within the timeout. A retry may succeed.
-var ErrTooManyRequests = errors.New("too many requests to workers in flight")
+var ErrInFlightLimit = errors.New("too many requests to workers in flight")
 
 // Client sends requests directly to workers.
 type Client struct {
@@ -50,7 +50,7 @@
 	case c.inFlight <- struct{}{}:
 		defer func() { <-c.inFlight }()
 	case <-time.After(c.timeout):
-		return nil, ErrTooManyRequests
+		return nil, ErrInFlightLimit
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -68,7 +68,7 @@
 
 // A job with a single field that is missing, has the wrong type or is out of range is malformed.
 func TestParseJobRejectsOneInvalidField(t *testing.T) {
-	bad := map[string][]any{
+	invalidValues := map[string][]any{
 		"id": {"", 7, "req-12", "job-000412", "req-00041x"}, "lane": {"", 1}, "crew": {"", strings.Repeat("x", 200)},
 		"shape": {"group", 1}, "rank": {"urgent", 3}, "legs": {0, -1, MaxTasksPerJob + 1, 1.5, "4"}, "cores": {0, -1, "8", 1e12},
 		"gpus": {-1, "x"}, "memoryGb": {-1, true}, "bundle": {"", 3}, "sizeGb": {-0.5, "1"}, "oneZone": {"true", 1},
@@ -79,20 +79,20 @@
 	rapid.Check(t, func(t *rapid.T) {
 		m := fields(t, drawJob(t))
 		var names []string
-		for n := range bad {
+		for n := range invalidValues {
 			names = append(names, n)
 		}
 		name := rapid.SampledFrom(names).Draw(t, "field")
-		least := -2
+		minChoice := -2
 		if optional[name] {
-			least = 0
+			minChoice = 0
 		}
-		if choice := rapid.IntRange(least, len(bad[name])-1).Draw(t, "how"); choice == -2 {
+		if choice := rapid.IntRange(minChoice, len(invalidValues[name])-1).Draw(t, "how"); choice == -2 {
 			delete(m, name)
 		} else if choice == -1 {
 			m[name] = nil
 		} else {
-			m[name] = bad[name][choice]
+			m[name] = invalidValues[name][choice]
 		}
 		b, _ := json.Marshal(m)
 		if _, err := ParseJob(b); !errors.Is(err, ErrMalformed) {
