--- a/internal/planner/avoided_test.go
+++ b/internal/planner/avoided_test.go
@@ -6,7 +6,7 @@
 	"lynxledge/wire"
 )
 
-// Nothing is provisioned in an avoided zone, but for jobs that may run nowhere else.
+// Machines are provisioned in an avoided zone only for jobs that cannot run elsewhere.
 func TestAvoidedZone(t *testing.T) {
 	anywhere, pinned := testJob(4, false), testJob(4, false)
 	pinned.ID, pinned.Zone = "req-000002", "a"
--- a/internal/planner/bench_test.go
+++ b/internal/planner/bench_test.go
@@ -9,8 +9,8 @@
 	"lynxledge/wire"
 )
 
-// benchmarkInput is the input of a deployment of many machines, all in use, and a queue of jobs
-// that grows with the machines.
+// benchmarkInput returns the input of a cluster whose machines are all in use, and in which the
+// number of waiting jobs grows with that of the machines.
 func benchmarkInput(machines int) Input {
 	in := Input{
 		MachineTypes: []wire.MachineType{
@@ -35,7 +35,7 @@
 	return in
 }
 
-// BenchmarkPlanningCycle is one planning cycle.
+// BenchmarkPlanningCycle measures one planning cycle.
 func BenchmarkPlanningCycle(b *testing.B) {
 	for _, machines := range []int{250, 1830, 4000} {
 		b.Run(fmt.Sprintf("machines=%d", machines), func(b *testing.B) {
@@ -48,11 +48,11 @@
 	}
 }
 
-// maxCycleAllocations is a fifth above what was measured.
+// maxCycleAllocations is 20% above the measured number of allocations.
 const maxCycleAllocations = 8400
 
-// A planning cycle allocates for each machine and each demand, not for each pair of them: a
-// list of all machines for each job was 20 MB a cycle.
+// A planning cycle allocates per machine and per demand, not per pair of them: a list of all
+// machines for each job allocated 20 MB per cycle.
 func TestAllocationsOfAPlanningCycle(t *testing.T) {
 	in := benchmarkInput(1830)
 	if allocations := testing.AllocsPerRun(5, func() { Compute(in) }); allocations > maxCycleAllocations {
--- a/internal/planner/cover.go
+++ b/internal/planner/cover.go
@@ -8,19 +8,19 @@
 	"lynxledge/internal/resources"
 )
 
-// pendingDemand is a demand while it is being covered.
+// pendingDemand is the state of a demand while capacity is found for it.
 type pendingDemand struct {
 	*Demand
-	need  resources.Vector     // of one task
-	zones placement.ZoneCounts // of the job's tasks, those covered so far included
-	// unbounded tells that the tasks have no end to plan with, and take their full share of a
-	// machine: services, and demands without a deadline.
+	need  resources.Vector     // resources that one task requests
+	zones placement.ZoneCounts // the job's tasks by zone, including those covered so far
+	// unbounded marks services and demands without a deadline: no end of their tasks is
+	// planned for, and each adds its full share of a machine to the load.
 	unbounded       bool
-	occupiedSeconds float64 // for how long a task takes capacity; +Inf if unbounded
+	occupiedSeconds float64 // how long a task occupies its share of a machine; +Inf if unbounded
 }
 
-// newPendingDemand returns the demand with none of its tasks covered; zones is memory that it
-// may overwrite.
+// newPendingDemand returns the demand with none of its tasks covered yet. It reuses zones, whose
+// contents it replaces.
 func newPendingDemand(d *Demand, zones placement.ZoneCounts) pendingDemand {
 	p := pendingDemand{
 		Demand:          d,
@@ -37,16 +37,16 @@
 	return p
 }
 
-// cover finds capacity for a demand, on the existing machines first, then on the cheapest pool
-// available. It returns the number of tasks left without.
+// cover finds capacity for a demand, first on existing machines, then on new machines of the
+// cheapest pool available. It returns the number of tasks that it finds none for.
 func (c *cycle) cover(d *Demand) (unmet int) {
 	pending := newPendingDemand(d, c.zones)
 	covered := c.coverByExisting(&pending, min(d.Count, c.maxTasksConsidered()))
 	return c.coverByPools(&pending, d.Count-covered)
 }
 
-// coverByPools puts the load of so many tasks on the cheapest pools. It returns the number of
-// tasks for which there is none.
+// coverByPools adds the load of count tasks to the cheapest pools. It returns the number of tasks
+// for which no pool is available.
 func (c *cycle) coverByPools(d *pendingDemand, count int) (unmet int) {
 	windowSeconds := d.DeadlineSeconds - c.BootLagSeconds
 	sameForAllTasks := !d.Job.SpreadZones && !d.Job.SingleZone
--- a/internal/planner/existing.go
+++ b/internal/planner/existing.go
@@ -7,67 +7,67 @@
 	"lynxledge/internal/resources"
 )
 
-// Bounds of the tasks of one job that a planning cycle puts on the existing machines. Beyond
-// them the machines count as full.
+// Limits on the tasks of one demand that a planning cycle assigns to existing machines: the
+// larger of a minimum and a number per machine. Beyond it the machines are treated as full.
 const (
 	minTasksConsidered        = 1000
 	tasksConsideredPerMachine = 4
 )
 
-// maxTasksConsidered bounds the work of a planning cycle on one job.
+// maxTasksConsidered limits the work that a planning cycle spends on one demand.
 func (c *cycle) maxTasksConsidered() int {
-	return max(minTasksConsidered, tasksConsideredPerMachine*len(c.slots))
+	return max(minTasksConsidered, tasksConsideredPerMachine*len(c.bins))
 }
 
-// poolFit is what the machines of a pool mean to a demand. It is the same for all of them, so
-// it is computed once for each demand.
+// poolFit describes how the machines of a pool suit a demand. It is the same for all of them, so
+// it is computed once per demand and pool.
 type poolFit struct {
 	allowed                   bool
-	share                     float64 // of a machine, that a task takes
-	latestStartSeconds        float64 // on a machine that is up
-	latestBootingStartSeconds float64 // on a machine that is not up yet
-	preferred                 bool    // spot exactly if the job allows it
+	share                     float64 // of a machine that a task takes
+	latestReadyStartSeconds   float64 // on a machine that takes tasks now
+	latestUnreadyStartSeconds float64 // on a machine that will take tasks later, e.g. while it boots
+	preferred                 bool    // spot machines if the job allows them, else on-demand ones
 }
 
-// latestStartSecondsOn returns by when a task must be able to start on a slot.
-func (f *poolFit) latestStartSecondsOn(slot *capacitySlot) float64 {
-	if slot.machine.ReadyInSeconds > 0 {
-		return f.latestBootingStartSeconds
+// latestStartSecondsOn returns the time by which a task must start if it is assigned to a bin.
+func (f *poolFit) latestStartSecondsOn(bin *machineBin) float64 {
+	if bin.machine.ReadyInSeconds > 0 {
+		return f.latestUnreadyStartSeconds
 	}
-	return f.latestStartSeconds
+	return f.latestReadyStartSeconds
 }
 
-// coverByExisting puts up to count tasks on the existing machines, the one that is free first
-// first, if they start there before a new machine could be up or still end in time: then they
-// put no load on new machines past the boot lag. A machine that boots for longer than the lag
-// covers load from its provisioning on: another one would not be up sooner, and every planning
-// cycle would provision it again. It returns how many tasks are covered.
+// coverByExisting assigns up to count tasks to existing machines, those that are free earliest
+// first, and returns how many it assigns. A task must start before a new machine could be up, after
+// the boot lag, or early enough to meet its deadline: it then adds no load on new machines. A
+// machine that takes longer than the lag to boot is counted as soon as it is provisioned: another
+// one would not be up sooner, and every planning cycle would provision it again.
 func (c *cycle) coverByExisting(d *pendingDemand, count int) (covered int) {
 	fits, latestStartSeconds := c.poolFits(d)
 	queue := c.queueFor(shapeOf(d), fits)
-	passedOver := c.passedOver[:0] // slots that later demands may use
+	passedOver := c.passedOver[:0] // put back below: later demands of the shape may use these bins
 	for covered < count && queue.Len() > 0 {
-		first := queue.candidates[0]
-		slot := c.slots[first.slot]
-		fit := &fits[slot.pool]
-		if freeAtSeconds := slot.freeAtSeconds(fit.share); freeAtSeconds > first.freeAtSeconds {
+		first := queue.candidateHeap[0]
+		bin := c.bins[first.bin]
+		fit := &fits[bin.pool]
+		if freeAtSeconds := bin.freeAtSeconds(fit.share); freeAtSeconds > first.freeAtSeconds {
 			queue.postponeFirst(freeAtSeconds)
 			continue
 		}
 		if first.freeAtSeconds > latestStartSeconds {
 			break
 		}
-		zone := slot.machine.Pool.Zone
-		if first.freeAtSeconds > fit.latestStartSecondsOn(slot) || !d.zones.Allows(d.Job, zone) {
+		zone := bin.machine.Pool.Zone
+		if first.freeAtSeconds > fit.latestStartSecondsOn(bin) || !d.zones.Allows(d.Job, zone) {
 			passedOver = append(passedOver, first)
 			queue.dropFirst()
 			continue
 		}
-		slot.addTask(first.freeAtSeconds+d.occupiedSeconds, fit.share)
-		slot.inUse = true
+		bin.addTask(first.freeAtSeconds+d.occupiedSeconds, fit.share)
+		bin.inUse = true
 		d.zones[zone]++
 		covered++
-		queue.postponeFirst(slot.freeAtSeconds(fit.share))
+		queue.postponeFirst(bin.freeAtSeconds(fit.share))
 	}
 	for _, skipped := range passedOver {
 		queue.add(skipped)
@@ -76,35 +76,35 @@
 	return covered
 }
 
-// queueFor returns the queue of the slots for a shape. The slots are looked through once for
-// each shape, not for each demand: machines and jobs together may be many.
-func (c *cycle) queueFor(shape demandShape, fits []poolFit) *slotQueue {
-	queue, isNew := c.queues.use(shape)
+// queueFor returns the queue of bins for a shape. The bins are scanned once per shape rather than
+// once per demand, as there may be many machines and many jobs.
+func (c *cycle) queueFor(shape demandShape, fits []poolFit) *binQueue {
+	queue, isNew := c.queues.getOrCreate(shape)
 	if !isNew {
 		return queue
 	}
-	for i, slot := range c.slots {
-		fit := &fits[slot.pool]
+	for i, bin := range c.bins {
+		fit := &fits[bin.pool]
 		if !fit.allowed {
 			continue
 		}
-		if at := slot.freeAtSeconds(fit.share); !math.IsInf(at, 1) {
-			queue.candidates = append(queue.candidates, candidate{freeAtSeconds: at, slot: int32(i), preferred: fit.preferred})
+		if at := bin.freeAtSeconds(fit.share); !math.IsInf(at, 1) {
+			queue.candidateHeap = append(queue.candidateHeap, candidate{freeAtSeconds: at, bin: int32(i), preferred: fit.preferred})
 		}
 	}
 	heap.Init(queue)
 	return queue
 }
 
-// poolFits returns what each of the existing pools means to a demand, and the latest start on
-// any of them.
+// poolFits returns how each of the existing pools suits a demand, by index, and the latest start
+// on any of them.
 func (c *cycle) poolFits(d *pendingDemand) (fits []poolFit, latestStartSeconds float64) {
 	fits = make([]poolFit, len(c.existingPools.pools))
-	latestStartUpSeconds := c.BootLagSeconds
+	latestReadyStartSeconds := c.BootLagSeconds
 	if !d.unbounded {
-		latestStartUpSeconds = max(latestStartUpSeconds, d.DeadlineSeconds-d.occupiedSeconds)
+		latestReadyStartSeconds = max(latestReadyStartSeconds, d.DeadlineSeconds-d.occupiedSeconds)
 	}
-	latestStartSeconds = latestStartUpSeconds
+	latestStartSeconds = latestReadyStartSeconds
 	for i, pool := range c.existingPools.pools {
 		if !c.pools.allows(d.Demand, pool) {
 			continue
@@ -113,11 +113,11 @@
 		fits[i] = poolFit{
 			allowed:                   true,
 			share:                     d.need.Share(resources.OfMachineType(machineType)),
-			latestStartSeconds:        latestStartUpSeconds,
-			latestBootingStartSeconds: max(latestStartUpSeconds, float64(machineType.BootTime)),
+			latestReadyStartSeconds:   latestReadyStartSeconds,
+			latestUnreadyStartSeconds: max(latestReadyStartSeconds, float64(machineType.BootTime)),
 			preferred:                 pool.Spot == d.Job.AllowSpot,
 		}
-		latestStartSeconds = max(latestStartSeconds, fits[i].latestBootingStartSeconds)
+		latestStartSeconds = max(latestStartSeconds, fits[i].latestUnreadyStartSeconds)
 	}
 	return fits, latestStartSeconds
 }
--- a/internal/planner/existing_test.go
+++ b/internal/planner/existing_test.go
@@ -12,23 +12,23 @@
 	"lynxledge/wire"
 )
 
-// coverByScan does what coverByExisting does by looking at every slot for every task.
+// coverByScan is a reference implementation of coverByExisting that scans all bins for each task.
 func coverByScan(c *cycle, d *pendingDemand, count int) (covered int) {
 	fits, _ := c.poolFits(d)
 	for covered := range count {
-		var best *capacitySlot
+		var best *machineBin
 		bestAt := math.Inf(1)
-		for _, slot := range c.slots {
-			fit := &fits[slot.pool]
-			if !fit.allowed || !d.zones.Allows(d.Job, slot.machine.Pool.Zone) {
+		for _, bin := range c.bins {
+			fit := &fits[bin.pool]
+			if !fit.allowed || !d.zones.Allows(d.Job, bin.machine.Pool.Zone) {
 				continue
 			}
-			at := slot.freeAtSeconds(fit.share)
-			if at > fit.latestStartSecondsOn(slot) || math.IsInf(at, 1) {
+			at := bin.freeAtSeconds(fit.share)
+			if at > fit.latestStartSecondsOn(bin) || math.IsInf(at, 1) {
 				continue
 			}
 			if best == nil || at < bestAt || at == bestAt && fit.preferred && !fits[best.pool].preferred {
-				best, bestAt = slot, at
+				best, bestAt = bin, at
 			}
 		}
 		if best == nil {
@@ -40,9 +40,9 @@
 	return count
 }
 
-// Queues that demands share find the same capacity as a scan of every slot for each task,
-// also when there are more shapes than queues.
-func TestSharedQueuesFindWhatAScanFinds(t *testing.T) {
+// Demands that share queues get as much capacity as they would by a scan of all bins for each
+// task, also when there are more shapes than queues.
+func TestSharedQueuesMatchScan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		in := testInput()
 		pools := []resources.Pool{{MachineType: "s", Zone: "a", Spot: false}, {MachineType: "s", Zone: "a", Spot: true}, {MachineType: "s", Zone: "b", Spot: true}, {MachineType: "l", Zone: "a", Spot: false}}
--- a/internal/planner/headroom.go
+++ b/internal/planner/headroom.go
@@ -6,19 +6,19 @@
 	"lynxledge/wire"
 )
 
-// urgentKind is a kind of urgent jobs for which headroom is kept.
+// urgentKind groups urgent jobs that share their headroom.
 type urgentKind struct {
-	priority wire.Priority
-	spot     bool
+	priority  wire.Priority
+	allowSpot bool
 }
 
-// urgentWork is the running and waiting tasks of one kind.
+// urgentWork sums up the running and waiting tasks of one urgentKind.
 type urgentWork struct {
 	cpus    float64
-	largest *wire.Job // with the largest tasks; the lowest ID of equals
+	largest *wire.Job // the job with the most CPUs per task; of equals, that with the lowest ID
 }
 
-// add counts tasks of a job.
+// add adds a number of tasks of a job.
 func (w *urgentWork) add(j *wire.Job, tasks int) {
 	w.cpus += float64(tasks) * j.CPUs
 	if l := w.largest; l == nil || j.CPUs > l.CPUs || j.CPUs == l.CPUs && j.ID < l.ID {
@@ -26,8 +26,9 @@
 	}
 }
 
-// headroom returns demands for the capacity that urgent arrivals find free: a share of what
-// jobs of the priorities high and production use and wait for, in zones that are not scarce.
+// headroom returns demands that keep capacity free for urgent jobs still to be submitted: a share
+// of the CPUs that jobs of priority high and production use and wait for. Scarce zones, which offer
+// fewer machine types than others, are excluded.
 func (c *cycle) headroom() []Demand {
 	if c.HeadroomShare <= 0 {
 		return nil
@@ -37,16 +38,16 @@
 		j := *work.largest
 		j.Zone, j.SingleZone, j.SpreadZones = "", false, false
 		demands = append(demands, Demand{
-			Job:             &j,
-			Count:           int(math.Ceil(work.cpus * c.HeadroomShare / j.CPUs)),
-			DeadlineSeconds: math.Inf(1),
-			ampleZonesOnly:  true,
+			Job:                &j,
+			Count:              int(math.Ceil(work.cpus * c.HeadroomShare / j.CPUs)),
+			DeadlineSeconds:    math.Inf(1),
+			excludeScarceZones: true,
 		})
 	}
 	return demands
 }
 
-// urgentWork sums up the running and waiting tasks of urgent jobs.
+// urgentWork sums up the running and waiting tasks of urgent jobs by kind.
 func (c *cycle) urgentWork() map[urgentKind]*urgentWork {
 	work := map[urgentKind]*urgentWork{}
 	add := func(j *wire.Job, tasks int) {
--- a/internal/planner/input.go
+++ b/internal/planner/input.go
@@ -6,23 +6,23 @@
 	"lynxledge/wire"
 )
 
-// Demand is tasks of one job that wait for a machine.
+// Demand is a number of tasks of one job that need capacity.
 type Demand struct {
 	Job             *wire.Job
 	Count           int
-	DeadlineSeconds float64 // may be past, or +Inf
+	DeadlineSeconds float64 // negative if it has passed, +Inf if there is none
 	RuntimeSeconds  float64 // expected runtime of a task
-	Late            bool    // no deadline can be met any more: it comes after the others of its priority
-	Overdue         bool    // any machine will do, whatever its price
+	Late            bool    // no deadline can be met any more: planned after the others of its priority
+	Overdue         bool    // MaxPriceMultiple does not apply
 	Zones           placement.ZoneCounts
 
-	ampleZonesOnly bool // only zones that offer as many machine types as any
+	excludeScarceZones bool // use only zones that offer the largest number of machine types
 }
 
-// RunningTask is a task on a machine.
+// RunningTask is a task bound to a machine.
 type RunningTask struct {
 	Job              *wire.Job
-	RemainingSeconds float64 // expected time until it ends; +Inf for services
+	RemainingSeconds float64 // expected time until it ends, +Inf for services
 }
 
 // Machine is an existing machine, or one that is being provisioned.
@@ -30,31 +30,31 @@
 	Name           wire.MachineID
 	Pool           resources.Pool
 	AgeSeconds     float64
-	ReadyInSeconds float64 // expected time until it takes tasks; 0 once it is up
+	ReadyInSeconds float64 // expected time until it can run tasks, 0 if it can now
 	Tasks          []RunningTask
-	Schedulable    bool // may take tasks, now or once it is up
+	Schedulable    bool // may be assigned tasks, now or once it is ready
 }
 
-// Input is what a planning cycle is computed from.
+// Input is the state of the cluster and the settings that a planning cycle is computed from.
 type Input struct {
 	MachineTypes []wire.MachineType
 	Demands      []Demand
 	Machines     []Machine
-	Exhausted    func(resources.Pool) bool // tells of pools that ran out of machines lately
-	// AvoidedZone tells of zones in which nothing is provisioned for jobs that may run in
-	// another. Nil stands for none.
+	Exhausted    func(resources.Pool) bool // reports whether a pool recently ran out of machines
+	// AvoidedZone reports whether a zone is avoided: machines are provisioned there only for
+	// jobs that cannot run in any other. If it is nil, no zone is avoided.
 	AvoidedZone             func(zone wire.Zone) bool
 	BootLagSeconds          float64
 	PlanningIntervalSeconds float64
 	BillingPeriodSeconds    float64
-	HeadroomShare           float64 // share of the capacity of urgent jobs to keep free
-	MaxPriceMultiple        float64 // limit on a pool's price, in multiples of the cheapest's; 0: none
+	HeadroomShare           float64 // capacity to keep free, as a share of what urgent jobs use and wait for
+	MaxPriceMultiple        float64 // limit on a task's cost, as a multiple of that in the cheapest allowed pool; 0: none
 }
 
-// ScaleOutRequest is a number of machines to provision.
+// ScaleOutRequest is a number of machines to provision from a pool.
 type ScaleOutRequest struct {
 	resources.Pool
 	Count           int
-	Load            float64
-	TasksPerMachine float64 // when it is full
+	Load            float64 // in machines, before it is rounded up to Count
+	TasksPerMachine float64 // mean number of tasks on a full machine
 }
--- a/internal/planner/load.go
+++ b/internal/planner/load.go
@@ -8,26 +8,26 @@
 	"lynxledge/internal/resources"
 )
 
-// Load returns a task's load on a machine type, in machines: its runtime over the window in
-// which it has to run, times the share of a machine that it takes. It is at most that share,
-// and the full share for services and for windows that are empty or past.
-func Load(share, runtimeSeconds, windowSeconds float64, service bool) float64 {
-	if service || windowSeconds <= 0 || runtimeSeconds >= windowSeconds {
+// Load returns the load of a task on a machine type, in machines: the share of a machine that it
+// takes, times its runtime over the window in which it has to run. The load is at most the share,
+// and the full share if the task is unbounded or the window is empty or past.
+func Load(share, runtimeSeconds, windowSeconds float64, unbounded bool) float64 {
+	if unbounded || windowSeconds <= 0 || runtimeSeconds >= windowSeconds {
 		return share
 	}
 	return share * runtimeSeconds / windowSeconds
 }
 
-// poolLoads sums up the load on the pools to provision from.
+// poolLoads is the load on each pool to provision machines from.
 type poolLoads map[resources.Pool]poolLoad
 
 type poolLoad struct {
 	load   float64
-	tasks  int     // that put load on the pool
+	tasks  int     // that add to the load
 	shares float64 // sum of their shares of a machine
 }
 
-// add puts one more task on a pool.
+// add adds one task to the load of a pool.
 func (p poolLoads) add(pool resources.Pool, share, load float64) {
 	sum := p[pool]
 	sum.load += load
@@ -36,7 +36,7 @@
 	p[pool] = sum
 }
 
-// scaleOut returns how many machines of each pool the loads ask for.
+// scaleOut returns how many machines to provision from each pool: its load, rounded up.
 func (p poolLoads) scaleOut() []ScaleOutRequest {
 	var requests []ScaleOutRequest
 	for pool, sum := range p {
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -9,7 +9,7 @@
 	"lynxledge/wire"
 )
 
-// Plan is what a planning cycle decides.
+// Plan is the result of a planning cycle.
 type Plan struct {
 	ScaleOut   []ScaleOutRequest
 	ScaleIn    []wire.MachineID
@@ -30,8 +30,8 @@
 	return plan
 }
 
-// compareDemands orders demands: by priority, those that can still meet a deadline first,
-// then by deadline.
+// compareDemands orders demands by priority, the highest first, then those that can still meet a
+// deadline before late ones, then by deadline.
 func compareDemands(a, b Demand) int {
 	if order := cmp.Compare(b.Job.Priority, a.Job.Priority); order != 0 {
 		return order
@@ -53,10 +53,10 @@
 	Input
 	pools  poolCatalog
 	loads  poolLoads
-	slots  []*capacitySlot
-	queues slotQueues
+	bins   []*machineBin
+	queues binQueues
 
-	existingPools poolIndex // pools of the existing machines
+	existingPools poolIndex // the pools of the existing machines
 
 	// Buffers that are reused between demands.
 	zones      placement.ZoneCounts
@@ -68,10 +68,10 @@
 		Input:         in,
 		pools:         newPoolCatalog(in.MachineTypes),
 		loads:         poolLoads{},
-		queues:        slotQueues{byShape: map[demandShape]*slotQueue{}},
+		queues:        binQueues{byShape: map[demandShape]*binQueue{}},
 		existingPools: poolIndex{index: map[resources.Pool]int{}},
 		zones:         placement.ZoneCounts{},
 	}
-	c.addSlots()
+	c.addBins()
 	return c
 }
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -26,8 +26,8 @@
 	return &wire.Job{ID: "req-000001", Kind: wire.KindArray, CPUs: cpus, MemoryGB: 1, TaskCount: 100, AllowSpot: spot}
 }
 
-// The design's load: running time over window times share, capped at the
-// share; the full share for empty and past windows and for services.
+// The load that the design defines: share times runtime over window, capped at the share; the
+// full share for empty and past windows and for services.
 func TestLoad(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		share, run := rapid.Float64Range(0.01, 1).Draw(t, "share"), rapid.Float64Range(0, 500).Draw(t, "run")
@@ -36,13 +36,13 @@
 		switch {
 		case window <= 0 || run >= window:
 			if l != share {
-				t.Fatalf("past or tight window: %v of %v", l, share)
+				t.Fatalf("past or short window: load %v, share %v", l, share)
 			}
 		case math.Abs(l-share*run/window) > 1e-9:
-			t.Fatalf("%v for %v over %v of %v", l, run, window, share)
+			t.Fatalf("load %v for runtime %v, window %v, share %v", l, run, window, share)
 		}
 		if Load(share, run, window, true) != share {
-			t.Fatal("a service counts in full")
+			t.Fatal("the load of a service is not its full share")
 		}
 	})
 }
@@ -57,7 +57,7 @@
 		{Demand{Job: testJob(4, false), Count: 3, DeadlineSeconds: 10, RuntimeSeconds: 25}, nil, ScaleOutRequest{resources.Pool{MachineType: "l", Zone: "a", Spot: false}, 1, 0.75, 4}},
 		{Demand{Job: testJob(4, true), Count: 2, DeadlineSeconds: 10, RuntimeSeconds: 25},
 			func(in *Input) { in.Exhausted = func(p resources.Pool) bool { return p.Spot } }, ScaleOutRequest{resources.Pool{MachineType: "l", Zone: "a", Spot: false}, 1, 0.5, 4}},
-		// Cheap pools exhausted: not at a premium, unless the work is overdue.
+		// Cheap pools exhausted: expensive ones are used only for overdue demands.
 		{Demand{Job: testJob(4, true), Count: 2, DeadlineSeconds: 10, RuntimeSeconds: 25},
 			func(in *Input) { in.MaxPriceMultiple = 2; in.Exhausted = func(p resources.Pool) bool { return p.Spot } }, ScaleOutRequest{}},
 		{Demand{Job: testJob(4, true), Count: 2, DeadlineSeconds: 10, RuntimeSeconds: 25, Overdue: true},
@@ -77,8 +77,8 @@
 	}
 }
 
-// Whatever the input, nothing is provisioned from exhausted pools, only idle machines near the
-// end of a billing period are scaled in, and tasks that find no capacity are counted as unmet.
+// For any input: nothing is provisioned from exhausted pools, only idle machines near the end of
+// a billing period are scaled in, and tasks without capacity are counted as unmet.
 func TestPlanIsSound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		in := testInput()
@@ -122,8 +122,8 @@
 	})
 }
 
-// A machine whose type boots for longer than the boot lag was provisioned again by every
-// planning cycle until it was nearly up.
+// Guards against a machine whose type takes longer than the boot lag to boot being provisioned
+// again by every planning cycle until it is nearly up.
 func TestSlowBootIsProvisionedOnce(t *testing.T) {
 	in := testInput(Demand{Job: &wire.Job{ID: "req-000001", Kind: wire.KindService, CPUs: 4, MemoryGB: 1, TaskCount: 1}, Count: 1})
 	in.MachineTypes = []wire.MachineType{{Name: "s", CPUs: 4, MemoryGB: 16, HourlyPrice: 1, BootTime: 80, Zones: []wire.Zone{"a"}}}
--- a/internal/planner/pools.go
+++ b/internal/planner/pools.go
@@ -9,11 +9,11 @@
 	"lynxledge/wire"
 )
 
-// poolCatalog is the machine types and the pools that the cloud offers.
+// poolCatalog holds the machine types and pools that the cloud offers.
 type poolCatalog struct {
 	machineTypes   map[string]*wire.MachineType
 	all            []resources.Pool
-	typesByZone    map[wire.Zone]int // how many machine types a zone offers
+	typesByZone    map[wire.Zone]int // number of machine types offered in each zone
 	maxTypesInZone int
 }
 
@@ -33,14 +33,14 @@
 	return p
 }
 
-// allows tells whether a demand may use machines of a pool, wherever the job's other tasks
-// are.
+// allows reports whether a demand may use machines of a pool, regardless of the zones of the
+// job's other tasks.
 func (p *poolCatalog) allows(d *Demand, pool resources.Pool) bool {
 	return placement.Allowed(d.Job, pool.MachineType, pool.Zone, pool.Spot) &&
-		(!d.ampleZonesOnly || p.typesByZone[pool.Zone] == p.maxTypesInZone)
+		(!d.excludeScarceZones || p.typesByZone[pool.Zone] == p.maxTypesInZone)
 }
 
-// hourlyPrice returns the price of a machine of a pool.
+// hourlyPrice returns the hourly price of a machine of a pool.
 func (p *poolCatalog) hourlyPrice(pool resources.Pool) float64 {
 	t := p.machineTypes[pool.MachineType]
 	if pool.Spot {
@@ -49,14 +49,14 @@
 	return t.HourlyPrice
 }
 
-// poolIndex numbers pools in the order in which they are first asked for.
+// poolIndex numbers pools in the order in which they are first looked up.
 type poolIndex struct {
 	pools []resources.Pool
 	index map[resources.Pool]int
 }
 
-// of returns a pool's number.
-func (p *poolIndex) of(pool resources.Pool) int {
+// indexOf returns the index of a pool, which it adds if it is new.
+func (p *poolIndex) indexOf(pool resources.Pool) int {
 	i, known := p.index[pool]
 	if !known {
 		i = len(p.pools)
@@ -66,51 +66,51 @@
 	return i
 }
 
-// poolOffer is a pool that can take a task, and what the task costs there.
+// poolOffer is a pool that can take a task, with the cost of the task there.
 type poolOffer struct {
 	pool  resources.Pool
-	share float64 // of a machine, that the task takes
-	cost  float64 // that share of a machine's price
+	share float64 // of a machine that the task takes
+	cost  float64 // per hour: that share of a machine's price
 }
 
 const (
-	// serviceCostTolerance is how many times the cheapest offer a larger machine may cost per
-	// task of a service: on fewer, larger machines images are fetched less often.
+	// serviceCostTolerance limits the cost of a service's task on a larger machine, as a multiple
+	// of the lowest cost: on fewer, larger machines images are fetched less often.
 	serviceCostTolerance = 1.1
 
-	// fullMachineTolerance is the rounding error within which a task that takes all of a
-	// machine still fits.
+	// fullMachineTolerance is the rounding error by which the share of a task that takes a whole
+	// machine may exceed 1.
 	fullMachineTolerance = 1e-9
 )
 
-// cheapestPool returns the pool in which a task's share of a machine costs least; for
-// services, the one with the largest machines of those that cost nearly as little. While the
-// cheap pools are exhausted, jobs that are not overdue wait for them rather than pay a
-// premium: the load says how many machines would be enough, not what one may cost.
+// cheapestPool returns the available pool in which a task costs least; for services, the one with
+// the largest machines of those within serviceCostTolerance. While the cheap pools are exhausted,
+// demands that are not overdue wait for them rather than pay more than MaxPriceMultiple allows:
+// the load determines how many machines are enough, not what one may cost.
 func (c *cycle) cheapestPool(d *pendingDemand) (best poolOffer, ok bool) {
 	offers, lowestCost := c.poolOffers(d)
-	lowestOffer := math.Inf(1)
+	lowestAvailableCost := math.Inf(1)
 	for i := range offers {
-		lowestOffer = math.Min(lowestOffer, offers[i].cost)
+		lowestAvailableCost = math.Min(lowestAvailableCost, offers[i].cost)
 	}
-	atPremium := c.MaxPriceMultiple > 0 && lowestOffer > lowestCost*c.MaxPriceMultiple
+	atPremium := c.MaxPriceMultiple > 0 && lowestAvailableCost > lowestCost*c.MaxPriceMultiple
 	if len(offers) == 0 || atPremium && !d.Overdue {
 		return poolOffer{}, false
 	}
-	limit := lowestOffer
+	maxCost := lowestAvailableCost
 	if d.Job.IsService() {
-		limit *= serviceCostTolerance
+		maxCost *= serviceCostTolerance
 	}
 	for _, offer := range offers {
-		if offer.cost <= limit && (best.pool.MachineType == "" || offer.share < best.share) {
+		if offer.cost <= maxCost && (best.pool.MachineType == "" || offer.share < best.share) {
 			best = offer
 		}
 	}
 	return best, true
 }
 
-// poolOffers returns the pools that can take one more task of a demand now, and the lowest
-// cost of a task over all pools that may, the exhausted and avoided ones included.
+// poolOffers returns the available pools that can take one more task of a demand, and the lowest
+// cost of a task over all allowed pools, including those exhausted or in avoided zones.
 func (c *cycle) poolOffers(d *pendingDemand) (offers []poolOffer, lowestCost float64) {
 	lowestCost = math.Inf(1)
 	for _, pool := range c.pools.all {
@@ -131,8 +131,8 @@
 	return offers, lowestCost
 }
 
-// avoids tells whether nothing should be provisioned for a job in a zone: the zone is avoided,
-// and the job may run in one that isn't.
+// avoids reports whether no machine should be provisioned for a job in a zone: the zone is
+// avoided, and the job may run in one that is not.
 func (c *cycle) avoids(j *wire.Job, zone wire.Zone) bool {
 	if c.AvoidedZone == nil || !c.AvoidedZone(zone) {
 		return false
