--- a/internal/estimate/boot.go
+++ b/internal/estimate/boot.go
@@ -1,4 +1,4 @@
 package estimate
 
-// UsualBootFactor is how many times the boot time of its type a machine usually takes at most.
+// UsualBootFactor is the multiple of its type's boot time within which a machine usually boots.
 const UsualBootFactor = 1.6
--- a/internal/estimate/deadlines.go
+++ b/internal/estimate/deadlines.go
@@ -8,32 +8,32 @@
 	"lynxledge/internal/statecache"
 )
 
-// Deadlines lists when a job has to have finished, counted from when it became runnable, in
-// ascending order. A job that others depend on is a stage of theirs: it gets the share of the
-// time left until their deadline that its runtime has of the runtimes on the way there, as
-// the paper splits a workflow's deadline over its stages. now and start count from the same
-// moment: the present, and when the job starts at the earliest.
+// Deadlines returns the times by which a job must finish, in ascending order, measured from
+// job.RunnableSince. So are now and the job's earliest start. A job whose dependents have a
+// deadline is a stage of a pipeline: it gets the share of the time left until that deadline that
+// its runtime has of all the runtimes on the path there, as the paper splits a workflow's deadline
+// over its stages.
 func Deadlines(cfg *config.Config, job *statecache.Job, runtime, now, start time.Duration) []time.Duration {
 	spec := job.Spec
-	out := ownDeadlines(cfg, job, runtime, start)
+	deadlines := ownDeadlines(cfg, job, runtime, start)
 	if job.InheritedDeadline == 0 {
-		return out
+		return deadlines
 	}
-	due := config.Milliseconds(int64(job.InheritedDeadline - job.RunnableSince()))
+	stageDeadline := config.Milliseconds(int64(job.InheritedDeadline - job.RunnableSince()))
 	from := max(now, start)
-	if due > from {
+	if stageDeadline > from {
 		runtimeSeconds := runtime.Seconds()
-		due = from + config.Seconds((due-from).Seconds()*runtimeSeconds/max(runtimeSeconds+float64(job.DownstreamRuntime), 1e-9))
+		stageDeadline = from + config.Seconds((stageDeadline-from).Seconds()*runtimeSeconds/max(runtimeSeconds+float64(job.DownstreamRuntime), 1e-9))
 	}
 	if !cfg.HasCompletionObjective(spec.Class) && spec.Deadline == nil {
-		return []time.Duration{due} // nobody else says when
+		return []time.Duration{stageDeadline} // neither its class nor its owner sets one
 	}
-	out = append(out, due)
-	slices.Sort(out)
-	return slices.Compact(out)
+	deadlines = append(deadlines, stageDeadline)
+	slices.Sort(deadlines)
+	return slices.Compact(deadlines)
 }
 
-// ownDeadlines lists the deadlines that a job has itself: its owner's, and those of the
+// ownDeadlines returns the deadlines that a job does not inherit: its owner's, and those of the
 // objectives for its class.
 func ownDeadlines(cfg *config.Config, job *statecache.Job, runtime, start time.Duration) []time.Duration {
 	var deadline *time.Duration
@@ -44,10 +44,11 @@
 	if !job.Blocked {
 		return cfg.Deadlines(job.Spec.Class, deadline, runtime, config.Milliseconds(int64(job.RunnableSince()-job.SubmittedAt)))
 	}
-	// It is runnable from start on, which still counts from its submission.
-	out := cfg.Deadlines(job.Spec.Class, deadline, runtime, start)
-	for i := range out {
-		out[i] += start
+	// cfg.Deadlines counts from when the job becomes runnable, at start; the result counts from
+	// its submission.
+	deadlines := cfg.Deadlines(job.Spec.Class, deadline, runtime, start)
+	for i := range deadlines {
+		deadlines[i] += start
 	}
-	return out
+	return deadlines
 }
--- a/internal/estimate/deadlines_test.go
+++ b/internal/estimate/deadlines_test.go
@@ -15,9 +15,9 @@
 	"lynxledge/wire"
 )
 
-// The deadline of a pipeline's last job is split over the stages before it by
-// their running times, from now on: a stage that is late leaves less for the rest,
-// and none gets more than it leaves.
+// The time left until the deadline of a pipeline's last job is split over the remaining stages in
+// proportion to their runtimes: a late stage leaves less to the rest, and no stage gets a deadline
+// after that of the pipeline.
 func TestDeadlineIsSplitOverStages(t *testing.T) {
 	cfg := &config.Config{Operator: config.DefaultOperatorSettings()}
 	rapid.Check(t, func(t *rapid.T) {
@@ -41,16 +41,15 @@
 				want = now + (due-now)*run/(run+tail)
 			}
 			if math.Abs(got[0].Seconds()-want) > 0.01 || due > now && got[0].Seconds() > due+0.01 {
-				t.Fatalf("stage %d of %v, %v of %v left: due %v, not %v", i, runs, tail, whole, got[0], want)
+				t.Fatalf("stage %d of %v, %v of %v s left: deadline %v, want %v", i, runs, tail, whole, got[0], want)
 			}
 			now = math.Max(now, got[0].Seconds())
 		}
 	})
 }
 
-// A blocked job's own deadline counts from its submission, its other times from
-// when it could run.
-func TestTimesOfABlockedJob(t *testing.T) {
+// A blocked job's own deadline counts from its submission, its objectives' from its earliest start.
+func TestDeadlinesOfBlockedJob(t *testing.T) {
 	cfg := &config.Config{Operator: config.DefaultOperatorSettings()}
 	cfg.Params.Objectives = []config.Objective{{Kind: config.ObjectiveFinished, Class: "c", Within: 100 * time.Second}}
 	due := wire.Seconds(60)
--- a/internal/estimate/dependency_wait_test.go
+++ b/internal/estimate/dependency_wait_test.go
@@ -8,8 +8,8 @@
 	"lynxledge/wire"
 )
 
-// A blocked job could run when the longest way through its dependencies has been gone; the first
-// job on that way blocks it. The same jobs are not visited twice.
+// A blocked job can run once the longest path through its dependencies has ended, and is blocked by
+// the first job on that path. Shared dependencies are not evaluated again for each path.
 func TestDependencyWaits(t *testing.T) {
 	blocked := map[wire.JobID]*statecache.Job{}
 	job := func(id wire.JobID, dependencies ...wire.JobID) {
@@ -27,7 +27,7 @@
 			t.Errorf("%s: %+v, want %+v", id, got[id], want)
 		}
 	}
-	// Layers in which each job depends on all of the layer before.
+	// Layers in which each job depends on all jobs of the previous layer.
 	clear(blocked)
 	var above []wire.JobID
 	for layer := range 40 {
@@ -44,6 +44,6 @@
 	left = func(wire.JobID) float64 { asked++; return 1 }
 	got = DependencyWaits(blocked, func(wire.JobID) bool { return true }, left, func(wire.JobID) float64 { return 1 })
 	if got["39-0"].WaitSeconds != 39 || asked > 40*12*12 {
-		t.Errorf("ready in %v, %d calls", got["39-0"].WaitSeconds, asked)
+		t.Errorf("39-0 waits %v s, %d calls", got["39-0"].WaitSeconds, asked)
 	}
 }
--- a/internal/estimate/doc.go
+++ b/internal/estimate/doc.go
@@ -1,3 +1,3 @@
-// Package estimate predicts how long tasks run, when jobs that wait for dependencies can
-// start, and by when a job has to be done.
+// Package estimate predicts how long tasks run and when blocked jobs can start, and computes
+// the deadlines of jobs.
 package estimate
--- a/internal/estimate/runtime_test.go
+++ b/internal/estimate/runtime_test.go
@@ -13,8 +13,8 @@
 	"lynxledge/wire"
 )
 
-// Owners who are off by the same factor all day are corrected; a job whose own tasks were observed
-// is judged by them; nothing observed leaves the estimate alone.
+// A constant error of a class's estimates is corrected; a job with enough completed tasks is
+// estimated by their mean; without observations the owner's estimate is used.
 func TestEstimatesAreCorrected(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		factor := rapid.Float64Range(0.3, 3).Draw(t, "factor")
@@ -32,17 +32,17 @@
 		}
 		next := &wire.Job{ID: "req-000099", Class: "c", EstimatedRuntime: 10}
 		if got := e.EstimateSeconds(next); math.Abs(math.Log(got/(10*factor))) > 0.05 {
-			t.Fatalf("expects %v of 10, owners are off by %v", got, factor)
+			t.Fatalf("runtime %v for an estimate of 10, owners are off by a factor of %v", got, factor)
 		}
 		if got := e.EstimateSeconds(&wire.Job{ID: "req-000100", Class: "other", EstimatedRuntime: 10}); got != 10 {
-			t.Fatalf("another class expects %v", got)
+			t.Fatalf("estimate of 10 in a class without observations corrected to %v", got)
 		}
 		jobs[next.ID] = &statecache.Job{Spec: next}
 		for range minSamples {
 			e.Observe([]statecache.Termination{{Job: next.ID, Reason: wire.ReasonCompleted, Runtime: 77}}, jobs)
 		}
 		if got := e.EstimateSeconds(next); math.Abs(got-77) > 1e-9 {
-			t.Fatalf("job's own tasks ran 77, expects %v", got)
+			t.Fatalf("the job's own tasks ran for 77 s, estimate %v", got)
 		}
 	})
 }
