--- a/internal/resources/doc.go
+++ b/internal/resources/doc.go
@@ -1,4 +1,3 @@
-// Package resources has the amounts of processors, GPUs and memory that tasks request and
-// machines offer, the pools that machines are provisioned from, and the teams' usage of their
-// quotas.
+// Package resources defines the amounts of CPUs, GPUs and memory that tasks request and machines
+// offer, the pools that machines are provisioned from, and the teams' usage of their quotas.
 package resources
--- a/internal/resources/pool.go
+++ b/internal/resources/pool.go
@@ -2,8 +2,8 @@
 
 import "lynxledge/wire"
 
-// Pool is a machine type in a zone, spot or on-demand: what one request to the cloud provisions
-// machines from.
+// Pool is a machine type in a zone, spot or on-demand. One request to the cloud provisions machines
+// from one pool.
 type Pool struct {
 	MachineType string
 	Zone        wire.Zone
