--- a/internal/placement/cluster_state.go
+++ b/internal/placement/cluster_state.go
@@ -7,8 +7,8 @@
 	"lynxledge/wire"
 )
 
-// ClusterState is what an advisor looks at. It belongs to the scheduler's actor: it must
-// neither be changed nor kept.
+// ClusterState is the input of an advisor. It belongs to the scheduler's actor: advisors must
+// neither modify nor retain it.
 type ClusterState struct {
 	View       *statecache.View
 	ActiveJobs map[wire.JobID]*statecache.Job
--- a/internal/placement/constraints.go
+++ b/internal/placement/constraints.go
@@ -7,14 +7,14 @@
 	"lynxledge/wire"
 )
 
-// Allowed tells whether a job's tasks may run on a machine type, in a zone and on a spot
-// instance or an on-demand machine at all.
+// Allowed reports whether a job's constraints allow its tasks to run on a machine type, in a zone
+// and, if spot is set, on spot machines.
 func Allowed(job *wire.Job, machineType string, zone wire.Zone, spot bool) bool {
 	return (len(job.MachineTypes) == 0 || slices.Contains(job.MachineTypes, machineType)) &&
 		(job.Zone == "" || job.Zone == zone) && (job.AllowSpot || !spot)
 }
 
-// ZoneCounts counts a job's tasks by zone, those that are stopping included.
+// ZoneCounts is the number of a job's tasks by zone, including those that are stopping.
 type ZoneCounts map[wire.Zone]int
 
 // ZoneCountsOf counts a job's bound tasks by zone.
@@ -26,7 +26,7 @@
 	return counts
 }
 
-// Allows tells whether one more task of the job may be in a zone now.
+// Allows reports whether one more task of the job may be placed in a zone.
 func (z ZoneCounts) Allows(job *wire.Job, zone wire.Zone) bool {
 	if job.SingleZone {
 		for other, n := range z {
--- a/internal/placement/last_replica_test.go
+++ b/internal/placement/last_replica_test.go
@@ -8,8 +8,8 @@
 	"lynxledge/wire"
 )
 
-// Of two replicas that cost the same otherwise, the one is preempted whose service keeps more of
-// its replicas (guards against services that lose their last replica while others lose none).
+// Of two replicas that otherwise cost the same, that of the service with more running replicas is
+// preempted. Guards against services losing their last replica while others lose none.
 func TestLastReplicaIsPreemptedLast(t *testing.T) {
 	replica := func(id wire.JobID, set *ReplicaSet) *Node {
 		job := &wire.Job{ID: id, Kind: wire.KindService, Priority: wire.PriorityNormal, TaskCount: 2, CPUs: 4, SpreadZones: true}
--- a/internal/placement/node.go
+++ b/internal/placement/node.go
@@ -7,94 +7,94 @@
 	"lynxledge/wire"
 )
 
-// RunningTask is a task bound to a node, with what preemption has to know of it.
+// RunningTask is a task bound to a node, with the facts that preemption considers.
 type RunningTask struct {
-	Job             *wire.Job // nil when its job is unknown
+	Job             *wire.Job // nil if its job is unknown
 	TaskIndex       int
-	Stopping        bool          // a stop command has been decided
-	WithinGuarantee bool          // its job fits its team's guarantee with the team's earlier jobs
-	LastOfJob       bool          // its job has no pending task: stopping it delays the job
-	BoundSince      time.Time     // when it was first seen bound
-	RuntimeSoFar    time.Duration // since then
-	Service         *ReplicaSet   // of a replica: what its service has; nil: not known
+	Stopping        bool          // a stop has been decided
+	WithinGuarantee bool          // its job and the team's earlier ones fit the team's guarantee
+	LastOfJob       bool          // its job has no pending task, so stopping this one delays the job
+	BoundSince      time.Time     // when it was first observed to be bound
+	RuntimeSoFar    time.Duration // since BoundSince
+	Service         *ReplicaSet   // of a replica: the state of its service; nil if unknown
 }
 
-// ReplicaSet is what a choice of victims has to know of a service as a whole. All its replicas
-// share it.
+// ReplicaSet is the state of a service that the choice of victims considers. All replicas of the
+// service share it.
 type ReplicaSet struct {
-	Zones ZoneCounts // of its bound replicas, those that are stopping included
-	// Running counts its bound replicas that are not about to go.
+	Zones ZoneCounts // bound replicas by zone, including those that are stopping
+	// Running is the number of bound replicas that are to stay.
 	Running int
-	// Immovable: a replica is pending, stopping or on a machine that is about to go, so that
-	// none of the others may be stopped to be moved.
+	// Immovable is set if no replica may be stopped to be moved: for example, because another
+	// one is pending, stopping, or on a machine that is about to be removed.
 	Immovable bool
 }
 
-// Claim is capacity of a node that is held for a replica that was stopped to be moved there.
+// Claim reserves capacity of a node for a replica that is being moved there.
 type Claim struct {
 	Service wire.JobID
 	Need    resources.Vector
 }
 
-// Node is a machine that may take tasks.
+// Node is a machine that tasks may be placed on.
 type Node struct {
 	Name        wire.MachineID
-	Group       string // of machines, whose record holds its bindings
+	Group       string // machine group whose record holds its bindings
 	MachineType *wire.MachineType
 	Zone        wire.Zone
 	Spot        bool
 	Schedulable bool             // tasks may be bound to it
-	Used        resources.Vector // by tasks that are to stay
+	Used        resources.Vector // by the tasks that are to stay
 	Tasks       []RunningTask
 	HasImage    func(image string) bool
-	// Reserved is kept for replicas that are about to be placed anew: work that may wait
-	// leaves it alone.
+	// Reserved is capacity for replicas that may soon have to be placed again. Arrays below
+	// priority high must not use it.
 	Reserved resources.Vector
-	// Claims are held for replicas that are being moved to the node: other work leaves their
-	// capacity alone.
+	// Claims reserve capacity for replicas that are being moved to the node. Tasks of other jobs
+	// must not use it.
 	Claims []Claim
-	// NeedsOwnWrite means that no other change of the scheduling cycle writes its group: a
-	// transaction writes few groups.
+	// NeedsOwnWrite is set if the scheduling cycle does not write the node's group otherwise. Such
+	// nodes are worse candidates, since a transaction can write only a few groups.
 	NeedsOwnWrite bool
-	// Ordinal is the node's place among all nodes. Candidates are put into this order,
-	// whichever index they come from, so that equal scores are decided alike. It stands here
-	// since sorting candidates is on the scheduler's hot path.
+	// Ordinal is the node's position among all nodes. Candidates are sorted by it, whichever index
+	// they come from, so that ties between scores are resolved deterministically. It is a field of
+	// the node because this sorting is on the scheduler's hot path.
 	Ordinal int
 }
 
-// HasCapacity tells whether the node has any of its processors and memory left.
+// HasCapacity reports whether tasks may be bound to the node and it has CPUs and memory left.
 func (n *Node) HasCapacity() bool {
-	return n.Schedulable && n.hasRoom()
+	return n.Schedulable && n.hasFreeCapacity()
 }
 
-// hasRoom tells the same of a node whether or not tasks may be bound to it.
-func (n *Node) hasRoom() bool {
+// hasFreeCapacity reports whether the node has CPUs and memory left.
+func (n *Node) hasFreeCapacity() bool {
 	return n.Used.CPUs < n.MachineType.CPUs-resources.RoundingTolerance &&
 		(n.MachineType.MemoryGB == 0 || n.Used.MemoryGB < n.MachineType.MemoryGB-resources.RoundingTolerance)
 }
 
-// CanTake tells whether the node has capacity for one more task of a job, which needs that
-// much, and the job allows it, given the zones of its other tasks.
+// CanTake reports whether one more task of a job, which needs the given resources, may run on the
+// node: the job's constraints allow it, given the zones of its other tasks, and there is capacity.
 func (n *Node) CanTake(job *wire.Job, need resources.Vector, zones ZoneCounts) bool {
 	return n.AllowedFor(job) && zones.Allows(job, n.Zone) && n.HasCapacityFor(job, need)
 }
 
-// AllowedFor tells whether a job's constraints allow the node, whatever runs on it.
+// AllowedFor reports whether a job's constraints allow the node, regardless of its free capacity.
 func (n *Node) AllowedFor(job *wire.Job) bool {
 	return Allowed(job, n.MachineType.Name, n.Zone, n.Spot)
 }
 
-// HasCapacityFor tells whether one more task of a job fits into what the node has free for it.
+// HasCapacityFor reports whether one more task of a job fits into the capacity that is free for it.
 func (n *Node) HasCapacityFor(job *wire.Job, need resources.Vector) bool {
-	used := n.usedBeside(job)
+	used := n.usedWithClaims(job)
 	if !job.IsService() && job.Priority < wire.PriorityHigh {
 		used = used.Plus(n.Reserved, 1)
 	}
 	return used.Plus(need, 1).Fits(n.capacity())
 }
 
-// usedBeside is what is used of the node, or held for others than a job.
-func (n *Node) usedBeside(job *wire.Job) resources.Vector {
+// usedWithClaims returns what is used of the node, plus what is claimed for jobs other than job.
+func (n *Node) usedWithClaims(job *wire.Job) resources.Vector {
 	used := n.Used
 	for _, claim := range n.Claims {
 		if claim.Service != job.ID {
@@ -104,5 +104,5 @@
 	return used
 }
 
-// capacity is all that the node has.
+// capacity returns the total resources of the node.
 func (n *Node) capacity() resources.Vector { return resources.OfMachineType(n.MachineType) }
--- a/internal/placement/obstacles.go
+++ b/internal/placement/obstacles.go
@@ -5,18 +5,18 @@
 	"lynxledge/wire"
 )
 
-// Obstacles counts, for a task that no node can take, the nodes by what keeps it from them.
+// Obstacles counts nodes by the reason why they cannot take a task.
 type Obstacles struct {
-	NotAllowed      int // by the job's machine types, zone or on-demand constraint
-	Unavailable     int // unschedulable, or withheld while zones recover
-	ZoneExcluded    int // by the zones of the job's other tasks
-	Full            int // no capacity left for the task
-	Free            int // nothing: it has capacity now
-	MovableReplicas int // replicas on full nodes whose leaving would make room
+	NotAllowed      int // excluded by the job's machine types, zone or lack of AllowSpot
+	Unavailable     int // unschedulable, avoided after failures, or withheld while zones recover
+	ZoneExcluded    int // excluded by the zones of the job's other tasks
+	Full            int // without capacity for the task
+	Free            int // none: the node can take the task now
+	MovableReplicas int // replicas on full nodes that would make room if they were moved
 }
 
-// FindObstacles tells what keeps a task of a job from each of the nodes. isAvailable tells
-// whether a node takes tasks of the job at all now.
+// FindObstacles classifies the nodes by what keeps a task of a job from them. isAvailable reports
+// whether a node currently takes tasks of the job at all.
 func FindObstacles(job *wire.Job, zones ZoneCounts, nodes []*Node, isAvailable func(*Node) bool) Obstacles {
 	var found Obstacles
 	var full []*Node
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -16,7 +16,7 @@
 
 var testTypes = []wire.MachineType{{Name: "s", CPUs: 4, MemoryGB: 8}, {Name: "l", CPUs: 16, GPUs: 2, MemoryGB: 64}}
 
-// genJob draws a job with the constraints that there are.
+// genJob draws a job with any combination of constraints.
 func genJob(t *rapid.T, id int) *wire.Job {
 	return &wire.Job{
 		ID: wire.JobID(fmt.Sprintf("req-%06d", id)), Team: rapid.SampledFrom([]wire.TeamName{"a", "b"}).Draw(t, "team"), Kind: wire.KindArray,
@@ -27,7 +27,7 @@
 	}
 }
 
-// genNodes draws nodes that run some tasks.
+// genNodes draws nodes with running tasks.
 func genNodes(t *rapid.T) []*Node {
 	var nodes []*Node
 	for i := range rapid.IntRange(0, 8).Draw(t, "nodes") {
@@ -48,7 +48,7 @@
 	return nodes
 }
 
-// The picked node is always allowed and has capacity, and there is one if any node would do.
+// The picked node is allowed and has capacity; none is picked only if no node meets both.
 func TestPickNode(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		job, nodes := genJob(t, 1), genNodes(t)
@@ -64,13 +64,13 @@
 		}
 		for _, n := range nodes {
 			if got == nil && ok(n) {
-				t.Fatalf("left out %+v for %+v", n, job)
+				t.Fatalf("no node picked, but %+v can take %+v", n, job)
 			}
 		}
 	})
 }
 
-// Preemption stops only what the protocol lets it, and makes room.
+// Only tasks that may be preempted for the job are, and its task fits once they are stopped.
 func TestFindVictims(t *testing.T) {
 	teams := map[wire.TeamName]config.TeamQuota{"a": {Name: "a", GuaranteedCPUs: 6}, "b": {Name: "b", GuaranteedCPUs: 3}}
 	quotaOf := func(name wire.TeamName) config.TeamQuota { return teams[name] }
@@ -98,26 +98,26 @@
 				continue
 			}
 			if victim.WithinGuarantee {
-				t.Fatal("what a team is guaranteed is taken from it")
+				t.Fatal("preempted a task within its team's guarantee")
 			}
 			if victim.Job.Team == job.Team {
-				t.Fatal("equal or higher priority of the same team stopped")
+				t.Fatal("preempted a task of the same team and of equal or higher priority")
 			}
 			if !usage.WithinGuarantee(quotaOf(job.Team), resources.OfTask(job)) {
-				t.Fatal("taken back beyond the guarantee")
+				t.Fatal("preempted a task of no lower priority for a team beyond its guarantee")
 			}
 			if left <= teams[victim.Job.Team].GuaranteedCPUs {
-				t.Fatal("another team loses what it is guaranteed")
+				t.Fatal("preempted a task of a team that has no more than its guarantee")
 			}
 			left -= victim.Job.CPUs
 		}
 		if !used.Plus(resources.OfTask(job), 1).Fits(resources.OfMachineType(victims.Node.MachineType)) {
-			t.Fatal("victims make no room")
+			t.Fatal("the task does not fit once the victims are stopped")
 		}
 	})
 }
 
-// Capacity for one replica elsewhere lets one be moved, not two.
+// If another zone has capacity for one replica, only one is moved there.
 func TestReplicaMoveCountsCapacity(t *testing.T) {
 	replica := func(n int, spread bool) *wire.Job {
 		return &wire.Job{ID: wire.JobID(fmt.Sprintf("req-%06d", n)), Kind: wire.KindService, Priority: wire.PriorityProduction, TaskCount: 1 + n%2, CPUs: 4, Image: "x", SpreadZones: spread}
@@ -137,7 +137,7 @@
 	}
 }
 
-// A sample of many nodes has the size of a sample, and none twice.
+// A sample of many nodes has MaxSample nodes, all different.
 func TestSampleIsBounded(t *testing.T) {
 	nodes := make([]*Node, 500)
 	for i := range nodes {
--- a/internal/placement/replica_move.go
+++ b/internal/placement/replica_move.go
@@ -9,49 +9,49 @@
 	"lynxledge/wire"
 )
 
-// maxMoveTargetSearches bounds a search for a replica to move: for so many replicas another
-// node is looked for.
+// maxMoveTargetSearches limits the search for a replica to move: a target is looked for only for
+// this many replicas.
 const maxMoveTargetSearches = 16
 
-// replicaMove is a replica whose leaving makes room for another task.
+// replicaMove is a replica that would make room for another task if it were moved.
 type replicaMove struct {
 	node  *Node
-	index int // into the node's tasks
+	index int // into node.Tasks
 }
 
 func (m *replicaMove) task() *RunningTask { return &m.node.Tasks[m.index] }
 
-// CanBeMadeRoomFor tells whether replicas may be moved for a job: for a service that is not free
-// to choose its zones.
+// CanBeMadeRoomFor reports whether replicas may be moved to make room for a job: only for a service
+// whose zones are constrained.
 func CanBeMadeRoomFor(job *wire.Job) bool {
 	return job.IsService() && (job.Zone != "" || job.SpreadZones || job.SingleZone)
 }
 
-// FindReplicaToMove finds a replica that could as well run in another zone, where there is
-// capacity for it, and whose leaving makes room for a task that must go to its zone. The
-// replica is stopped to be placed again; the capacity that it finds is claimed for it.
+// FindReplicaToMove finds a replica to move to another zone, where there is capacity for it, to
+// make room for a task that must run in the zone it leaves; nil if there is none. The replica is to
+// be stopped and placed again; the capacity on its target is claimed for it.
 func FindReplicaToMove(job *wire.Job, zones ZoneCounts, nodes []*Node) *Victims {
 	if !CanBeMadeRoomFor(job) {
 		return nil
 	}
-	targets := slices.DeleteFunc(slices.Clone(nodes), func(n *Node) bool { return !n.hasRoom() })
+	targets := slices.DeleteFunc(slices.Clone(nodes), func(n *Node) bool { return !n.hasFreeCapacity() })
 	if len(targets) == 0 {
 		return nil
 	}
 	moves := replicaMoves(job, zones, nodes)
 	moves = moves[:min(len(moves), maxMoveTargetSearches)]
-	if victims := firstMove(moves, targets, true); victims != nil {
+	if victims := claimFirstMove(moves, targets, true); victims != nil {
 		return victims
 	}
-	return firstMove(moves, targets, false)
+	return claimFirstMove(moves, targets, false)
 }
 
-// firstMove is the first of the moves for which there is a target, and claims that one.
-// imageNeeded: only nodes that have the replica's image are targets.
-func firstMove(moves []replicaMove, targets []*Node, imageNeeded bool) *Victims {
+// claimFirstMove returns the first of the moves that has a target, and claims capacity there; nil
+// if none has. With requireImage, only nodes that have the replica's image can be targets.
+func claimFirstMove(moves []replicaMove, targets []*Node, requireImage bool) *Victims {
 	for i := range moves {
 		move := &moves[i]
-		target := move.findTarget(targets, imageNeeded)
+		target := move.findTarget(targets, requireImage)
 		if target == nil {
 			continue
 		}
@@ -62,15 +62,15 @@
 	return nil
 }
 
-// ReleaseClaim takes back what the move that was found last claims of its target.
+// ReleaseClaim removes the claim of the move on its target. It must be the last claim made there.
 func (v *Victims) ReleaseClaim() {
 	last := len(v.Target.Claims) - 1
 	v.Target.Claims = v.Target.Claims[:last]
 }
 
-// replicaMoves lists the replicas on nodes whose leaving would make room for a task of a job,
-// wherever they may go. Those come first whose service loses the least while they move: of the
-// lowest priority, then of the most replicas.
+// replicaMoves returns the replicas on nodes that would make room for a task of a job if they were
+// moved, whether or not there is a target. Those whose service suffers least from the move come
+// first: of the lowest priority, then of the service with the most replicas.
 func replicaMoves(job *wire.Job, zones ZoneCounts, nodes []*Node) []replicaMove {
 	var moves []replicaMove
 	need := resources.OfTask(job)
@@ -78,7 +78,7 @@
 		if !n.AllowedFor(job) || !zones.Allows(job, n.Zone) {
 			continue
 		}
-		used := n.usedBeside(job).Plus(need, 1)
+		used := n.usedWithClaims(job).Plus(need, 1)
 		for i := range n.Tasks {
 			t := &n.Tasks[i]
 			if t.isMovable() && used.Plus(resources.OfTask(t.Job), -1).Fits(n.capacity()) {
@@ -93,22 +93,22 @@
 	return moves
 }
 
-// isMovable tells whether a task is a replica that may run in another zone and loses nothing by
-// being restarted, and whose service has all the others meanwhile.
+// isMovable reports whether a task is a replica that may run in another zone, loses no progress by
+// a restart, and whose service keeps all its other replicas running meanwhile.
 func (t *RunningTask) isMovable() bool {
 	if t.Job == nil || t.Stopping || !t.Job.IsService() || t.Job.Zone != "" || t.Job.CheckpointInterval > 0 {
 		return false
 	}
 	if t.Service == nil {
-		return t.Job.TaskCount == 1 // it has no others whose zones would matter
+		return t.Job.TaskCount == 1 // a single replica has no others whose zones matter
 	}
 	return !t.Service.Immovable
 }
 
-// findTarget finds one of the targets in another zone that has capacity for the replica, and its
-// image if that is needed, and that its service allows once it has left its own; nil if there is
-// none.
-func (m *replicaMove) findTarget(targets []*Node, imageNeeded bool) *Node {
+// findTarget returns the best of the targets in other zones that can take the replica, given the
+// zones of its service's other replicas; nil if there is none. With requireImage, targets must have
+// the replica's image.
+func (m *replicaMove) findTarget(targets []*Node, requireImage bool) *Node {
 	t := m.task()
 	zones := ZoneCounts{}
 	if t.Service != nil {
@@ -116,7 +116,7 @@
 		zones[m.node.Zone]--
 	}
 	elsewhere := slices.DeleteFunc(slices.Clone(targets), func(n *Node) bool {
-		return n.Zone == m.node.Zone || imageNeeded && !n.HasImage(t.Job.Image)
+		return n.Zone == m.node.Zone || requireImage && !n.HasImage(t.Job.Image)
 	})
 	return PickNode(t.Job, zones, ZoneOffers{}, elsewhere)
 }
--- a/internal/placement/replica_move_test.go
+++ b/internal/placement/replica_move_test.go
@@ -12,19 +12,20 @@
 
 var moveTestZones = []wire.Zone{"p", "q", "r"}
 
-// moveWorld is nodes in three zones with the replicas of services on them.
-type moveWorld struct {
+// moveTestCluster is a cluster in three zones with replicas of services on its nodes.
+type moveTestCluster struct {
 	nodes    []*Node
 	services map[wire.JobID]*wire.Job
 	sets     map[wire.JobID]*ReplicaSet
 }
 
-// genMoveWorld draws services, and places their replicas where the zones of the others let them.
-func genMoveWorld(t *rapid.T) *moveWorld {
-	w := &moveWorld{services: map[wire.JobID]*wire.Job{}, sets: map[wire.JobID]*ReplicaSet{}}
+// genMoveTestCluster draws nodes and services, and places the replicas where their zone constraints
+// allow.
+func genMoveTestCluster(t *rapid.T) *moveTestCluster {
+	cluster := &moveTestCluster{services: map[wire.JobID]*wire.Job{}, sets: map[wire.JobID]*ReplicaSet{}}
 	for i := range rapid.IntRange(3, 9).Draw(t, "nodes") {
 		hasImage := rapid.IntRange(0, 3).Draw(t, "hasImage") > 0
-		w.nodes = append(w.nodes, &Node{
+		cluster.nodes = append(cluster.nodes, &Node{
 			Name: wire.MachineID(fmt.Sprint(i)), MachineType: &testTypes[0], Zone: moveTestZones[i%3],
 			HasImage: func(string) bool { return hasImage },
 		})
@@ -32,17 +33,17 @@
 	for i := range rapid.IntRange(1, 8).Draw(t, "services") {
 		job := genMoveService(t, i)
 		set := &ReplicaSet{Zones: ZoneCounts{}}
-		w.services[job.ID], w.sets[job.ID] = job, set
+		cluster.services[job.ID], cluster.sets[job.ID] = job, set
 		for replica := range job.TaskCount {
-			n := rapid.SampledFrom(w.nodes).Draw(t, "node")
+			n := rapid.SampledFrom(cluster.nodes).Draw(t, "node")
 			if !n.CanTake(job, resources.OfTask(job), set.Zones) {
-				set.Immovable = true // it is pending
+				set.Immovable = true // the replica is pending
 				continue
 			}
-			w.place(n, job, replica)
+			cluster.place(n, job, replica)
 		}
 	}
-	return w
+	return cluster
 }
 
 func genMoveService(t *rapid.T, id int) *wire.Job {
@@ -63,19 +64,19 @@
 	return job
 }
 
-func (w *moveWorld) place(n *Node, job *wire.Job, replica int) {
+func (c *moveTestCluster) place(n *Node, job *wire.Job, replica int) {
 	n.Used = n.Used.Plus(resources.OfTask(job), 1)
-	n.Tasks = append(n.Tasks, RunningTask{Job: job, TaskIndex: replica, Service: w.sets[job.ID]})
-	w.sets[job.ID].Zones[n.Zone]++
+	n.Tasks = append(n.Tasks, RunningTask{Job: job, TaskIndex: replica, Service: c.sets[job.ID]})
+	c.sets[job.ID].Zones[n.Zone]++
 }
 
-// checkMove checks that the replica may go to the target once it has left its node, and that the
-// target has capacity for all that was claimed.
-func (w *moveWorld) checkMove(t *rapid.T, move *Victims) {
+// checkMove checks that the replica may run on the target once it is stopped on its node, and that
+// the target has capacity for everything claimed there.
+func (c *moveTestCluster) checkMove(t *rapid.T, move *Victims) {
 	task := &move.Node.Tasks[move.Tasks[0]]
 	job, set := task.Job, task.Service
 	if len(move.Tasks) != 1 || set.Immovable || task.Stopping || job.Zone != "" || job.CheckpointInterval > 0 {
-		t.Fatalf("must not be moved: %+v of %+v", task, job)
+		t.Fatalf("replica must not be moved: %+v of %+v", task, job)
 	}
 	after := ZoneCounts{}
 	for zone, count := range set.Zones {
@@ -88,7 +89,7 @@
 			t.Fatalf("%d of %d replicas in zone %s", count, job.TaskCount, zone)
 		}
 		if job.SingleZone && count > 0 && count < job.TaskCount {
-			t.Fatalf("the replicas are in several zones: %v", after)
+			t.Fatalf("replicas of a single-zone service in several zones: %v", after)
 		}
 	}
 	used := move.Target.Used
@@ -100,59 +101,59 @@
 	}
 }
 
-// Moves keep the zones of the moved service, never count the same capacity twice, make room for
-// the replica that they are made for, and end: there is at most one for each service that is
-// whole (guards against moves without a place to go, and against services that move one another
-// back and forth).
+// Moves respect the zone constraints of the moved service, never count the same capacity twice,
+// make room for the waiting replica, and end: there is at most one per service that has all its
+// replicas. Guards against moves without a target, and against services whose replicas displace
+// one another back and forth.
 func TestReplicaMovesAreSafeAndEnd(t *testing.T) {
 	moved := 0
 	rapid.Check(t, func(t *rapid.T) {
-		w := genMoveWorld(t)
+		cluster := genMoveTestCluster(t)
 		moves := 0
 		for i := 0; i < 20; i++ {
 			job := genMoveService(t, 100+i)
-			move := FindReplicaToMove(job, ZoneCounts{}, w.nodes)
+			move := FindReplicaToMove(job, ZoneCounts{}, cluster.nodes)
 			if move == nil {
 				continue
 			}
-			w.checkMove(t, move)
+			cluster.checkMove(t, move)
 			moves++
 			task := &move.Node.Tasks[move.Tasks[0]]
 			task.Stopping, task.Service.Immovable = true, true
 			move.Node.Used = move.Node.Used.Plus(resources.OfTask(task.Job), -1)
 			if !move.Node.HasCapacityFor(job, resources.OfTask(job)) {
-				t.Fatal("no room made")
+				t.Fatal("the waiting replica does not fit after the move")
 			}
 			move.Node.Used = move.Node.Used.Plus(resources.OfTask(job), 1)
 		}
-		if moves > len(w.services) {
-			t.Fatalf("%d moves of %d services", moves, len(w.services))
+		if moves > len(cluster.services) {
+			t.Fatalf("%d moves with %d services", moves, len(cluster.services))
 		}
 		moved += moves
 	})
 	if moved == 0 {
-		t.Error("no replica was moved in any world")
+		t.Error("no replica was moved in any cluster")
 	}
 }
 
-// The replica that is moved is one of a service of the lowest priority, and of the most replicas.
-func TestReplicaMoveTakesTheLeastImportant(t *testing.T) {
+// The moved replica is of the service with the lowest priority, then the most replicas.
+func TestReplicaMovePrefersLeastImportantService(t *testing.T) {
 	for _, other := range []struct {
 		priority wire.Priority
 		replicas int
 	}{{wire.PriorityHigh, 4}, {wire.PriorityNormal, 2}} {
-		w := &moveWorld{sets: map[wire.JobID]*ReplicaSet{}}
+		cluster := &moveTestCluster{sets: map[wire.JobID]*ReplicaSet{}}
 		has := func(string) bool { return true }
 		full := &Node{Name: "f", MachineType: &testTypes[0], Zone: "p", HasImage: has}
-		w.nodes = []*Node{full, {Name: "g", MachineType: &testTypes[0], Zone: "q", HasImage: has}}
+		cluster.nodes = []*Node{full, {Name: "g", MachineType: &testTypes[0], Zone: "q", HasImage: has}}
 		important := &wire.Job{ID: "req-000001", Kind: wire.KindService, SpreadZones: true, CPUs: 2, Priority: other.priority, TaskCount: other.replicas}
 		lesser := &wire.Job{ID: "req-000002", Kind: wire.KindService, SpreadZones: true, CPUs: 2, Priority: wire.PriorityNormal, TaskCount: 4}
 		for _, job := range []*wire.Job{important, lesser} {
-			w.sets[job.ID] = &ReplicaSet{Zones: ZoneCounts{}}
-			w.place(full, job, 0)
+			cluster.sets[job.ID] = &ReplicaSet{Zones: ZoneCounts{}}
+			cluster.place(full, job, 0)
 		}
 		blocked := &wire.Job{ID: "req-000003", Kind: wire.KindService, SpreadZones: true, CPUs: 2, Priority: wire.PriorityNormal, TaskCount: 2}
-		move := FindReplicaToMove(blocked, ZoneCounts{"q": 1}, w.nodes)
+		move := FindReplicaToMove(blocked, ZoneCounts{"q": 1}, cluster.nodes)
 		if move == nil || full.Tasks[move.Tasks[0]].Job != lesser {
 			t.Errorf("beside %+v: moved %+v", other, move)
 		}
--- a/internal/placement/score.go
+++ b/internal/placement/score.go
@@ -7,13 +7,13 @@
 	"lynxledge/wire"
 )
 
-// ZoneOffers tells how many machine types can be provisioned in a zone, as a share of the
-// zone that offers most.
+// ZoneOffers is the number of machine types offered in each zone, as a share of the largest such
+// number.
 type ZoneOffers map[wire.Zone]float64
 
-// PickNode returns the node with capacity that suits a task of the job best, or nil. Urgent
-// work goes where its image is; the rest packs machines that are in use already, and spot
-// machines before on-demand ones.
+// PickNode returns the best node that can take a task of the job, or nil if none can. Urgent jobs
+// prefer nodes that have their image; others are packed onto machines already in use, and onto
+// spot machines before on-demand ones.
 func PickNode(job *wire.Job, zones ZoneCounts, offers ZoneOffers, nodes []*Node) *Node {
 	var best *Node
 	bestScore := math.Inf(1)
@@ -29,8 +29,8 @@
 	return best
 }
 
-// score orders the nodes that have capacity; the lowest is best. Its parts are shares of one
-// machine.
+// score rates a node for a task of the job; the lowest is best. The unit of its terms is the share
+// of one machine.
 func score(job *wire.Job, zones ZoneCounts, offers ZoneOffers, n *Node) float64 {
 	s := 1 - n.Used.Share(n.capacity())
 	if !n.HasImage(job.Image) {
@@ -41,10 +41,10 @@
 		}
 	}
 	if job.AllowSpot && !n.Spot {
-		s += 2 // keep on-demand machines for those that need them
+		s += 2 // keep on-demand machines for jobs that need them
 	}
 	if !n.Spot && !(job.SpreadZones && job.TaskCount > 1) {
-		// Capacity in a zone that offers few machine types is for those that must go there.
+		// Keep capacity in zones that offer few machine types for jobs that must run there.
 		s += 6 * (1 - offers[n.Zone])
 	}
 	if job.SpreadZones {
--- a/internal/placement/victims.go
+++ b/internal/placement/victims.go
@@ -10,24 +10,25 @@
 	"lynxledge/wire"
 )
 
-// Victims is a set of tasks to stop on a node so that another fits.
+// Victims is a set of tasks to stop on a node so that another task fits.
 type Victims struct {
 	Node  *Node
 	Tasks []int // indices into Node.Tasks
 	Cost  float64
-	// Target is where a replica that is moved finds capacity; nil if the tasks are preempted.
+	// Target is the node that a replica is moved to; nil if the tasks are preempted.
 	Target *Node
 }
 
-// Quotas is what teams use, and what they are entitled to.
+// Quotas holds the usage and the quotas of teams.
 type Quotas struct {
 	Usage resources.Usage
 	Of    func(team wire.TeamName) config.TeamQuota
 }
 
-// FindVictims finds the cheapest set of tasks to stop for a task of a job. Work of lower
-// priority may be preempted; with the team inside its guarantee so may work of any priority
-// that another team runs beyond its own. Nothing else may.
+// FindVictims returns the cheapest victims on one of the nodes that make room for a task of a job,
+// or nil; a node whose score is better by more than 1 is preferred at any cost. Tasks of lower
+// priority may be preempted. If the job's team is within its guarantee with the task, so may tasks
+// of any priority that other teams run beyond their guarantees. No others may.
 func FindVictims(job *wire.Job, zones ZoneCounts, offers ZoneOffers, nodes []*Node, quotas Quotas) *Victims {
 	var best *Victims
 	bestScore := 0.0
@@ -48,32 +49,32 @@
 	return best
 }
 
-// victimSearch is what a search for victims has in common on all nodes.
+// victimSearch holds what a search for victims has in common on all nodes.
 type victimSearch struct {
 	job        *wire.Job
 	need       resources.Vector
-	guaranteed bool // the job's team is inside its guarantee with the task
+	guaranteed bool // the job's team is within its guarantee with the task
 	quotas     Quotas
 }
 
 // victimCandidate is a task that may be stopped.
 type victimCandidate struct {
-	index int // into the node's tasks
+	index int // into Node.Tasks
 	cost  float64
 }
 
-// onNode is the cheapest set of victims on a node, or nil. Candidates are stopped in the order
-// of their costs until the task fits.
+// onNode returns the victims on a node, or nil if there are none or the task would not fit once
+// they are stopped. Candidates are added in ascending order of cost until the task fits.
 func (s *victimSearch) onNode(n *Node) *Victims {
 	victims := &Victims{Node: n}
-	used, limit := n.usedBeside(s.job), n.capacity()
-	left := resources.Usage{}
+	used, limit := n.usedWithClaims(s.job), n.capacity()
+	remainingUsage := resources.Usage{}
 	for _, c := range s.candidates(n) {
 		if used.Plus(s.need, 1).Fits(limit) {
 			break
 		}
 		victim := n.Tasks[c.index].Job
-		if victim.Priority >= s.job.Priority && !s.takeAboveGuarantee(left, victim) {
+		if victim.Priority >= s.job.Priority && !s.reclaimAboveGuarantee(remainingUsage, victim) {
 			continue
 		}
 		used = used.Plus(resources.OfTask(victim), -1)
@@ -86,7 +87,7 @@
 	return victims
 }
 
-// candidates are the tasks of a node that may be stopped, the cheapest first.
+// candidates returns the tasks of a node that may be stopped, the cheapest first.
 func (s *victimSearch) candidates(n *Node) []victimCandidate {
 	var out []victimCandidate
 	for i := range n.Tasks {
@@ -100,7 +101,7 @@
 	return out
 }
 
-// mayPreempt tells whether the rules let a task be stopped for the job at all.
+// mayPreempt reports whether the rules of FindVictims allow a task to be stopped for the job.
 func (s *victimSearch) mayPreempt(t *RunningTask) bool {
 	if t.Job == nil || t.Stopping {
 		return false
@@ -108,27 +109,28 @@
 	return t.Job.Priority < s.job.Priority || s.guaranteed && !t.WithinGuarantee && t.Job.Team != s.job.Team
 }
 
-// takeAboveGuarantee takes a task from what its team has left, unless its team would have less
-// than it is guaranteed. left holds the usage of the teams that victims have been chosen from.
-func (s *victimSearch) takeAboveGuarantee(left resources.Usage, victim *wire.Job) bool {
-	owner := s.quotas.Of(victim.Team)
-	usage, ok := left[owner.Name]
+// reclaimAboveGuarantee subtracts a victim from its team's remaining usage, and reports whether it
+// could: not if that usage is already within the guarantee. remainingUsage holds the usage of the
+// teams that victims have been chosen from.
+func (s *victimSearch) reclaimAboveGuarantee(remainingUsage resources.Usage, victim *wire.Job) bool {
+	quota := s.quotas.Of(victim.Team)
+	usage, ok := remainingUsage[quota.Name]
 	if !ok {
-		usage = s.quotas.Usage[owner.Name]
+		usage = s.quotas.Usage[quota.Name]
 	}
-	if usage.CPUs <= owner.GuaranteedCPUs+resources.RoundingTolerance && usage.GPUs <= owner.GuaranteedGPUs+resources.RoundingTolerance {
+	if usage.CPUs <= quota.GuaranteedCPUs+resources.RoundingTolerance && usage.GPUs <= quota.GuaranteedGPUs+resources.RoundingTolerance {
 		return false
 	}
-	left[owner.Name] = usage.Plus(resources.OfTask(victim), -1)
+	remainingUsage[quota.Name] = usage.Plus(resources.OfTask(victim), -1)
 	return true
 }
 
-// replicaLossSeconds is how much work, in seconds, stopping a replica of a whole service counts as:
-// its users notice.
+// replicaLossSeconds is the cost of stopping a replica of a service that has all of them, in
+// seconds of lost work: its users notice.
 const replicaLossSeconds = 60
 
-// lossFactor is by how much more a service loses with one more replica than it would if all its
-// replicas ran.
+// lossFactor returns how many times replicaLossSeconds stopping one more replica costs a service:
+// the fewer of its replicas run, the more.
 func (s *ReplicaSet) lossFactor(service *wire.Job) float64 {
 	if s == nil || s.Running <= 0 {
 		return 1
@@ -136,8 +138,8 @@
 	return float64(service.TaskCount) / float64(s.Running)
 }
 
-// preemptionCost is what stopping a task loses: the work since its last checkpoint, weighted by
-// its size and priority.
+// preemptionCost returns the cost of stopping a task: the work lost since its last checkpoint and
+// the harm to its service or to the end of its job, weighted by the task's CPUs and priority.
 func preemptionCost(t *RunningTask) float64 {
 	lostSeconds := t.RuntimeSoFar.Seconds()
 	if t.Job.CheckpointInterval > 0 {
--- a/internal/planner/input.go
+++ b/internal/planner/input.go
@@ -12,7 +12,7 @@
 	Count           int
 	DeadlineSeconds float64 // negative if it has passed, +Inf if there is none
 	RuntimeSeconds  float64 // expected runtime of a task
-	Late            bool    // no deadline can be met any more: planned after the others of its priority
+	Late            bool    // no deadline can be met: planned after the others of its priority
 	Overdue         bool    // MaxPriceMultiple does not apply
 	Zones           placement.ZoneCounts
 
@@ -47,8 +47,8 @@
 	BootLagSeconds          float64
 	PlanningIntervalSeconds float64
 	BillingPeriodSeconds    float64
-	HeadroomShare           float64 // capacity to keep free, as a share of what urgent jobs use and wait for
-	MaxPriceMultiple        float64 // limit on a task's cost, as a multiple of that in the cheapest allowed pool; 0: none
+	HeadroomShare           float64 // to keep free, of the CPUs that urgent jobs use and wait for
+	MaxPriceMultiple        float64 // of the cheapest allowed pool that a task may cost; 0: any
 }
 
 // ScaleOutRequest is a number of machines to provision from a pool.
