--- a/internal/estimate/deadlines_test.go
+++ b/internal/estimate/deadlines_test.go
@@ -21,27 +21,27 @@
 func TestDeadlineIsSplitOverStages(t *testing.T) {
 	cfg := &config.Config{Operator: config.DefaultOperatorSettings()}
 	rapid.Check(t, func(t *rapid.T) {
-		runs := rapid.SliceOfN(rapid.Float64Range(1, 50), 1, 6).Draw(t, "runs")
-		tail := 0.0
-		for _, r := range runs {
-			tail += r
+		runtimes := rapid.SliceOfN(rapid.Float64Range(1, 50), 1, 6).Draw(t, "runs")
+		downstream := 0.0
+		for _, r := range runtimes {
+			downstream += r
 		}
-		due := rapid.Float64Range(1, 500).Draw(t, "due")
+		deadline := rapid.Float64Range(1, 500).Draw(t, "due")
 		now := rapid.Float64Range(0, 400).Draw(t, "now")
-		whole := tail
-		for i, run := range runs {
-			tail -= run
-			j := &statecache.Job{Spec: &wire.Job{Class: "c"}, InheritedDeadline: statecache.Timestamp(1000 * due), DownstreamRuntime: wire.Seconds(tail)}
-			got := Deadlines(cfg, j, config.Seconds(run), config.Seconds(now), config.Seconds(now))
+		total := downstream
+		for i, runtime := range runtimes {
+			downstream -= runtime
+			j := &statecache.Job{Spec: &wire.Job{Class: "c"}, InheritedDeadline: statecache.Timestamp(1000 * deadline), DownstreamRuntime: wire.Seconds(downstream)}
+			got := Deadlines(cfg, j, config.Seconds(runtime), config.Seconds(now), config.Seconds(now))
 			if len(got) != 1 {
 				t.Fatalf("%v", got)
 			}
-			want := due
-			if due > now {
-				want = now + (due-now)*run/(run+tail)
+			want := deadline
+			if deadline > now {
+				want = now + (deadline-now)*runtime/(runtime+downstream)
 			}
-			if math.Abs(got[0].Seconds()-want) > 0.01 || due > now && got[0].Seconds() > due+0.01 {
-				t.Fatalf("stage %d of %v, %v of %v s left: deadline %v, want %v", i, runs, tail, whole, got[0], want)
+			if math.Abs(got[0].Seconds()-want) > 0.01 || deadline > now && got[0].Seconds() > deadline+0.01 {
+				t.Fatalf("stage %d of %v, %v of %v s left: deadline %v, want %v", i, runtimes, downstream, total, got[0], want)
 			}
 			now = math.Max(now, got[0].Seconds())
 		}
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -87,9 +87,9 @@
 			return
 		}
 		used := victims.Node.Used
-		left := usage["a"].CPUs
+		remainingCPUs := usage["a"].CPUs
 		if job.Team == "a" {
-			left = usage["b"].CPUs
+			remainingCPUs = usage["b"].CPUs
 		}
 		for _, i := range victims.Tasks {
 			victim := victims.Node.Tasks[i]
@@ -106,10 +106,10 @@
 			if !usage.WithinGuarantee(quotaOf(job.Team), resources.OfTask(job)) {
 				t.Fatal("preempted a task of no lower priority for a team beyond its guarantee")
 			}
-			if left <= teams[victim.Job.Team].GuaranteedCPUs {
+			if remainingCPUs <= teams[victim.Job.Team].GuaranteedCPUs {
 				t.Fatal("preempted a task of a team that has no more than its guarantee")
 			}
-			left -= victim.Job.CPUs
+			remainingCPUs -= victim.Job.CPUs
 		}
 		if !used.Plus(resources.OfTask(job), 1).Fits(resources.OfMachineType(victims.Node.MachineType)) {
 			t.Fatal("the task does not fit once the victims are stopped")
--- a/internal/planner/input.go
+++ b/internal/planner/input.go
@@ -42,13 +42,17 @@
 	Machines     []Machine
 	Exhausted    func(resources.Pool) bool // reports whether a pool recently ran out of machines
 	// AvoidedZone reports whether a zone is avoided: machines are provisioned there only for
-	// jobs that cannot run in any other. If it is nil, no zone is avoided.
+	// jobs whose constraints allow no other. If it is nil, no zone is avoided.
 	AvoidedZone             func(zone wire.Zone) bool
 	BootLagSeconds          float64
 	PlanningIntervalSeconds float64
 	BillingPeriodSeconds    float64
-	HeadroomShare           float64 // to keep free, of the CPUs that urgent jobs use and wait for
-	MaxPriceMultiple        float64 // of the cheapest allowed pool that a task may cost; 0: any
+	// HeadroomShare is the capacity to keep free for urgent jobs, as a share of the CPUs that such
+	// jobs use and wait for.
+	HeadroomShare float64
+	// MaxPriceMultiple limits the cost of a task, as a multiple of its lowest cost in any allowed
+	// pool. 0 means no limit.
+	MaxPriceMultiple float64
 }
 
 // ScaleOutRequest is a number of machines to provision from a pool.
--- a/internal/planner/pools.go
+++ b/internal/planner/pools.go
@@ -132,7 +132,7 @@
 }
 
 // avoids reports whether no machine should be provisioned for a job in a zone: the zone is
-// avoided, and the job may run in one that is not.
+// avoided, and the job's constraints allow one that is not.
 func (c *cycle) avoids(j *wire.Job, zone wire.Zone) bool {
 	if c.AvoidedZone == nil || !c.AvoidedZone(zone) {
 		return false
