--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -13,43 +13,44 @@
 	"lynxledge/wire"
 )
 
-// Cloud provisions machines, each with a worker.
+// Cloud simulates the cloud provider: it provisions machines and starts a worker on each.
 type Cloud struct {
-	mu          sync.Mutex
-	rng         *rand.Rand
-	types       []wire.MachineType
-	poolSize    int            // of the pool of a machine type, zone and price class
-	poolSizes   map[string]int // by machine type, where it is another
-	listLag     time.Duration
-	provisioned map[string][]wire.MachineID
-	machines    map[wire.MachineID]*machine
-	nextID      int
-	failedZones map[wire.Zone]bool // zones without capacity
-	stuckBoots  int                // how many of the next machines never come up
-	history     []snapshot
-	boot        func(instance wire.Instance) *Worker
-	maxBootTime time.Duration                       // the longest time that a machine takes to come up
-	address     func(machine wire.MachineID) string // where a machine is reached
+	mu           sync.Mutex
+	rng          *rand.Rand
+	types        []wire.MachineType
+	poolSize     int                         // machines in the pool of each machine type, zone and price class
+	poolSizes    map[string]int              // by machine type, instead of poolSize
+	listLag      time.Duration               // about how far list lags
+	provisioned  map[string][]wire.MachineID // by request ID
+	machines     map[wire.MachineID]*machine
+	nextID       int
+	failedZones  map[wire.Zone]bool // zones without capacity
+	stalledBoots int                // how many of the next machines never finish booting
+	history      []snapshot         // what list may return, oldest first
+	boot         func(instance wire.Instance) *Worker
+	maxBootTime  time.Duration                       // the longest time that a machine takes to boot
+	address      func(machine wire.MachineID) string // returns the address of a machine
 }
 
-// machine is a machine and, once it has booted, its worker.
+// machine is a provisioned machine and, once it has booted, its worker.
 type machine struct {
 	wire.Instance
 	provisionedAt time.Time
 	worker        *Worker
 }
 
-// snapshot is the list of machines at a time.
+// snapshot is the list of machines as it was at a time.
 type snapshot struct {
 	at        time.Time
 	instances []wire.Instance
 }
 
-// port is that of every worker; the host of its address is the machine's name.
+// port is the port of every worker in the simulated network; the host of its address is the
+// machine's ID.
 const port = ":9000"
 
-// NewCloud returns a cloud with pools of one size, whose list of machines lags behind. boot starts
-// the worker of an instance.
+// NewCloud returns a cloud whose pools have poolSize machines each and whose list of machines lags
+// by about listLag. boot starts the worker of an instance.
 func NewCloud(seed uint64, types []wire.MachineType, poolSize int, listLag time.Duration, boot func(instance wire.Instance) *Worker) *Cloud {
 	return &Cloud{
 		rng: rand.New(rand.NewPCG(seed, 8)), types: types, poolSize: poolSize, listLag: listLag,
@@ -58,26 +59,26 @@
 	}
 }
 
-// provision provisions machines, as many as their pool has left. A request of the same id gets
-// the same answer.
+// provision provisions up to r.Count machines, as many as the pool has left. A repeated request ID
+// gets the machines of the first request.
 func (c *Cloud) provision(ctx context.Context, r wire.ProvisionRequest) ([]wire.MachineID, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if names, ok := c.provisioned[r.RequestID]; ok {
-		return names, nil
+	if ids, ok := c.provisioned[r.RequestID]; ok {
+		return ids, nil
 	}
-	var names []wire.MachineID
+	var ids []wire.MachineID
 	for range min(r.Count, c.capacityLeft(r)) {
-		names = append(names, c.provisionOne(ctx, r))
+		ids = append(ids, c.provisionOne(ctx, r))
 	}
-	if len(names) == 0 {
+	if len(ids) == 0 {
 		return nil, cloud.ErrNoCapacity
 	}
-	c.provisioned[r.RequestID] = names
-	return names, nil
+	c.provisioned[r.RequestID] = ids
+	return ids, nil
 }
 
-// capacityLeft is how many machines the pool of a request has left; the caller holds the lock.
+// capacityLeft returns how many machines the pool of a request has left; the caller holds the lock.
 func (c *Cloud) capacityLeft(r wire.ProvisionRequest) int {
 	inUse := 0
 	for _, m := range c.machines {
@@ -95,8 +96,8 @@
 	return size - inUse
 }
 
-// provisionOne provisions a machine, which boots unless it is one that never comes up; the caller
-// holds the lock.
+// provisionOne provisions a machine, which boots unless StallBoots applies to it; the caller holds
+// the lock.
 func (c *Cloud) provisionOne(ctx context.Context, r wire.ProvisionRequest) wire.MachineID {
 	id := wire.MachineID(fmt.Sprintf("i-%06d", c.nextID))
 	c.nextID++
@@ -106,8 +107,8 @@
 	}
 	c.machines[id] = m
 	bootTime := time.Duration(c.rng.Int64N(int64(c.maxBootTime)))
-	if c.stuckBoots > 0 {
-		c.stuckBoots--
+	if c.stalledBoots > 0 {
+		c.stalledBoots--
 		return id
 	}
 	go func() {
@@ -124,30 +125,31 @@
 	return id
 }
 
-func (c *Cloud) delete(names []wire.MachineID) error {
+func (c *Cloud) delete(ids []wire.MachineID) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, n := range names {
-		if h := c.machines[n]; h != nil {
-			if h.worker != nil {
-				h.worker.Kill()
+	for _, id := range ids {
+		if m := c.machines[id]; m != nil {
+			if m.worker != nil {
+				m.worker.Kill()
 			}
-			delete(c.machines, n)
+			delete(c.machines, id)
 		}
 	}
 	return nil
 }
 
-// list answers as of some time ago, as the protocol allows.
+// list picks a random age below twice listLag and returns the newest snapshot that is at least that old,
+// or no machines if there is none: the protocol allows the list to lag.
 func (c *Cloud) list() ([]wire.Instance, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
 	s := snapshot{at: now}
-	for _, h := range c.machines {
-		e := h.Instance
-		e.Age = wire.Seconds(now.Sub(h.provisionedAt).Seconds())
-		s.instances = append(s.instances, e)
+	for _, m := range c.machines {
+		instance := m.Instance
+		instance.Age = wire.Seconds(now.Sub(m.provisionedAt).Seconds())
+		s.instances = append(s.instances, instance)
 	}
 	slices.SortFunc(s.instances, func(a, b wire.Instance) int {
 		if a.ID < b.ID {
@@ -159,31 +161,31 @@
 		c.history = c.history[1:]
 	}
 	c.history = append(c.history, s)
-	back := time.Duration(c.rng.Int64N(int64(2 * c.listLag)))
+	minAge := time.Duration(c.rng.Int64N(int64(2 * c.listLag)))
 	for i := len(c.history) - 1; i >= 0; i-- {
-		if now.Sub(c.history[i].at) >= back {
+		if now.Sub(c.history[i].at) >= minAge {
 			return c.history[i].instances, nil
 		}
 	}
 	return nil, nil
 }
 
-// SetBootTimeAndAddress sets the longest time that machines take to come up, and where each is
-// reached. To be called before any is provisioned.
-func (c *Cloud) SetBootTimeAndAddress(bootMax time.Duration, address func(machine wire.MachineID) string) {
+// SetBootTimeAndAddress sets the longest boot time and a function that returns the address of a
+// machine. Call it before any machine is provisioned.
+func (c *Cloud) SetBootTimeAndAddress(maxBootTime time.Duration, address func(machine wire.MachineID) string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.maxBootTime, c.address = bootMax, address
+	c.maxBootTime, c.address = maxBootTime, address
 }
 
-// SetPoolSizes sets how many machines the pools of each type have.
-func (c *Cloud) SetPoolSizes(limits map[string]int) {
+// SetPoolSizes sets the sizes of the pools by machine type; other types keep that of NewCloud.
+func (c *Cloud) SetPoolSizes(sizes map[string]int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.poolSizes = limits
+	c.poolSizes = sizes
 }
 
-// Running lists the instances that run.
+// Running returns the running instances, sorted by ID.
 func (c *Cloud) Running() []wire.Instance {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -194,7 +196,7 @@
 	return out
 }
 
-// RunningMachines names the machines that run, in order.
+// RunningMachines returns the IDs of the running machines, sorted.
 func (c *Cloud) RunningMachines() []wire.MachineID {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -202,21 +204,21 @@
 }
 
 func (c *Cloud) runningMachines() []wire.MachineID {
-	var up []wire.MachineID
-	for id, h := range c.machines {
-		if h.State == wire.InstanceRunning {
-			up = append(up, id)
+	var ids []wire.MachineID
+	for id, m := range c.machines {
+		if m.State == wire.InstanceRunning {
+			ids = append(ids, id)
 		}
 	}
-	slices.Sort(up)
-	return up
+	slices.Sort(ids)
+	return ids
 }
 
 func (c *Cloud) worker(addr string) *Worker {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if h := c.machines[wire.MachineID(strings.TrimSuffix(addr, port))]; h != nil {
-		return h.worker
+	if m := c.machines[wire.MachineID(strings.TrimSuffix(addr, port))]; m != nil {
+		return m.worker
 	}
 	return nil
 }
--- a/internal/simulation/cloud_faults.go
+++ b/internal/simulation/cloud_faults.go
@@ -6,15 +6,15 @@
 	"lynxledge/wire"
 )
 
-// StallBoots makes the next n machines never come up.
+// StallBoots makes the next n machines never finish booting.
 func (c *Cloud) StallBoots(n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.stuckBoots = n
+	c.stalledBoots = n
 }
 
-// FailMachine stops the i-th running machine, with everything on it. If it is reclaimed, the
-// cloud does not list it any more.
+// FailMachine stops the i-th running machine, modulo their number, with its tasks, and returns its
+// ID, empty if none runs. If it is reclaimed, the cloud no longer lists it.
 func (c *Cloud) FailMachine(i int, reclaimed bool) wire.MachineID {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -22,70 +22,70 @@
 	if len(running) == 0 {
 		return ""
 	}
-	h := c.machines[running[i%len(running)]]
-	h.worker.Kill()
-	h.State = wire.InstanceFailed
+	m := c.machines[running[i%len(running)]]
+	m.worker.Kill()
+	m.State = wire.InstanceFailed
 	if reclaimed {
-		delete(c.machines, h.ID)
+		delete(c.machines, m.ID)
 	}
-	return h.ID
+	return m.ID
 }
 
-// FailZone stops every machine of a zone, and provisions none there until it is restored.
+// FailZone stops every machine of a zone and provisions none there until RestoreZone.
 func (c *Cloud) FailZone(zone wire.Zone) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.failedZones[zone] = true
-	for _, h := range c.machines {
-		if h.Zone != zone {
+	for _, m := range c.machines {
+		if m.Zone != zone {
 			continue
 		}
-		if h.worker != nil {
-			h.worker.Kill()
+		if m.worker != nil {
+			m.worker.Kill()
 		}
-		h.State = wire.InstanceFailed
+		m.State = wire.InstanceFailed
 	}
 }
 
-// RestoreZone has a failed zone provide machines again.
+// RestoreZone lets a failed zone provision machines again; those that failed stay failed.
 func (c *Cloud) RestoreZone(zone wire.Zone) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.failedZones, zone)
 }
 
-// PauseMachine suspends a machine for a while.
+// PauseMachine suspends a machine for d.
 func (c *Cloud) PauseMachine(id wire.MachineID, d time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if h := c.machines[id]; h != nil && h.worker != nil {
-		h.worker.Pause(d)
+	if m := c.machines[id]; m != nil && m.worker != nil {
+		m.worker.Pause(d)
 	}
 }
 
-// FastRestart restarts a machine at once.
+// FastRestart restarts a machine without downtime.
 func (c *Cloud) FastRestart(id wire.MachineID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if h := c.machines[id]; h != nil && h.worker != nil {
-		h.worker.FastRestart()
+	if m := c.machines[id]; m != nil && m.worker != nil {
+		m.worker.FastRestart()
 	}
 }
 
-// NotifyPreemption gives a machine notice that it will be reclaimed, which happens then.
+// NotifyPreemption notifies a machine that it will be reclaimed, and reclaims it after notice.
 func (c *Cloud) NotifyPreemption(id wire.MachineID, notice wire.Seconds) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	h := c.machines[id]
-	if h == nil || h.worker == nil {
+	m := c.machines[id]
+	if m == nil || m.worker == nil {
 		return
 	}
-	h.worker.NotifyPreemption(notice)
+	m.worker.NotifyPreemption(notice)
 	time.AfterFunc(notice.Duration(), func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		if c.machines[id] == h {
-			h.worker.Kill()
+		if c.machines[id] == m {
+			m.worker.Kill()
 			delete(c.machines, id)
 		}
 	})
--- a/internal/simulation/connections.go
+++ b/internal/simulation/connections.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// Connections carries connections between hosts through a Network: a partition stalls what is
-// written until it heals, and no new connection comes about meanwhile.
+// Connections provides stream connections between the hosts of a Network. A partition holds
+// written data until it heals; a dial that meets one blocks until its context ends.
 type Connections struct {
 	network   *Network
 	mu        sync.Mutex
@@ -18,18 +18,18 @@
 	conns     map[*pipeConn]bool
 }
 
-// NewConnections returns connections between the hosts of a network.
+// NewConnections returns Connections that follow the partitions of a network.
 func NewConnections(n *Network) *Connections {
 	return &Connections{network: n, listeners: map[string]*pipeListener{}, conns: map[*pipeConn]bool{}}
 }
 
 type pipeListener struct {
-	pipes  *Connections
-	host   string
-	addr   pipeAddr
-	queue  chan net.Conn
-	closed chan struct{}
-	once   sync.Once
+	connections *Connections
+	host        string
+	addr        pipeAddr
+	queue       chan net.Conn
+	closed      chan struct{}
+	once        sync.Once
 }
 
 type pipeAddr string
@@ -37,12 +37,12 @@
 func (pipeAddr) Network() string  { return "pipe" }
 func (a pipeAddr) String() string { return string(a) }
 
-// Listen accepts connections to an address of a host.
-func (p *Connections) Listen(host, addr string) net.Listener {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	l := &pipeListener{pipes: p, host: host, addr: pipeAddr(addr), queue: make(chan net.Conn), closed: make(chan struct{})}
-	p.listeners[addr] = l
+// Listen returns a listener on an address of a host.
+func (cs *Connections) Listen(host, addr string) net.Listener {
+	cs.mu.Lock()
+	defer cs.mu.Unlock()
+	l := &pipeListener{connections: cs, host: host, addr: pipeAddr(addr), queue: make(chan net.Conn), closed: make(chan struct{})}
+	cs.listeners[addr] = l
 	return l
 }
 
@@ -62,59 +62,60 @@
 
 func (l *pipeListener) Addr() net.Addr { return l.addr }
 
-// Dial connects from a host, as a net.Dialer would.
-func (p *Connections) Dial(host string) func(ctx context.Context, network, addr string) (net.Conn, error) {
+// Dial returns a function that connects from a host, in place of net.Dialer.DialContext.
+func (cs *Connections) Dial(host string) func(ctx context.Context, network, addr string) (net.Conn, error) {
 	return func(ctx context.Context, _, addr string) (net.Conn, error) {
-		p.mu.Lock()
-		l := p.listeners[addr]
-		p.mu.Unlock()
+		cs.mu.Lock()
+		l := cs.listeners[addr]
+		cs.mu.Unlock()
 		if l == nil {
-			return nil, errNoAnswer
+			return nil, errNoResponse
 		}
-		if p.network.partitionBetween(host, l.host) != nil {
+		if cs.network.partitionBetween(host, l.host) != nil {
 			<-ctx.Done()
 			return nil, ctx.Err()
 		}
-		near, far := net.Pipe()
-		a := p.track(near, host, l.host)
-		b := p.track(far, l.host, host)
+		dialerEnd, listenerEnd := net.Pipe()
+		dialerConn := cs.track(dialerEnd, host, l.host)
+		listenerConn := cs.track(listenerEnd, l.host, host)
 		select {
-		case l.queue <- b:
-			return a, nil
+		case l.queue <- listenerConn:
+			return dialerConn, nil
 		case <-l.closed:
-			a.abort()
-			b.abort()
-			return nil, errNoAnswer
+			dialerConn.abort()
+			listenerConn.abort()
+			return nil, errNoResponse
 		case <-ctx.Done():
-			a.abort()
-			b.abort()
+			dialerConn.abort()
+			listenerConn.abort()
 			return nil, ctx.Err()
 		}
 	}
 }
 
-func (p *Connections) track(c net.Conn, host, other string) *pipeConn {
-	k := &pipeConn{Conn: c, pipes: p, host: host, other: other, queue: make(chan []byte, 1024), closed: make(chan struct{})}
-	go k.deliver()
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.conns[k] = true
-	return k
+// track registers an end of a connection and begins to deliver what is written to it.
+func (cs *Connections) track(end net.Conn, host, other string) *pipeConn {
+	c := &pipeConn{Conn: end, connections: cs, host: host, other: other, queue: make(chan []byte, 1024), closed: make(chan struct{})}
+	go c.deliver()
+	cs.mu.Lock()
+	defer cs.mu.Unlock()
+	cs.conns[c] = true
+	return c
 }
 
-// Reset closes every connection of a host, which may open others.
-func (p *Connections) Reset(host string) {
-	for _, c := range p.connectionsOf(host) {
+// Reset aborts every connection of a host; new ones can be opened at once.
+func (cs *Connections) Reset(host string) {
+	for _, c := range cs.connectionsOf(host) {
 		c.abort()
 	}
 }
 
-// connectionsOf lists the connections of a host.
-func (p *Connections) connectionsOf(host string) []*pipeConn {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+// connectionsOf returns both ends of each connection of a host.
+func (cs *Connections) connectionsOf(host string) []*pipeConn {
+	cs.mu.Lock()
+	defer cs.mu.Unlock()
 	var ends []*pipeConn
-	for c := range p.conns {
+	for c := range cs.conns {
 		if c.host == host || c.other == host {
 			ends = append(ends, c)
 		}
@@ -122,30 +123,31 @@
 	return ends
 }
 
-// Crash closes every connection of a host, and its listeners.
-func (p *Connections) Crash(host string) {
-	p.mu.Lock()
-	for addr, l := range p.listeners {
+// Crash aborts every connection of a host and closes its listeners.
+func (cs *Connections) Crash(host string) {
+	cs.mu.Lock()
+	for addr, l := range cs.listeners {
 		if l.host == host {
 			l.Close()
-			delete(p.listeners, addr)
+			delete(cs.listeners, addr)
 		}
 	}
-	p.mu.Unlock()
-	p.Reset(host)
+	cs.mu.Unlock()
+	cs.Reset(host)
 }
 
+// pipeConn is one end of a connection. Writes are queued, and delivered in the background.
 type pipeConn struct {
 	net.Conn
-	pipes       *Connections
+	connections *Connections
 	host, other string
-	queue       chan []byte
+	queue       chan []byte // written and not yet delivered
 	closed      chan struct{}
 	once        sync.Once
 }
 
-// Write never waits: a writer that did would hold locks of its library, and a
-// test's clock stands still while anyone waits for a lock.
+// Write never blocks: the library that writes (net/http) may hold mutexes, and the clock of a
+// synctest bubble stands still while a goroutine waits for a mutex.
 func (c *pipeConn) Write(b []byte) (int, error) {
 	select {
 	case <-c.closed:
@@ -153,12 +155,12 @@
 	case c.queue <- bytes.Clone(b):
 		return len(b), nil
 	default:
-		c.abort() // nobody has read for long
-		return 0, errNoAnswer
+		c.abort() // the queue is full: the other end has not read for long
+		return 0, errNoResponse
 	}
 }
 
-// deliver delivers what was written, once no partition is in between.
+// deliver passes written data to the other end, waiting while a partition separates the hosts.
 func (c *pipeConn) deliver() {
 	for {
 		select {
@@ -166,9 +168,9 @@
 			c.drain()
 			return
 		case b := <-c.queue:
-			for partition := c.pipes.network.partitionBetween(c.host, c.other); partition != nil; partition = c.pipes.network.partitionBetween(c.host, c.other) {
+			for p := c.connections.network.partitionBetween(c.host, c.other); p != nil; p = c.connections.network.partitionBetween(c.host, c.other) {
 				select {
-				case <-partition.healed:
+				case <-p.healed:
 				case <-c.closed:
 					return
 				}
@@ -181,14 +183,14 @@
 	}
 }
 
-// drainTime is for how long a connection that was closed tries to deliver the rest.
-const drainTime = time.Second
+// drainTimeout limits how long a closed connection goes on delivering what was written to it.
+const drainTimeout = time.Second
 
-// drain delivers what was written before the connection was closed, unless a partition is in
-// between, and closes it.
+// drain delivers what was written before the connection was closed, unless a partition separates
+// the hosts, and closes the pipe.
 func (c *pipeConn) drain() {
 	defer c.Conn.Close()
-	if c.pipes.network.partitionBetween(c.host, c.other) != nil {
+	if c.connections.network.partitionBetween(c.host, c.other) != nil {
 		return
 	}
 	for {
@@ -203,17 +205,18 @@
 	}
 }
 
-// Close ends the connection once what was written is delivered.
+// Close fails further reads and writes at once. What was written before is still delivered for up
+// to drainTimeout, unless a partition holds it.
 func (c *pipeConn) Close() error {
 	c.once.Do(func() { close(c.closed) })
-	c.pipes.mu.Lock()
-	delete(c.pipes.conns, c)
-	c.pipes.mu.Unlock()
+	c.connections.mu.Lock()
+	delete(c.connections.conns, c)
+	c.connections.mu.Unlock()
 	now := time.Now()
-	return errors.Join(c.Conn.SetReadDeadline(now), c.Conn.SetWriteDeadline(now.Add(drainTime)))
+	return errors.Join(c.Conn.SetReadDeadline(now), c.Conn.SetWriteDeadline(now.Add(drainTimeout)))
 }
 
-// abort ends the connection at once; what was written and not delivered is lost.
+// abort closes the connection at once; written data that is not yet delivered is lost.
 func (c *pipeConn) abort() {
 	c.Close()
 	c.Conn.Close()
--- a/internal/simulation/connections_test.go
+++ b/internal/simulation/connections_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// A connection that is not accepted leaves no goroutine behind (guards against tests that end in a
-// panic over blocked goroutines, when a controller crashes while another connects to it).
-func TestDialThatIsNotAcceptedLeavesNothing(t *testing.T) {
+// A dial that is never accepted leaks no goroutine. One that did would make synctest panic over
+// blocked goroutines when a controller crashes while another dials it.
+func TestUnacceptedDialLeaksNoGoroutine(t *testing.T) {
 	for name, end := range map[string]func(connections *Connections, cancel context.CancelFunc){
 		"the listener is closed": func(connections *Connections, _ context.CancelFunc) { connections.Crash("b") },
 		"the dialer gives up":    func(_ *Connections, cancel context.CancelFunc) { cancel() },
--- a/internal/simulation/doc.go
+++ b/internal/simulation/doc.go
@@ -1,4 +1,4 @@
-// Package simulation is a deterministic simulation of the key-value store, the cloud, the
-// workers, the users and the network between them. It checks the protocol's invariants while
-// it runs, on whatever clock the test runs on.
+// Package simulation simulates the key-value store, the cloud, the workers and the network between
+// them, the controllers and the users; seeds determine its random choices. It checks the protocol's
+// invariants while it runs, by what workers do and users are told, on whatever clock the test runs.
 package simulation
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -8,37 +8,39 @@
 	"time"
 )
 
-// Names of the services in the network.
+// Hosts of the simulated services, besides the controllers and the machines.
 const (
 	StoreHost = "state"
 	CloudHost = "cloud"
 )
 
-// errNoAnswer is what a caller gets when a message is lost, late or partitioned.
-var errNoAnswer = errors.New("no answer")
+// errNoResponse is returned when a request or its response is lost, late or held by a partition.
+var errNoResponse = errors.New("no response")
 
-// Network decides the fate of each message.
+// Network simulates the network between hosts: latency, loss and duplication of messages, and
+// partitions.
 type Network struct {
 	mu                  sync.Mutex
 	rng                 *rand.Rand
-	loss                float64               // of requests and of answers
-	duplication         float64               // of requests that arrive once more, late
-	hostPartitions      map[string]*partition // by host
-	linkPartitions      map[[2]string]*partition
-	inboundPartitioned  map[string]bool          // hosts that receive nothing
-	outboundPartitioned map[string]bool          // hosts whose own requests are lost
-	maxExtraLatency     map[string]time.Duration // by host, of some of its answers
-	latency             time.Duration
+	loss                float64                  // probability, for a request and for a response
+	duplication         float64                  // probability that a request is delivered a second time, later
+	hostPartitions      map[string]*partition    // by host: from all others
+	linkPartitions      map[[2]string]*partition // by pair of hosts
+	inboundPartitioned  map[string]bool          // hosts that receive neither requests nor responses
+	outboundPartitioned map[string]bool          // hosts whose own requests are lost, while their responses arrive
+	maxExtraLatency     map[string]time.Duration // by host, of some of the requests to it
+	latency             time.Duration            // of every message
 }
 
-// partition separates a host from others until it is healed.
+// partition separates a host from one or all others until it is healed.
 type partition struct {
 	holdMessages bool
-	healed       chan struct{}
+	healed       chan struct{} // closed when the partition ends
 }
 
-// NewNetwork returns a network whose messages take a latency; the seed decides what is lost.
-func NewNetwork(seed uint64, delay time.Duration) *Network {
+// NewNetwork returns a network in which every message takes latency. The seed determines which
+// messages are lost, duplicated or delayed further.
+func NewNetwork(seed uint64, latency time.Duration) *Network {
 	return &Network{
 		rng:                 rand.New(rand.NewPCG(seed, 7)),
 		hostPartitions:      map[string]*partition{},
@@ -46,95 +48,98 @@
 		inboundPartitioned:  map[string]bool{},
 		outboundPartitioned: map[string]bool{},
 		maxExtraLatency:     map[string]time.Duration{},
-		latency:             delay,
+		latency:             latency,
 	}
 }
 
-// Partition separates a host from all others, or from one when other is not empty.
-// holdMessages delivers messages when the partition heals; otherwise they are lost.
+// Partition separates a host from all others, or from one when other is not empty. With
+// holdMessages, requests sent meanwhile are delivered when the partition heals; without it they
+// are lost. Responses that are due meanwhile are lost in both cases.
 func (n *Network) Partition(host, other string, holdMessages bool) {
 	n.Heal(host, other)
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	c := &partition{holdMessages, make(chan struct{})}
+	p := &partition{holdMessages, make(chan struct{})}
 	if other == "" {
-		n.hostPartitions[host] = c
+		n.hostPartitions[host] = p
 	} else {
-		n.linkPartitions[[2]string{host, other}] = c
+		n.linkPartitions[[2]string{host, other}] = p
 	}
 }
 
-// PartitionInbound lets a host's requests through, but neither answers nor requests to it.
+// PartitionInbound drops the requests and responses that are sent to a host; its own requests
+// still arrive.
 func (n *Network) PartitionInbound(host string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.inboundPartitioned[host] = true
 }
 
-// PartitionOutbound loses a host's requests; others' requests to it are answered.
+// PartitionOutbound drops the requests that a host sends; requests to it still get a response.
 func (n *Network) PartitionOutbound(host string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.outboundPartitioned[host] = true
 }
 
-// canSend tells whether requests of a host get out.
+// canSend reports whether requests from a host are sent: PartitionOutbound stops them.
 func (n *Network) canSend(host string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return !n.outboundPartitioned[host]
 }
 
-// SetMaxExtraLatency has every third request to a host take longer, by up to so much.
-func (n *Network) SetMaxExtraLatency(host string, most time.Duration) {
+// SetMaxExtraLatency delays a random third of the requests to a host further, by up to maxExtra
+// each.
+func (n *Network) SetMaxExtraLatency(host string, maxExtra time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.maxExtraLatency[host] = most
+	n.maxExtraLatency[host] = maxExtra
 }
 
-// requestLatency draws how long a request to a host takes.
+// requestLatency returns the latency of a request to a host, with any random extra latency.
 func (n *Network) requestLatency(host string) time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	d := n.latency
-	if most := n.maxExtraLatency[host]; most > 0 && n.rng.IntN(3) == 0 {
-		d += time.Duration(n.rng.Int64N(int64(most)))
+	if maxExtra := n.maxExtraLatency[host]; maxExtra > 0 && n.rng.IntN(3) == 0 {
+		d += time.Duration(n.rng.Int64N(int64(maxExtra)))
 	}
 	return d
 }
 
-// canReceive tells whether messages to a host arrive.
+// canReceive reports whether messages to a host arrive: PartitionInbound stops them.
 func (n *Network) canReceive(host string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return !n.inboundPartitioned[host]
 }
 
-// Heal ends a partition.
+// Heal ends the partition that Partition made for the same hosts.
 func (n *Network) Heal(host, other string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if c := n.hostPartitions[host]; c != nil && other == "" {
-		close(c.healed)
+	if p := n.hostPartitions[host]; p != nil && other == "" {
+		close(p.healed)
 		delete(n.hostPartitions, host)
 	}
 	key := [2]string{host, other}
-	if c := n.linkPartitions[key]; c != nil {
-		close(c.healed)
+	if p := n.linkPartitions[key]; p != nil {
+		close(p.healed)
 		delete(n.linkPartitions, key)
 	}
 }
 
-// HealAll ends every partition, and all extra latency.
+// HealAll ends every partition, one-way ones included, and all extra latency.
 func (n *Network) HealAll() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for k, c := range n.hostPartitions {
-		close(c.healed)
+	for k, p := range n.hostPartitions {
+		close(p.healed)
 		delete(n.hostPartitions, k)
 	}
-	for k, c := range n.linkPartitions {
-		close(c.healed)
+	for k, p := range n.linkPartitions {
+		close(p.healed)
 		delete(n.linkPartitions, k)
 	}
 	clear(n.inboundPartitioned)
@@ -146,43 +151,44 @@
 func (n *Network) partitionBetween(a, b string) *partition {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, c := range []*partition{n.hostPartitions[a], n.hostPartitions[b], n.linkPartitions[[2]string{a, b}], n.linkPartitions[[2]string{b, a}]} {
-		if c != nil {
-			return c
+	for _, p := range []*partition{n.hostPartitions[a], n.hostPartitions[b], n.linkPartitions[[2]string{a, b}], n.linkPartitions[[2]string{b, a}]} {
+		if p != nil {
+			return p
 		}
 	}
 	return nil
 }
 
-// SetLossAndDuplication sets which fractions of messages are lost and delivered twice.
+// SetLossAndDuplication sets the probabilities that a message is lost and that a request is
+// delivered twice.
 func (n *Network) SetLossAndDuplication(loss, duplication float64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.loss, n.duplication = loss, duplication
 }
 
-// isLost draws whether a message is lost.
+// isLost decides at random whether a message is lost.
 func (n *Network) isLost() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.rng.Float64() < n.loss
 }
 
-// isDuplicated draws whether a request arrives twice.
+// isDuplicated decides at random whether a request is delivered twice.
 func (n *Network) isDuplicated() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.rng.Float64() < n.duplication
 }
 
-// duplicateDelay draws how late a duplicate arrives.
+// duplicateDelay returns a random delay for the second delivery of a request.
 func (n *Network) duplicateDelay() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return time.Duration(n.rng.Int64N(int64(90 * time.Second)))
 }
 
-// sleep waits; false: the context ended first.
+// sleep waits for d; it returns false if the context ends first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-time.After(d):
@@ -192,8 +198,8 @@
 	}
 }
 
-// send sends a request from one host to another, which executes f: perhaps never, late, or
-// twice. The caller learns only whether an answer came in time.
+// send sends a request from one host to another, where f handles it: never, late or twice, as
+// the network decides. The caller gets errNoResponse unless the response arrives within timeout.
 func send[T any](ctx context.Context, n *Network, from, to string, timeout time.Duration, f func() (T, error)) (T, error) {
 	var zero T
 	type result struct {
@@ -209,12 +215,12 @@
 	}
 	ch := make(chan result, 1)
 	go func() {
-		if c := n.partitionBetween(from, to); c != nil {
-			if !c.holdMessages {
+		if p := n.partitionBetween(from, to); p != nil {
+			if !p.holdMessages {
 				return
 			}
 			select {
-			case <-c.healed:
+			case <-p.healed:
 			case <-ctx.Done():
 				return
 			}
@@ -233,7 +239,7 @@
 	case r := <-ch:
 		return r.v, r.err
 	case <-time.After(timeout):
-		return zero, errNoAnswer
+		return zero, errNoResponse
 	case <-ctx.Done():
 		return zero, ctx.Err()
 	}
--- a/internal/simulation/store.go
+++ b/internal/simulation/store.go
@@ -16,14 +16,14 @@
 	"lynxledge/wire"
 )
 
-// entry is the value of a key.
+// entry is what the store holds for a key.
 type entry struct {
 	value       json.RawMessage
 	modRevision uint64
-	lease       uint64
+	lease       uint64 // 0: none
 }
 
-// Store is the key-value store.
+// Store simulates the key-value store: transactions with preconditions, watches and leases.
 type Store struct {
 	mu                 sync.Mutex
 	revision           uint64
@@ -31,13 +31,13 @@
 	events             []wire.Event
 	leases             map[uint64]*lease
 	lastLeaseID        uint64
-	expiredKeys        map[string]bool // that were deleted because their lease expired
+	expiredKeys        map[string]bool // keys ever deleted because their lease expired
 	outage             bool
-	unavailableFor     map[string]bool // members that get nothing but 503
-	delayedFraction    float64         // of the transactions, which are committed later and unanswered
+	unavailableFor     map[string]bool // members whose requests are rejected (503)
+	delayedFraction    float64         // of the transactions, which get no response and are committed later
 	rng                *rand.Rand
-	changed            chan struct{}
-	IgnorePrecondition func(key string) bool // of keys whose preconditions always hold, for tests of what they prevent
+	changed            chan struct{}         // closed and replaced by notifyWatchers
+	IgnorePrecondition func(key string) bool // skips the preconditions on a key, for tests of what they prevent; may be nil
 
 	sentTimes sentTimes
 
@@ -52,7 +52,7 @@
 		rng: rand.New(rand.NewPCG(1, 6)), changed: make(chan struct{})}
 }
 
-// Value is what a key holds now, or nil.
+// Value returns the value of a key, nil if it has none.
 func (s *Store) Value(key string) json.RawMessage {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -60,7 +60,7 @@
 	return s.keys[key].value
 }
 
-// LargestValue is the size of the largest value.
+// LargestValue returns the size of the largest value, in bytes.
 func (s *Store) LargestValue() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -71,7 +71,7 @@
 	return n
 }
 
-// Dump lists every key with its value, for the output of a failed test.
+// Dump lists every key with its revision and value, for the output of a failed test.
 func (s *Store) Dump() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -83,7 +83,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// notifyWatchers wakes all watches; the caller holds the lock.
+// notifyWatchers wakes all waiting watches; the caller holds the lock.
 func (s *Store) notifyWatchers() {
 	close(s.changed)
 	s.changed = make(chan struct{})
@@ -100,9 +100,9 @@
 		return 0, err
 	}
 	var failed []string
-	for _, g := range txn.Preconditions {
-		if s.keys[g.Key].modRevision != g.ModRevision && (s.IgnorePrecondition == nil || !s.IgnorePrecondition(g.Key)) {
-			failed = append(failed, g.Key)
+	for _, p := range txn.Preconditions {
+		if s.keys[p.Key].modRevision != p.ModRevision && (s.IgnorePrecondition == nil || !s.IgnorePrecondition(p.Key)) {
+			failed = append(failed, p.Key)
 		}
 	}
 	for _, w := range txn.Writes {
@@ -117,7 +117,7 @@
 		return s.revision, nil
 	}
 	s.revision++
-	s.noteCommitted(txn)
+	s.recordCommitted(txn)
 	for _, w := range txn.Writes {
 		if w.PutKey != "" {
 			s.keys[w.PutKey] = entry{w.Value, s.revision, w.LeaseID}
@@ -157,15 +157,15 @@
 }
 
 func (s *Store) watch(ctx context.Context, member, prefix string, after uint64, hold time.Duration) (*wire.WatchResponse, error) {
-	end := time.After(hold)
+	timeout := time.After(hold)
 	for {
 		s.mu.Lock()
 		s.expireLeases()
-		down, changed := s.unavailable(member), s.changed
+		unavailable, changed := s.unavailable(member), s.changed
 		out := &wire.WatchResponse{Revision: s.revision}
-		// The log is ordered by revision; find the first change after it.
+		// The events are ordered by revision: find the first one later than after.
 		i := sort.Search(len(s.events), func(i int) bool { return s.events[i].ModRevision > after })
-		if keep := s.limits.MaxWatchEvents; keep > 0 && len(s.events)-i > keep {
+		if kept := s.limits.MaxWatchEvents; kept > 0 && len(s.events)-i > kept {
 			s.mu.Unlock()
 			return nil, kvstore.ErrRevisionCompacted
 		}
@@ -175,16 +175,16 @@
 			}
 		}
 		s.mu.Unlock()
-		if down && hold == 0 {
+		if unavailable && hold == 0 {
 			return nil, kvstore.ErrRejected
 		}
-		if !down && (len(out.Events) > 0 || hold == 0) {
+		if !unavailable && (len(out.Events) > 0 || hold == 0) {
 			return out, nil
 		}
 		select {
 		case <-changed:
-		case <-end:
-			if down {
+		case <-timeout:
+			if unavailable {
 				return nil, kvstore.ErrRejected
 			}
 			return out, nil
--- a/internal/simulation/store_faults.go
+++ b/internal/simulation/store_faults.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// SetOutage starts or ends an outage; after it every lease has its full time.
+// SetOutage starts or ends an outage. No lease expires during it, and after it each has its full
+// TTL again.
 func (s *Store) SetOutage(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -13,7 +14,7 @@
 	s.notifyWatchers()
 }
 
-// SetUnavailableFor makes the store unavailable for one member, while it serves the others.
+// SetUnavailableFor makes the store reject the requests of one member, or serve them again.
 func (s *Store) SetUnavailableFor(member string, unavailable bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -21,7 +22,7 @@
 	s.notifyWatchers()
 }
 
-// unavailable tells whether a member is refused; the caller holds the lock.
+// unavailable reports whether requests of a member are rejected; the caller holds the lock.
 func (s *Store) unavailable(member string) bool { return s.outage || s.unavailableFor[member] }
 
 // SetDelayedCommits leaves a fraction of the transactions unanswered; they are committed 2 to
@@ -32,7 +33,7 @@
 	s.delayedFraction = fraction
 }
 
-// commitDelay draws whether the next commit is delayed, and for how long.
+// commitDelay decides at random whether the next commit is delayed, and for how long.
 func (s *Store) commitDelay() (delay time.Duration, delayed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/simulation/store_lease.go
+++ b/internal/simulation/store_lease.go
@@ -7,7 +7,7 @@
 	"lynxledge/wire"
 )
 
-// lease is a granted lease.
+// lease is a granted lease; the keys that are attached to it are deleted when it expires.
 type lease struct {
 	ttl       time.Duration
 	expiresAt time.Time
@@ -36,7 +36,7 @@
 	}
 }
 
-// LeaseExpired tells whether a key was ever deleted because its lease expired.
+// LeaseExpired reports whether a key was ever deleted because its lease expired.
 func (s *Store) LeaseExpired(key string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/simulation/store_limits.go
+++ b/internal/simulation/store_limits.go
@@ -12,16 +12,16 @@
 	"lynxledge/wire"
 )
 
-// StoreLimits are the limits that the store enforces. What exceeds them is rejected, and recorded
-// as a violation unless only the rate is exceeded.
+// StoreLimits are the limits that the store enforces on transactions. It rejects those that exceed
+// one, and records a violation unless the limit is WriteRate.
 type StoreLimits struct {
-	WriteRate      float64
+	WriteRate      float64 // writes per second
 	MaxValueKB     float64
-	MaxTxnOps      int
-	MaxWatchEvents int // changes kept for watches; 0: all
+	MaxTxnOps      int // writes in a transaction; preconditions may be four times as many
+	MaxWatchEvents int // events kept for watches; 0: all
 }
 
-// SetLimits has the store enforce limits.
+// SetLimits makes the store enforce limits; without a call it enforces none.
 func (s *Store) SetLimits(limits StoreLimits) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -29,21 +29,21 @@
 	s.writeLimiter = rate.NewLimiter(rate.Limit(limits.WriteRate), int(limits.WriteRate))
 }
 
-// Violations lists the transactions that exceeded the limits of one request.
+// Violations describes the transactions that exceeded a limit other than the write rate.
 func (s *Store) Violations() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.violations)
 }
 
-// checkLimits checks a transaction against the limits; the caller holds the lock.
+// checkLimits returns an error if a transaction exceeds a limit; the caller holds the lock.
 func (s *Store) checkLimits(txn *wire.Txn) error {
 	if s.writeLimiter == nil {
 		return nil
 	}
 	for _, write := range txn.Writes {
-		if most := s.limits.MaxValueKB * 1024; float64(len(write.Value)) > most {
-			s.violations = append(s.violations, fmt.Sprintf("%s has %d bytes of %v", write.Key(), len(write.Value), most))
+		if maxBytes := s.limits.MaxValueKB * 1024; float64(len(write.Value)) > maxBytes {
+			s.violations = append(s.violations, fmt.Sprintf("%s has %d bytes of %v", write.Key(), len(write.Value), maxBytes))
 			return kvstore.ErrInvalidRequest
 		}
 	}
--- a/internal/simulation/store_sent_times.go
+++ b/internal/simulation/store_sent_times.go
@@ -6,15 +6,15 @@
 	"lynxledge/wire"
 )
 
-// sentTimes remember when each transaction was sent for the first time. One that is
-// repeated, or held back by a cut, is carried out long after it was decided.
+// sentTimes holds when each transaction was first sent, which is close to when it was decided: one
+// that is retried, or held by a partition, is committed much later.
 type sentTimes struct {
 	byTxn      map[*wire.Txn]time.Time
-	byRevision map[uint64]time.Time // by revision
+	byRevision map[uint64]time.Time
 }
 
-// noteSent records that a transaction is about to be sent, perhaps again.
-func (s *Store) noteSent(txn *wire.Txn) {
+// recordSent records when a transaction is sent, unless it is a retry.
+func (s *Store) recordSent(txn *wire.Txn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.sentTimes.byTxn == nil {
@@ -25,14 +25,16 @@
 	}
 }
 
-// noteCommitted records the revision of a transaction; the caller holds the lock.
-func (s *Store) noteCommitted(txn *wire.Txn) {
+// recordCommitted files the sent time of a transaction under its revision, the current one; the
+// caller holds the lock.
+func (s *Store) recordCommitted(txn *wire.Txn) {
 	if sent, known := s.sentTimes.byTxn[txn]; known {
 		s.sentTimes.byRevision[s.revision] = sent
 	}
 }
 
-// FirstSentAt is when the transaction that made a revision was sent for the first time.
+// FirstSentAt returns when the transaction that created a revision was first sent, zero if none
+// that was sent did.
 func (s *Store) FirstSentAt(revision uint64) time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -8,17 +8,17 @@
 	"lynxledge/wire"
 )
 
-// WorkerOptions are a worker's settings and its connections to the rest of the simulation.
+// WorkerOptions are a worker's settings and the parts of the simulation that it uses.
 type WorkerOptions struct {
 	HeartbeatInterval, LeaseDuration time.Duration
 	Members                          []string
 	Network                          *Network
-	PostHeartbeat                    func(member string) HeartbeatPoster // nil while the controller is down
+	PostHeartbeat                    func(member string) HeartbeatPoster // returns nil while the controller is down
 	Checker                          *InvariantChecker
 	ImageFetchTime                   time.Duration
 }
 
-// Worker is the agent of one machine.
+// Worker simulates a machine and the agent that runs tasks on it.
 type Worker struct {
 	mu               sync.Mutex
 	ctx              context.Context
@@ -30,22 +30,24 @@
 	fencingToken     uint64
 	tasks            []*task
 	leaseRenewedAt   time.Time
-	changed          chan struct{}
-	member           int // index of the member that gets the next heartbeat
+	changed          chan struct{} // signals a change to report in the next heartbeat
+	memberIndex      int           // of the member that gets the next heartbeat
 	preemptionNotice *wire.Seconds
-	resumed          chan struct{} // closed when the paused machine resumes; nil: it runs
+	resumed          chan struct{} // closed when the paused machine resumes; nil unless paused
 }
 
-// NewWorker starts the agent of an instance; its first heartbeat goes to the member of an index.
-func NewWorker(ctx context.Context, instance wire.Instance, options WorkerOptions, member int) *Worker {
-	w := &Worker{instance: instance, options: options, incarnation: 1, leaseRenewedAt: time.Now(), changed: make(chan struct{}, 1), member: member}
+// NewWorker starts the worker of an instance. Its first heartbeat goes to the member with an index
+// in options.Members.
+func NewWorker(ctx context.Context, instance wire.Instance, options WorkerOptions, memberIndex int) *Worker {
+	w := &Worker{instance: instance, options: options, incarnation: 1, leaseRenewedAt: time.Now(), changed: make(chan struct{}, 1), memberIndex: memberIndex}
 	w.ctx, w.cancel = context.WithCancel(ctx)
 	go w.sendHeartbeats()
 	go w.watchLease()
 	return w
 }
 
-// checkLease begins a new incarnation if the lease has expired; the caller holds the lock.
+// checkLease drops all tasks and begins a new incarnation if the lease has expired; the caller
+// holds the lock.
 func (w *Worker) checkLease() {
 	if time.Since(w.leaseRenewedAt) > w.options.LeaseDuration {
 		w.dropTasks()
@@ -54,7 +56,7 @@
 	}
 }
 
-// notifyChange has the next heartbeat sent soon.
+// notifyChange makes the worker send its next heartbeat early.
 func (w *Worker) notifyChange() {
 	select {
 	case w.changed <- struct{}{}:
@@ -62,7 +64,7 @@
 	}
 }
 
-// watchLease begins a new incarnation whenever the lease expires.
+// watchLease checks the lease until the machine stops.
 func (w *Worker) watchLease() {
 	for sleep(w.ctx, w.options.HeartbeatInterval/6) {
 		w.waitUntilResumed()
--- a/internal/simulation/worker_conn.go
+++ b/internal/simulation/worker_conn.go
@@ -8,7 +8,7 @@
 	"lynxledge/wire"
 )
 
-// WorkerConn is one controller's connection to the workers.
+// WorkerConn is one controller's client of the workers, through the simulated network.
 type WorkerConn struct {
 	Cloud   *Cloud
 	Network *Network
@@ -16,7 +16,8 @@
 	Timeout time.Duration
 }
 
-// SendCommands sends commands straight to a worker; they may be executed late or twice.
+// SendCommands sends commands to a worker directly, rather than in a heartbeat response; they may
+// be executed late or twice.
 func (c *WorkerConn) SendCommands(ctx context.Context, addr string, batch wire.CommandBatch) (*wire.Heartbeat, error) {
 	return c.call(ctx, addr, func(w *Worker) {
 		if batch.FencingToken >= w.fencingToken && batch.Incarnation == w.incarnation {
@@ -26,7 +27,7 @@
 	})
 }
 
-// Inspect reads a worker's heartbeat.
+// Inspect requests a heartbeat from a worker.
 func (c *WorkerConn) Inspect(ctx context.Context, addr string) (*wire.Heartbeat, error) {
 	return c.call(ctx, addr, func(*Worker) {})
 }
@@ -41,7 +42,7 @@
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		if w.ctx.Err() != nil {
-			return nil, errNoAnswer
+			return nil, errNoResponse
 		}
 		f(w)
 		return w.heartbeat(), nil
--- a/internal/simulation/worker_faults.go
+++ b/internal/simulation/worker_faults.go
@@ -6,7 +6,7 @@
 	"lynxledge/wire"
 )
 
-// Kill stops the machine with everything on it.
+// Kill stops the machine and its tasks for good.
 func (w *Worker) Kill() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -14,7 +14,7 @@
 	w.dropTasks()
 }
 
-// NotifyPreemption tells the worker that the cloud will reclaim its machine.
+// NotifyPreemption notifies the worker that the cloud will reclaim its machine.
 func (w *Worker) NotifyPreemption(notice wire.Seconds) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -22,8 +22,8 @@
 	w.notifyChange()
 }
 
-// Pause suspends the machine for a while. What reaches it meanwhile is handled when it
-// resumes, and only then it checks its lease.
+// Pause suspends the machine for d. Messages that arrive meanwhile are handled when it resumes, and
+// its lease is checked only then.
 func (w *Worker) Pause(d time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -54,7 +54,8 @@
 	}
 }
 
-// FastRestart restarts the machine within no time: nothing on it survives.
+// FastRestart restarts the machine without downtime: it loses its tasks and its fencing token, and
+// begins a new incarnation.
 func (w *Worker) FastRestart() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/simulation/worker_tasks.go
+++ b/internal/simulation/worker_tasks.go
@@ -8,14 +8,14 @@
 	"lynxledge/wire"
 )
 
-// task is a task on a worker.
+// task is a task on a worker, with the status that heartbeats report.
 type task struct {
 	wire.TaskStatus
-	started bool
-	stop    context.CancelFunc
+	started bool               // TaskStarted was called for it, and TaskEnded not yet
+	stop    context.CancelFunc // ends the run
 }
 
-// dropTasks stops and forgets all tasks; the caller holds the lock.
+// dropTasks stops all tasks and removes them, without reporting an exit; the caller holds the lock.
 func (w *Worker) dropTasks() {
 	for _, t := range w.tasks {
 		w.stopTask(t)
@@ -23,7 +23,7 @@
 	w.tasks = nil
 }
 
-// stopTask takes a task off the machine; the caller holds the lock.
+// stopTask ends the run of a task; the caller holds the lock.
 func (w *Worker) stopTask(t *task) {
 	t.stop()
 	if t.started {
@@ -32,7 +32,7 @@
 	}
 }
 
-// find returns a task of the worker, nil if it has none of that id.
+// find returns the worker's task with an ID, nil if it has none.
 func (w *Worker) find(id wire.TaskID) *task {
 	for _, t := range w.tasks {
 		if t.Task == id {
@@ -42,7 +42,7 @@
 	return nil
 }
 
-// execute carries out commands; the caller holds the lock.
+// execute executes commands; the caller holds the lock.
 func (w *Worker) execute(commands []wire.Command) {
 	for _, command := range commands {
 		t := w.find(command.Task)
@@ -64,7 +64,7 @@
 	}
 }
 
-// launch starts a task; the caller holds the lock.
+// launch adds a task and starts its run; the caller holds the lock.
 func (w *Worker) launch(command wire.Command) {
 	t := &task{TaskStatus: wire.TaskStatus{Task: command.Task, Attempt: command.Attempt, State: wire.TaskFetchingImage}}
 	ctx, stop := context.WithCancel(w.ctx)
@@ -82,7 +82,7 @@
 	}()
 }
 
-// run fetches a task's image and lets the task run until it completes or its context ends.
+// run fetches a task's image and runs the task until it completes or its context ends.
 func (w *Worker) run(ctx context.Context, t *task, runTime time.Duration, forever bool) {
 	if !sleep(ctx, w.options.ImageFetchTime) {
 		return
@@ -107,8 +107,8 @@
 	}
 }
 
-// exit ends a task for a reason, of which heartbeats tell until it is acknowledged; the caller
-// holds the lock.
+// exit ends a task; heartbeats report it as exited, for a reason, until a controller acknowledges
+// it. The caller holds the lock.
 func (w *Worker) exit(t *task, reason wire.ExitReason) {
 	w.stopTask(t)
 	t.State, t.ExitReason = wire.TaskExited, reason
