--- a/internal/simulation/idle_capacity.go
+++ b/internal/simulation/idle_capacity.go
@@ -7,15 +7,15 @@
 	"lynxledge/wire"
 )
 
-// maxIdleWait is how long a task may wait, once all faults are over, although a machine that it
-// may run on has free capacity.
+// maxIdleWait limits how long, once all faults are over, a task may wait although a machine that it
+// may run on has free capacity for it.
 const maxIdleWait = 90 * time.Second
 
-// CheckIdleCapacity checks that no accepted job is left waiting while a machine that is up has
-// had capacity for it all the time and its team was under its limit.
+// CheckIdleCapacity checks that no task of an accepted job waits for longer than maxIdleWait while
+// one machine that is up has free capacity for it all the time and its team is below its limit.
 //
-// The capacity has to be one machine's: where all machines are in use, at any moment one of
-// them has just ended a task and not started the next.
+// The capacity must be that of a single machine: even when all machines are in use, at any moment
+// some machine has just finished a task and not yet started the next.
 func (c *InvariantChecker) CheckIdleCapacity(up []wire.Instance, types []wire.MachineType) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -29,24 +29,24 @@
 		limit := c.teams[j.Team].MaxCPUs
 		if !record.accepted || record.finalState != "" || record.cancellationRequested || c.awaitsDependencies(record) || len(record.completed)+running[id] >= j.TaskCount ||
 			limit > 0 && c.usedCPUs[j.Team]+j.CPUs > limit || c.machineWithCapacity(record, up, now) == "" {
-			record.waitsBesideCapacitySince = time.Time{}
+			record.waitingDespiteCapacitySince = time.Time{}
 			continue
 		}
-		if record.waitsBesideCapacitySince.IsZero() {
-			record.waitsBesideCapacitySince = now
+		if record.waitingDespiteCapacitySince.IsZero() {
+			record.waitingDespiteCapacitySince = now
 		}
 		since := now.Add(-maxIdleWait)
-		if !record.waitsBesideCapacitySince.Before(since) {
+		if !record.waitingDespiteCapacitySince.Before(since) {
 			continue
 		}
 		if machine := c.machineWithCapacity(record, up, since); machine != "" {
 			c.violation("left waiting: %s (%d of %d done, %d run) beside room for it on %s", id, len(record.completed), j.TaskCount, running[id], machine)
-			record.waitsBesideCapacitySince = now
+			record.waitingDespiteCapacitySince = now
 		}
 	}
 }
 
-// recordFreeCapacity notes how much of each machine that is up is free, and counts each job's
+// recordFreeCapacity records the free capacity of each machine that is up, and counts each job's
 // tasks that are on machines.
 func (c *InvariantChecker) recordFreeCapacity(up []wire.Instance, types []wire.MachineType, now time.Time) (running map[wire.JobID]int) {
 	used := map[wire.MachineID]capacity{}
@@ -57,14 +57,14 @@
 		j, u := c.jobs[id].job, used[instance.ID]
 		used[instance.ID] = capacity{u.cpus + j.CPUs, u.memoryGB + j.MemoryGB}
 	}
-	former := c.freeCapacity
+	previous := c.freeCapacity
 	c.freeCapacity = make(map[wire.MachineID]*freeCapacity, len(up))
 	for _, instance := range up {
-		i := slices.IndexFunc(types, func(x wire.MachineType) bool { return x.Name == instance.MachineType })
+		i := slices.IndexFunc(types, func(t wire.MachineType) bool { return t.Name == instance.MachineType })
 		if i < 0 {
 			continue
 		}
-		free := former[instance.ID]
+		free := previous[instance.ID]
 		if free == nil {
 			free = &freeCapacity{firstSeenAt: now}
 		}
@@ -75,16 +75,16 @@
 	return running
 }
 
-// machineWithCapacity names a machine that is up, on which one more task of a job may start, and
-// that has had capacity for it at all times since then, if there is one.
+// machineWithCapacity returns a machine that is up, on which one more task of a job may start and
+// which has had free capacity for it at all times since then; empty if there is none.
 func (c *InvariantChecker) machineWithCapacity(record *jobRecord, up []wire.Instance, since time.Time) wire.MachineID {
 	i := slices.IndexFunc(up, func(instance wire.Instance) bool {
 		free := c.freeCapacity[instance.ID]
 		if free == nil || free.firstSeenAt.After(since) {
 			return false
 		}
-		least := free.least(since)
-		return record.job.CPUs <= least.cpus+1e-6 && record.job.MemoryGB <= least.memoryGB+1e-6 && record.mayStart(instance)
+		available := free.minSince(since)
+		return record.job.CPUs <= available.cpus+1e-6 && record.job.MemoryGB <= available.memoryGB+1e-6 && record.mayStart(instance)
 	})
 	if i < 0 {
 		return ""
@@ -94,7 +94,7 @@
 
 type capacity struct{ cpus, memoryGB float64 }
 
-// freeCapacity is how much of a machine has been free.
+// freeCapacity tracks how much of a machine has been free.
 type freeCapacity struct {
 	firstSeenAt time.Time // when it was first seen up
 	cpus        slidingMinimum
@@ -106,17 +106,18 @@
 	f.memoryGB.add(now, free.memoryGB)
 }
 
-// least is what was free at all times since then.
-func (f *freeCapacity) least(since time.Time) capacity {
-	return capacity{f.cpus.since(since), f.memoryGB.since(since)}
+// minSince returns what was free at all times since then.
+func (f *freeCapacity) minSince(since time.Time) capacity {
+	return capacity{f.cpus.minSince(since), f.memoryGB.minSince(since)}
 }
 
-// slidingMinimum holds the samples that may be the least of some time up to now: each is
-// less than those after it. Samples older than mayWait are dropped, but for the last.
+// slidingMinimum is a monotonic queue: it holds, in order of time, the samples that are the minimum
+// of some window up to now, and so each is less than those after it. Samples older than
+// maxIdleWait are dropped, except the latest.
 type slidingMinimum []sample
 
 type sample struct {
-	at    time.Time // until then it stood
+	at    time.Time
 	value float64
 }
 
@@ -131,8 +132,8 @@
 	*s = append(samples, sample{now, value})
 }
 
-// since is the least sample taken at that time or later.
-func (s slidingMinimum) since(at time.Time) float64 {
+// minSince returns the least value sampled at a time or later.
+func (s slidingMinimum) minSince(at time.Time) float64 {
 	i, _ := slices.BinarySearchFunc(s, at, func(x sample, at time.Time) int { return x.at.Compare(at) })
 	return s[min(i, len(s)-1)].value
 }
--- a/internal/simulation/invariant_queries.go
+++ b/internal/simulation/invariant_queries.go
@@ -8,22 +8,22 @@
 	"lynxledge/wire"
 )
 
-// StartedTasks is the number of tasks started.
+// StartedTasks returns how many tasks have started, repeated starts included.
 func (c *InvariantChecker) StartedTasks() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.started
+	return c.startedTasks
 }
 
-// StartsAfterCancellation is how many tasks were ordered to start after their users were told
-// that the job is cancelled.
+// StartsAfterCancellation returns how many tasks workers launched after users were told that the
+// job is cancelled.
 func (c *InvariantChecker) StartsAfterCancellation() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.startsAfterCancellation
 }
 
-// FirstTaskStartedAt is when a job's first task started; zero if none did.
+// FirstTaskStartedAt returns when a job's first task started; zero if none did.
 func (c *InvariantChecker) FirstTaskStartedAt(id wire.JobID) time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -43,8 +43,8 @@
 	return n
 }
 
-// DegradedServices lists accepted services, not cancelled, of which fewer than half of
-// the replicas run.
+// DegradedServices returns the accepted services of which fewer than half of the replicas run,
+// without those whose cancellation was requested.
 func (c *InvariantChecker) DegradedServices() []wire.JobID {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -63,7 +63,7 @@
 	return ids
 }
 
-// UnfinishedJobs lists jobs that were accepted and are not over.
+// UnfinishedJobs returns the accepted arrays that no user was told are done or cancelled.
 func (c *InvariantChecker) UnfinishedJobs() []wire.JobID {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -77,9 +77,10 @@
 	return ids
 }
 
-// UnservedWork lists the classes, teams and largest jobs of a class of which fewer
-// than half of the accepted jobs, but for those whose cancellation was requested,
-// started within a time.
+// UnservedWork returns the groups of jobs of which fewer than half started within a time of their
+// submission. The groups are each class, each team and, of each class, the largest jobs: those with
+// more than half as many tasks as its largest. It counts the accepted jobs that were submitted that
+// long ago and whose cancellation was not requested.
 func (c *InvariantChecker) UnservedWork(within time.Duration) []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -88,7 +89,7 @@
 		largest[record.job.Class] = max(largest[record.job.Class], record.job.TaskCount)
 	}
 	type count struct{ started, all int }
-	counts := map[string]*count{}
+	counts := map[string]*count{} // by group
 	for _, record := range c.jobs {
 		if !record.accepted || record.cancellationRequested || time.Since(record.submittedAt) < within {
 			continue
--- a/internal/simulation/invariants.go
+++ b/internal/simulation/invariants.go
@@ -11,40 +11,40 @@
 	"lynxledge/wire"
 )
 
-// InvariantChecker follows what workers do and what users are told, and keeps every violation of
-// the protocol's rules.
+// InvariantChecker observes what workers do and what users are told, and records every violation
+// of the protocol's invariants.
 type InvariantChecker struct {
 	mu                      sync.Mutex
 	teams                   map[wire.TeamName]config.TeamQuota
 	cancellationDeadline    time.Duration
 	jobs                    map[wire.JobID]*jobRecord
-	running                 map[wire.TaskID]wire.Instance // task: machine
+	running                 map[wire.TaskID]wire.Instance // the machine of each task that is on one
 	usedCPUs                map[wire.TeamName]float64
 	violations              []string
-	started                 int
-	startsAfterCancellation int // tasks ordered to start after their job's confirmed cancellation
-	faultsOver              bool
-	onCompletion            func(*wire.Job)
+	startedTasks            int                              // starts of tasks, repeated ones included
+	startsAfterCancellation int                              // launches on workers after users were told that the job is cancelled
+	faultsOver              bool                             // FaultsOver was called
+	onCompletion            func(*wire.Job)                  // see OnJobCompleted
 	freeCapacity            map[wire.MachineID]*freeCapacity // of running machines
 }
 
-// jobRecord is what the checker knows of a job.
+// jobRecord is what the checker knows about a job.
 type jobRecord struct {
-	job                      *wire.Job
-	runTime                  time.Duration
-	completed                map[int]bool
-	runningByZone            map[wire.Zone]int // its tasks that are on machines
-	accepted                 bool
-	finalState               wire.JobState
-	cancellationRequested    bool
-	submittedAt              time.Time
-	firstTaskStartedAt       time.Time
-	answeredAt               time.Time // when a question about it was last answered
-	cancelledAt              time.Time
-	waitsBesideCapacitySince time.Time // since when a task waits although a machine has capacity for it
-}
-
-// NewInvariantChecker returns a checker of a deployment.
+	job                         *wire.Job
+	runTime                     time.Duration     // of each task
+	completed                   map[int]bool      // by task index
+	runningByZone               map[wire.Zone]int // how many of its tasks are on machines
+	accepted                    bool              // a user was told that it was accepted
+	finalState                  wire.JobState     // done or cancelled, once a user was told so
+	cancellationRequested       bool
+	submittedAt                 time.Time
+	firstTaskStartedAt          time.Time
+	answeredAt                  time.Time // when a request about it was last answered
+	cancelledAt                 time.Time // when a user was first told that it is cancelled
+	waitingDespiteCapacitySince time.Time // since when a task waits although a machine has free capacity for it
+}
+
+// NewInvariantChecker returns a checker for a deployment's parameters.
 func NewInvariantChecker(p config.Params) *InvariantChecker {
 	c := &InvariantChecker{
 		teams:                map[wire.TeamName]config.TeamQuota{},
@@ -64,14 +64,14 @@
 	c.violations = append(c.violations, fmt.Sprintf(format, args...))
 }
 
-// Violations lists the violations found so far.
+// Violations returns the violations found so far.
 func (c *InvariantChecker) Violations() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.Clone(c.violations)
 }
 
-// Submitted registers a job before its first submission. Its tasks run for a time.
+// Submitted registers a job; call it before the job's first submission. Each task runs for runTime.
 func (c *InvariantChecker) Submitted(j *wire.Job, runTime time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -80,22 +80,22 @@
 	}
 }
 
-// Accepted tells whether a user knows that a job was accepted.
+// Accepted reports whether a user was told that a job was accepted.
 func (c *InvariantChecker) Accepted(id wire.JobID) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.jobs[id].accepted
 }
 
-// OnJobCompleted sets what happens at the moment at which the last task of an array completes;
-// nil: nothing.
+// OnJobCompleted sets a function to call as soon as the last task of an array has completed; nil
+// for none.
 func (c *InvariantChecker) OnJobCompleted(f func(*wire.Job)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.onCompletion = f
 }
 
-// CancellationRequested notes that the user wants a job cancelled.
+// CancellationRequested records that a user requested the cancellation of a job.
 func (c *InvariantChecker) CancellationRequested(id wire.JobID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -104,17 +104,19 @@
 	}
 }
 
-// FaultsOver begins the time after all faults: from then on every job must be answered for.
+// FaultsOver records that all faults have ended. Time without an answer and time waiting despite
+// free capacity count from now on.
 func (c *InvariantChecker) FaultsOver() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.faultsOver = true
 	for _, record := range c.jobs {
-		record.answeredAt, record.waitsBesideCapacitySince = time.Now(), time.Time{}
+		record.answeredAt, record.waitingDespiteCapacitySince = time.Now(), time.Time{}
 	}
 }
 
-// RunTime is how long a task runs on a worker that is commanded to launch it.
+// RunTime returns how long a task runs, or that it runs forever, for a worker that is commanded to
+// launch it, and counts the launch if the job is cancelled.
 func (c *InvariantChecker) RunTime(task wire.TaskID) (runTime time.Duration, forever bool, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -138,7 +140,8 @@
 	}
 }
 
-// addRunning takes a task into the sums, in place of where it was; the caller holds the lock.
+// addRunning adds a task to the running tasks and the usage, in place of where it ran before; the
+// caller holds the lock.
 func (c *InvariantChecker) addRunning(record *jobRecord, task wire.TaskID, instance wire.Instance) {
 	c.removeRunning(task)
 	c.running[task] = instance
@@ -146,7 +149,7 @@
 	c.usedCPUs[record.job.Team] += record.job.CPUs
 }
 
-// removeRunning takes a task out of the sums; the caller holds the lock.
+// removeRunning removes a task from the running tasks and the usage; the caller holds the lock.
 func (c *InvariantChecker) removeRunning(task wire.TaskID) {
 	instance, ok := c.running[task]
 	if !ok {
@@ -165,16 +168,16 @@
 	defer c.mu.Unlock()
 	id, n, _ := wire.ParseTaskID(task)
 	record := c.jobs[id]
-	fresh := !record.completed[n]
+	newlyCompleted := !record.completed[n]
 	record.completed[n] = true
-	if c.onCompletion != nil && fresh && len(record.completed) == record.job.TaskCount {
+	if c.onCompletion != nil && newlyCompleted && len(record.completed) == record.job.TaskCount {
 		go c.onCompletion(record.job)
 	}
 }
 
-// cancellation tells whether the cancellation of a job, or of one that it depends on, was
-// requested, and since when a user knows of one.
-func (c *InvariantChecker) cancellation(record *jobRecord) (requested bool, since time.Time) {
+// cancellation reports whether the cancellation of a job, or of one that it depends on, directly or
+// not, was requested, and when a user was first told that one of them is cancelled.
+func (c *InvariantChecker) cancellation(record *jobRecord) (requested bool, cancelledAt time.Time) {
 	seen := map[*jobRecord]bool{}
 	for todo := []*jobRecord{record}; len(todo) > 0; {
 		record, todo = todo[len(todo)-1], todo[:len(todo)-1]
@@ -183,17 +186,17 @@
 		}
 		seen[record] = true
 		requested = requested || record.cancellationRequested
-		if !record.cancelledAt.IsZero() && (since.IsZero() || record.cancelledAt.Before(since)) {
-			since = record.cancelledAt
+		if !record.cancelledAt.IsZero() && (cancelledAt.IsZero() || record.cancelledAt.Before(cancelledAt)) {
+			cancelledAt = record.cancelledAt
 		}
 		for _, dependency := range record.job.Dependencies {
 			todo = append(todo, c.jobs[dependency])
 		}
 	}
-	return requested, since
+	return requested, cancelledAt
 }
 
-// awaitsDependencies tells whether a job waits for jobs that it depends on.
+// awaitsDependencies reports whether a job waits for jobs that it depends on.
 func (c *InvariantChecker) awaitsDependencies(record *jobRecord) bool {
 	return slices.ContainsFunc(record.job.Dependencies, func(id wire.JobID) bool {
 		dependency := c.jobs[id]
@@ -201,8 +204,8 @@
 	})
 }
 
-// mayStart tells whether the job allows a machine, given its tasks that are on
-// machines.
+// mayStart reports whether the job's placement constraints allow one more task on a machine, given
+// its tasks that are on machines.
 func (r *jobRecord) mayStart(instance wire.Instance) bool {
 	j, inZone, elsewhere := r.job, r.runningByZone[instance.Zone], 0
 	for zone, tasks := range r.runningByZone {
