--- a/internal/simulation/history/recovery_order.go
+++ b/internal/simulation/history/recovery_order.go
@@ -1,5 +1,5 @@
-// Package history checks what a cluster decided, from the records that it wrote to the store, in
-// the order in which they were written.
+// Package history checks the decisions of a cluster by replaying the records that it wrote to the
+// store, in the order in which they were written.
 package history
 
 import (
@@ -16,25 +16,25 @@
 	"lynxledge/wire"
 )
 
-// RecoveryOrderChecker finds arrays that were placed ahead of a service which had waited for
-// longer and fitted there, while a zone recovered.
+// RecoveryOrderChecker finds arrays that were placed, while a zone recovered, on a machine where a
+// service fitted that had already been waiting for longer than maxViewAge.
 type RecoveryOrderChecker struct {
 	mu         sync.Mutex
 	view       *statecache.View
 	types      map[string]*wire.MachineType
 	params     config.Params
-	maxViewAge time.Duration // a service that waited for less may not be in the view of the scheduler
+	maxViewAge time.Duration // a service that has waited for less may be missing from the scheduler's view
 	sentAt     func(revision uint64) time.Time
-	always     bool // also while no zone recovers
+	always     bool // check also while no zone recovers
 
-	waitingSince      map[wire.JobID]map[int]time.Time // service, replica: since when it is bound to no machine
+	waitingSince      map[wire.JobID]map[int]time.Time // by service and replica: since when it has been bound to no machine
 	checkedArrayTasks int
 	violations        []string
 }
 
-// NewRecoveryOrderChecker checks the records of a deployment. sentAt tells when the transaction of
-// a revision was first sent. always has it check at all times, for clusters without zone
-// recovery.
+// NewRecoveryOrderChecker returns a checker for a deployment's parameters. sentAt returns when the
+// transaction that created a revision was first sent. With always it checks also while no zone
+// recovers, for clusters without zone recovery.
 func NewRecoveryOrderChecker(params config.Params, types []wire.MachineType, sentAt func(uint64) time.Time, always bool) *RecoveryOrderChecker {
 	c := &RecoveryOrderChecker{
 		view:         statecache.NewUnfinishedView(statecache.ChunkTasks(params.Store.MaxValueKB)),
@@ -51,7 +51,7 @@
 	return c
 }
 
-// Apply applies an update, one revision after the other, and checks what it decided.
+// Apply applies the changes of an update revision by revision, and checks the placements in each.
 func (c *RecoveryOrderChecker) Apply(update statecache.Update) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -65,21 +65,21 @@
 	}
 }
 
-// Violations lists the violations found so far.
+// Violations returns the violations found so far.
 func (c *RecoveryOrderChecker) Violations() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.Clone(c.violations)
 }
 
-// CheckedArrayTasks is how many array tasks were placed while it checked.
+// CheckedArrayTasks returns how many placements of array tasks were checked.
 func (c *RecoveryOrderChecker) CheckedArrayTasks() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.checkedArrayTasks
 }
 
-// Phase is the recorded phase of a zone.
+// Phase returns the recorded phase of a zone, healthy if none is recorded.
 func (c *RecoveryOrderChecker) Phase(zone wire.Zone) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -94,16 +94,16 @@
 }
 
 func (c *RecoveryOrderChecker) applyRevision(changes []statecache.Change) {
-	placed := map[wire.MachineID][]*wire.Job{} // machine: arrays with a new task there
+	placed := map[wire.MachineID][]*wire.Job{} // by machine: the array of each new task there
 	for _, change := range changes {
 		for _, m := range c.view.Apply(change) {
 			if m.New == nil {
 				continue
 			}
 			for i := range m.New.Bindings {
-				t := &m.New.Bindings[i]
-				j := c.view.Jobs[t.Job]
-				if m.Old != nil && m.Old.FindBinding(t.Job, t.TaskIndex) != nil || j == nil || j.Spec == nil || j.Spec.IsService() {
+				binding := &m.New.Bindings[i]
+				j := c.view.Jobs[binding.Job]
+				if m.Old != nil && m.Old.FindBinding(binding.Job, binding.TaskIndex) != nil || j == nil || j.Spec == nil || j.Spec.IsService() {
 					continue
 				}
 				placed[m.Machine] = append(placed[m.Machine], j.Spec)
@@ -114,10 +114,10 @@
 	if !c.always && !c.recovering() {
 		return
 	}
-	decided := c.sentAt(changes[0].ModRevision)
+	decidedAt := c.sentAt(changes[0].ModRevision)
 	for machine, arrays := range placed {
 		c.checkedArrayTasks += len(arrays)
-		c.checkMachine(c.view.Machines[machine], arrays, decided)
+		c.checkMachine(c.view.Machines[machine], arrays, decidedAt)
 	}
 }
 
@@ -131,19 +131,19 @@
 	})
 }
 
-// recordWaiting records since when each replica waits.
+// recordWaiting records since when each service replica that is bound to no machine has waited.
 func (c *RecoveryOrderChecker) recordWaiting(now time.Time) {
 	for id, j := range c.view.Jobs {
 		if !j.Active() || j.Spec == nil || !j.Spec.IsService() || c.view.PendingTasks(id, j) <= 0 {
 			delete(c.waitingSince, id)
 			continue
 		}
-		before, since := c.waitingSince[id], map[int]time.Time{}
+		previous, since := c.waitingSince[id], map[int]time.Time{}
 		for n := range j.TaskCount {
 			if _, bound := c.view.Bindings[id][n]; bound || c.view.IsCompleted(id, n) {
 				continue
 			}
-			if since[n] = before[n]; since[n].IsZero() {
+			if since[n] = previous[n]; since[n].IsZero() {
 				since[n] = now
 			}
 		}
@@ -156,19 +156,21 @@
 	}
 }
 
-// waitingLongestSince is since when the replica of a service waits that waits the longest.
+// waitingLongestSince returns when the replica of a service that has waited the longest began to
+// wait.
 func (c *RecoveryOrderChecker) waitingLongestSince(service wire.JobID) time.Time {
-	var first time.Time
+	var earliest time.Time
 	for _, since := range c.waitingSince[service] {
-		if first.IsZero() || since.Before(first) {
-			first = since
+		if earliest.IsZero() || since.Before(earliest) {
+			earliest = since
 		}
 	}
-	return first
+	return earliest
 }
 
-// checkMachine looks for services that wait although they fit where arrays were placed.
-func (c *RecoveryOrderChecker) checkMachine(m *statecache.Machine, arrays []*wire.Job, decided time.Time) {
+// checkMachine finds services that had been waiting although, without the new tasks of arrays, they
+// would have fitted on a machine.
+func (c *RecoveryOrderChecker) checkMachine(m *statecache.Machine, arrays []*wire.Job, decidedAt time.Time) {
 	if m == nil || c.types[m.MachineType] == nil {
 		return
 	}
@@ -183,15 +185,16 @@
 	}
 	for id := range c.waitingSince {
 		j, since := c.view.Jobs[id], c.waitingLongestSince(id)
-		if decided.Sub(since) <= c.maxViewAge || !node.Schedulable || !c.withinLimit(j.Spec) ||
+		if decidedAt.Sub(since) <= c.maxViewAge || !node.Schedulable || !c.withinLimit(j.Spec) ||
 			!node.CanTake(j.Spec, resources.OfTask(j.Spec), placement.ZoneCountsOf(c.view, id)) {
 			continue
 		}
 		c.violations = append(c.violations, fmt.Sprintf("%s: %s (%s) was put on %s (%s, recorded %s) while %s had waited for %v",
-			decided.Format(time.TimeOnly), arrays[0].ID, arrays[0].Priority, m.Name, m.Zone, c.phase(m.Zone), id, decided.Sub(since).Round(time.Second)))
+			decidedAt.Format(time.TimeOnly), arrays[0].ID, arrays[0].Priority, m.Name, m.Zone, c.phase(m.Zone), id, decidedAt.Sub(since).Round(time.Second)))
 	}
 }
 
+// withinLimit reports whether one more task of a job keeps its team within the team's limit.
 func (c *RecoveryOrderChecker) withinLimit(j *wire.Job) bool {
 	used := resources.Usage{}
 	for id, tasks := range c.view.Bindings {
--- a/internal/simulation/loopback/machines.go
+++ b/internal/simulation/loopback/machines.go
@@ -20,7 +20,7 @@
 	"lynxledge/wire"
 )
 
-// CloudHandler answers one controller as the cloud does.
+// CloudHandler serves the HTTP API of the cloud to one controller.
 func CloudHandler(conn *simulation.CloudConn) http.Handler {
 	r := chi.NewRouter()
 	r.Get("/machine_types", func(w http.ResponseWriter, r *http.Request) {
@@ -32,21 +32,21 @@
 		if !decodeBody(w, r, &request) {
 			return
 		}
-		names, err := conn.Provision(r.Context(), request)
+		ids, err := conn.Provision(r.Context(), request)
 		if errors.Is(err, cloud.ErrNoCapacity) {
 			respondError(w, http.StatusServiceUnavailable, "no capacity")
 			return
 		}
-		respond(w, wire.MachineNames{Names: names}, err)
+		respond(w, wire.MachineNames{Names: ids}, err)
 	})
 	r.Get("/hosts", func(w http.ResponseWriter, r *http.Request) {
-		hosts, err := conn.List(r.Context())
+		instances, err := conn.List(r.Context())
 		after := wire.MachineID(r.URL.Query().Get("after"))
-		for len(hosts) > 0 && hosts[0].ID <= after {
-			hosts = hosts[1:]
+		for len(instances) > 0 && instances[0].ID <= after {
+			instances = instances[1:]
 		}
-		most, _ := strconv.Atoi(r.URL.Query().Get("most"))
-		page := wire.InstanceList{Instances: hosts[:min(most, len(hosts))], More: len(hosts) > most}
+		limit, _ := strconv.Atoi(r.URL.Query().Get("most"))
+		page := wire.InstanceList{Instances: instances[:min(limit, len(instances))], More: len(instances) > limit}
 		respond(w, page, err)
 	})
 	r.Post("/hosts/delete", func(w http.ResponseWriter, r *http.Request) {
@@ -59,58 +59,58 @@
 	return r
 }
 
-// workerPort is that of every worker, each on a loopback address of its own.
+// workerPort is the port of every worker; each worker has a loopback address of its own.
 const workerPort = "19000"
 
 // Subnet is the range of loopback addresses of one cluster's machines.
 type Subnet struct {
-	second, third int
+	secondOctet, thirdOctet int
 }
 
-// subnets counts those of this process.
+// subnets counts the subnets that this process has made.
 var subnets atomic.Int32
 
-// NewSubnet makes one that no other cluster of this process has, and hardly any of another
-// that runs at the same time.
+// NewSubnet returns a subnet that no other cluster of this process uses, and that one of another
+// process is unlikely to use: the second octet depends on the process ID.
 func NewSubnet() Subnet {
-	return Subnet{second: 1 + os.Getpid()%maxOctet, third: 1 + int(subnets.Add(1))%maxOctet}
+	return Subnet{secondOctet: 1 + os.Getpid()%maxOctet, thirdOctet: 1 + int(subnets.Add(1))%maxOctet}
 }
 
-// maxOctet is how many values of a part of an address are used.
+// maxOctet is the highest value that is used for an octet of an address; the lowest is 1.
 const maxOctet = 250
 
-// Address is where a machine is reached. Machines are named i- and a number, and numbers
-// that are in use at the same time don't lie far apart.
+// Address returns the address of a machine. Machine IDs are i- and a number; the last octet is
+// unique because numbers that are in use at the same time differ by less than maxOctet.
 func (s Subnet) Address(machine wire.MachineID) string {
 	n, _ := strconv.Atoi(strings.TrimPrefix(string(machine), "i-"))
-	return fmt.Sprintf("127.%d.%d.%d:%s", s.second, s.third, 1+n%maxOctet, workerPort)
+	return fmt.Sprintf("127.%d.%d.%d:%s", s.secondOctet, s.thirdOctet, 1+n%maxOctet, workerPort)
 }
 
-// ServeWorker answers commands for a machine at an address until the context ends.
+// ServeWorker serves the HTTP API of a machine's worker at an address until the context ends.
 func ServeWorker(ctx context.Context, machine wire.MachineID, address string, conn *simulation.WorkerConn) error {
 	listener, err := net.Listen("tcp4", address)
 	if err != nil {
 		return err
 	}
-	name := string(machine) + ":9000" // as the simulation knows it
+	simulatedAddress := string(machine) + ":9000" // the worker's address in the simulated network
 	r := chi.NewRouter()
 	r.Post("/do", func(w http.ResponseWriter, r *http.Request) {
 		var commands wire.CommandBatch
 		if !decodeBody(w, r, &commands) {
 			return
 		}
-		heartbeat, err := conn.SendCommands(r.Context(), name, commands)
+		heartbeat, err := conn.SendCommands(r.Context(), simulatedAddress, commands)
 		respond(w, heartbeat, err)
 	})
 	r.Get("/inspect", func(w http.ResponseWriter, r *http.Request) {
-		heartbeat, err := conn.Inspect(r.Context(), name)
+		heartbeat, err := conn.Inspect(r.Context(), simulatedAddress)
 		respond(w, heartbeat, err)
 	})
 	serve(ctx, listener, r)
 	return nil
 }
 
-// HeartbeatPoster sends heartbeats to a controller's client address.
+// HeartbeatPoster returns a function that posts heartbeats to a controller's client address.
 func HeartbeatPoster(client *http.Client, address string) simulation.HeartbeatPoster {
 	return func(ctx context.Context, heartbeat *wire.Heartbeat) (result wire.HeartbeatResponse, redirectTo string, ok bool) {
 		body, err := json.Marshal(heartbeat)
@@ -130,12 +130,12 @@
 			return result, "", json.NewDecoder(response.Body).Decode(&result) == nil
 		}
 		var redirect wire.RedirectResponse
-		_ = json.NewDecoder(response.Body).Decode(&redirect) // without a body it names nobody
+		_ = json.NewDecoder(response.Body).Decode(&redirect) // a response without a body redirects nowhere
 		return result, redirect.RedirectTo, false
 	}
 }
 
-// Serve answers with a handler on a free loopback address until the context ends.
+// Serve serves a handler on a free loopback address, which it returns, until the context ends.
 func Serve(ctx context.Context, handler http.Handler) (address string, err error) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
--- a/internal/simulation/loopback/store.go
+++ b/internal/simulation/loopback/store.go
@@ -1,7 +1,7 @@
-// Package loopback serves the simulation on loopback sockets, so that controllers run against
-// it as processes of their own: the store, the cloud and the workers speak the protocol over
-// HTTP. Each controller has its own addresses of them, so that the simulated network can
-// partition one controller.
+// Package loopback serves the simulation on loopback sockets, so that controllers can run against
+// it in processes of their own: the store, the cloud and the workers speak the protocol over HTTP.
+// Each controller gets its own address of the store and of the cloud, so that the simulated network
+// can partition one controller.
 package loopback
 
 import (
@@ -20,13 +20,13 @@
 	"lynxledge/wire"
 )
 
-// StoreHandler answers one controller as the key-value store does.
+// StoreHandler serves the HTTP API of the key-value store to one controller.
 func StoreHandler(conn *simulation.StoreConn) http.Handler {
 	r := chi.NewRouter()
 	r.Get("/kv", func(w http.ResponseWriter, r *http.Request) {
 		q := r.URL.Query()
-		most, _ := strconv.Atoi(q.Get("most"))
-		items, err := conn.List(r.Context(), q.Get("prefix"), q.Get("after"), most)
+		limit, _ := strconv.Atoi(q.Get("most"))
+		items, err := conn.List(r.Context(), q.Get("prefix"), q.Get("after"), limit)
 		respond(w, items, err)
 	})
 	r.Post("/commit", func(w http.ResponseWriter, r *http.Request) {
@@ -40,8 +40,8 @@
 	r.Get("/follow", func(w http.ResponseWriter, r *http.Request) {
 		q := r.URL.Query()
 		after, _ := strconv.ParseUint(q.Get("after"), 10, 64)
-		hold, _ := strconv.Atoi(q.Get("holdMs"))
-		events, err := conn.Watch(r.Context(), q.Get("prefix"), after, time.Duration(hold)*time.Millisecond)
+		holdMillis, _ := strconv.Atoi(q.Get("holdMs"))
+		events, err := conn.Watch(r.Context(), q.Get("prefix"), after, time.Duration(holdMillis)*time.Millisecond)
 		respond(w, events, err)
 	})
 	r.Post("/leases", func(w http.ResponseWriter, r *http.Request) {
@@ -49,8 +49,8 @@
 		if !decodeBody(w, r, &request) {
 			return
 		}
-		lease, err := conn.GrantLease(r.Context(), time.Duration(request.TTLMillis)*time.Millisecond)
-		respond(w, wire.LeaseGrantResponse{LeaseID: lease}, err)
+		leaseID, err := conn.GrantLease(r.Context(), time.Duration(request.TTLMillis)*time.Millisecond)
+		respond(w, wire.LeaseGrantResponse{LeaseID: leaseID}, err)
 	})
 	r.Post("/leases/{id}/touch", func(w http.ResponseWriter, r *http.Request) {
 		id, _ := strconv.ParseUint(chi.URLParam(r, "id"), 10, 64)
@@ -59,7 +59,7 @@
 	return r
 }
 
-// decodeBody decodes a request's body; false when the request was answered already.
+// decodeBody decodes the body of a request. If it fails, it responds with 400 and returns false.
 func decodeBody(w http.ResponseWriter, r *http.Request, into any) bool {
 	if err := json.NewDecoder(r.Body).Decode(into); err != nil {
 		respondError(w, http.StatusBadRequest, "malformed")
@@ -68,14 +68,14 @@
 	return true
 }
 
-// respond answers with a value, or as the protocol says of an error. What got no answer
-// gets none: the connection is dropped.
+// respond writes a value, or the response that the protocol has for an error. For any other error,
+// such as no response in the simulated network, it drops the connection without a response.
 func respond(w http.ResponseWriter, v any, err error) {
 	var conflict *kvstore.ConflictError
 	switch {
 	case err == nil:
 		w.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(w).Encode(v) // the controller may be gone
+		_ = json.NewEncoder(w).Encode(v) // the controller may have disconnected
 	case errors.As(err, &conflict):
 		w.WriteHeader(http.StatusConflict)
 		_ = json.NewEncoder(w).Encode(wire.TxnResponse{Revision: conflict.Revision, FailedKeys: conflict.FailedKeys})
@@ -101,9 +101,9 @@
 	_ = json.NewEncoder(w).Encode(wire.ErrorResponse{Message: message})
 }
 
-// serve answers with a handler on a listener until the context ends.
+// serve starts to serve a handler on a listener, until the context ends.
 func serve(ctx context.Context, listener net.Listener, handler http.Handler) {
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: time.Minute}
 	context.AfterFunc(ctx, func() { _ = server.Close() })
-	go func() { _ = server.Serve(listener) }() // until it is closed
+	go func() { _ = server.Serve(listener) }() // returns once the server is closed
 }
