--- a/internal/conventions/architecture_test.go
+++ b/internal/conventions/architecture_test.go
@@ -10,7 +10,8 @@
 	"testing"
 )
 
-// architecturePage names packages, types and functions; docs/design.md does so in passing.
+// architecturePage names packages, types and functions, which are checked against the code;
+// docs/design.md mentions some in passing and is not checked.
 var architecturePage = filepath.Join(moduleRoot, "docs", "architecture.md")
 
 var (
@@ -20,7 +21,7 @@
 	qualifiedIdent = regexp.MustCompile(`^([a-z]+)\.([A-Z]\w*)(?:\.([A-Z]\w*))?$`)
 )
 
-// declarations are the names that each package declares, by the package's name: Name for a
+// declarations returns the names that each package declares, by the package's name: Name for a
 // package-level name, Type.Member for a method or field.
 func declarations(files []sourceFile) map[string]map[string]bool {
 	byPackage := map[string]map[string]bool{}
@@ -44,7 +45,7 @@
 	return byPackage
 }
 
-// functionName is a function's name, or Type.Method.
+// functionName returns the name of a function, or Type.Method for a method.
 func functionName(function *ast.FuncDecl) string {
 	if function.Recv == nil {
 		return function.Name.Name
@@ -62,6 +63,7 @@
 	return function.Name.Name
 }
 
+// addSpec adds the names that a spec declares, and a struct's fields as Type.Field.
 func addSpec(names map[string]bool, spec ast.Spec) {
 	switch spec := spec.(type) {
 	case *ast.ValueSpec:
@@ -126,7 +128,7 @@
 	}
 }
 
-// layers are the packages of the page's table of layers, the highest first.
+// layers returns the packages in each row of the page's table of layers, the highest layer first.
 func layers(page string) [][]string {
 	_, section, _ := strings.Cut(page, "\n## Packages\n")
 	section, _, _ = strings.Cut(section, "\n## ")
@@ -141,14 +143,14 @@
 	return rows
 }
 
-// A package imports packages of its own layer and of lower layers only, and each is in the
-// table once.
+// A package imports packages of its own layer and of lower layers only, and each package is in the
+// table of layers once.
 func TestPackagesImportLowerLayers(t *testing.T) {
 	page, err := os.ReadFile(architecturePage)
 	if err != nil {
 		t.Fatal(err)
 	}
-	depth := map[string]int{}
+	depth := map[string]int{} // by package; 0 is the highest layer
 	for i, packages := range layers(string(page)) {
 		for _, name := range packages {
 			if _, twice := depth[name]; twice {
@@ -159,7 +161,7 @@
 	}
 	files, _ := sourceFiles(t)
 	for _, file := range files {
-		own, listed := depth[file.dir]
+		fileDepth, listed := depth[file.dir]
 		if !listed {
 			t.Errorf("package %s is not in the table", file.dir)
 		}
@@ -168,8 +170,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			imported, ours := strings.CutPrefix(path, "lynxledge/")
-			if ours && depth[imported] < own {
+			imported, inModule := strings.CutPrefix(path, "lynxledge/")
+			if inModule && depth[imported] < fileDepth {
 				t.Errorf("%s imports %s, which is in a higher layer", file.path, imported)
 			}
 		}
--- a/internal/conventions/doc.go
+++ b/internal/conventions/doc.go
@@ -1,5 +1,5 @@
-// Package conventions holds no code, only tests of what all packages of the module and the pages
-// in docs keep to: every package and every exported name has a doc comment, the architecture page
-// names what exists, packages import lower layers only, and log lines have one style and are on
-// the operators' page.
+// Package conventions contains only tests, of the conventions of the whole module and its pages in
+// docs: every package and every exported name has a doc comment, the architecture page names only
+// what exists, packages do not import higher layers, log lines have one style and are on the
+// operators' page, and CI rejects bad entries in the list of known failures.
 package conventions
--- a/internal/conventions/docs_test.go
+++ b/internal/conventions/docs_test.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// The check sees each kind of declaration that lacks a comment, and leaves the others alone.
+// undocumented reports each kind of declaration that lacks a comment, and no other.
 func TestUndocumentedNamesAreFound(t *testing.T) {
 	const source = `package p
 
@@ -80,18 +80,19 @@
 	}
 }
 
-// undocumented lists what one package's files leave without a comment.
+// undocumented describes the exported names of a package that have no doc comment, and the package
+// itself if no file has a package comment.
 func undocumented(fset *token.FileSet, pkg string, files []*ast.File) []string {
 	var out []string
-	described := false
+	packageDocumented := false
 	for _, file := range files {
-		described = described || documented(file.Doc)
+		packageDocumented = packageDocumented || documented(file.Doc)
 	}
-	if !described {
+	if !packageDocumented {
 		out = append(out, pkg+": no package comment")
 	}
-	missing := func(name *ast.Ident, shown string) {
-		out = append(out, fmt.Sprintf("%s: %s has no doc comment", fset.Position(name.Pos()), shown))
+	report := func(name *ast.Ident, qualifiedName string) {
+		out = append(out, fmt.Sprintf("%s: %s has no doc comment", fset.Position(name.Pos()), qualifiedName))
 	}
 	for _, file := range files {
 		for _, decl := range file.Decls {
@@ -101,14 +102,14 @@
 				if documented(d.Doc) || !d.Name.IsExported() || receiver != "" && !ast.IsExported(receiver) {
 					continue
 				}
-				missing(d.Name, strings.TrimPrefix(receiver+"."+d.Name.Name, "."))
+				report(d.Name, strings.TrimPrefix(receiver+"."+d.Name.Name, "."))
 			case *ast.GenDecl:
 				if documented(d.Doc) {
 					continue
 				}
 				for _, spec := range d.Specs {
 					for _, name := range undocumentedNames(spec) {
-						missing(name, name.Name)
+						report(name, name.Name)
 					}
 				}
 			}
@@ -117,7 +118,7 @@
 	return out
 }
 
-// undocumentedNames lists the exported names of a declaration that has no comment of its own.
+// undocumentedNames returns the exported names of a spec that has no doc comment of its own.
 func undocumentedNames(spec ast.Spec) []*ast.Ident {
 	var names []*ast.Ident
 	switch s := spec.(type) {
@@ -135,7 +136,7 @@
 	return names
 }
 
-// receiverType names the type of a method, or is empty for a function.
+// receiverType returns the name of a method's receiver type, or "" for a function.
 func receiverType(d *ast.FuncDecl) string {
 	if d.Recv == nil {
 		return ""
@@ -157,5 +158,5 @@
 	}
 }
 
-// documented tells whether a comment says something; directives alone don't.
+// documented reports whether a doc comment has text; directives such as //go:embed are not text.
 func documented(doc *ast.CommentGroup) bool { return strings.TrimSpace(doc.Text()) != "" }
--- a/internal/conventions/known_red_test.go
+++ b/internal/conventions/known_red_test.go
@@ -8,7 +8,8 @@
 	"testing"
 )
 
-// runKnownRed runs the script of CI that reads the list of known failures, on a list.
+// runKnownRed runs the CI script that checks the list of known failures, on a given list, and
+// returns its standard error.
 func runKnownRed(t *testing.T, list string) (messages string, err error) {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "KNOWN-RED.txt")
@@ -23,7 +24,7 @@
 	return stderr.String(), err
 }
 
-// A bad entry fails CI with its line (guards against tests that are left out by mistake).
+// A bad entry fails CI, which prints its line: otherwise a test could be skipped by mistake.
 func TestBadEntriesOfKnownFailuresAreRejected(t *testing.T) {
 	entry := func(test string) string { return test + " | seed 1 | at times: fails | 1\n" }
 	first, second, third, fourth := entry("TestPickNode"), entry("TestAssign"), entry("TestFindVictims"), entry("TestLogLinesHaveOneStyle")
--- a/internal/conventions/log_lines_test.go
+++ b/internal/conventions/log_lines_test.go
@@ -12,10 +12,10 @@
 	"testing"
 )
 
-// operationsPage explains each log line to operators.
+// operationsPage is the page that explains each log line to operators.
 var operationsPage = filepath.Join(moduleRoot, "docs", "operations.md")
 
-// logFunctions are the functions of slog that write a line, with the index of the message.
+// logFunctions maps the functions of slog that log to the index of their message argument.
 var logFunctions = map[string]int{"Debug": 0, "Info": 0, "Warn": 0, "Error": 0, "Log": 2, "LogAttrs": 2}
 
 // logLine is one call that writes a log line.
@@ -23,9 +23,10 @@
 	position   token.Position
 	function   string
 	message    string
-	attributes []string // the constant keys
+	attributes []string // constant keys
 }
 
+// stringLiteral returns the value of a string literal; false if the expression is anything else.
 func stringLiteral(expression ast.Expr) (string, bool) {
 	literal, ok := expression.(*ast.BasicLit)
 	if !ok || literal.Kind != token.STRING {
@@ -35,8 +36,8 @@
 	return value, err == nil
 }
 
-// logLines finds the calls of slog whose message is a constant. Others fail the test, since
-// nobody can look them up.
+// logLines returns the calls of slog that log a constant message. Calls with another message fail
+// the test, since an operator cannot look it up on the page.
 func logLines(t *testing.T) []logLine {
 	t.Helper()
 	files, fset := sourceFiles(t)
@@ -52,8 +53,8 @@
 				return true
 			}
 			logger, ok := function.X.(*ast.Ident)
-			index, writes := logFunctions[function.Sel.Name]
-			if !ok || logger.Name != "slog" || !writes {
+			index, logs := logFunctions[function.Sel.Name]
+			if !ok || logger.Name != "slog" || !logs {
 				return true
 			}
 			position := fset.Position(call.Pos())
@@ -95,12 +96,12 @@
 	messageStyle   = regexp.MustCompile(`^[a-z][^A-Z]*[^.!:]$`)
 	attributeStyle = regexp.MustCompile(`^[a-z][a-z0-9]*(_[a-z0-9]+)*$`)
 
-	// replacedAttributes have one name for the same thing everywhere.
+	// replacedAttributes maps attribute keys that must not be used to the key to use instead.
 	replacedAttributes = map[string]string{"err": "error", "why": "reason", "boot": "incarnation", "session": "incarnation", "epoch": "revision"}
 )
 
-// Log lines have one style: messages in lower case without a full stop, attributes in snake
-// case, one name for one thing.
+// Log lines have one style: messages in lower case without a full stop, attribute keys in snake
+// case, and the same key everywhere for the same thing.
 func TestLogLinesHaveOneStyle(t *testing.T) {
 	for _, line := range logLines(t) {
 		if !messageStyle.MatchString(line.message) {
@@ -111,11 +112,11 @@
 				t.Errorf("%s: attribute %q", line.position, key)
 			}
 			if name, replaced := replacedAttributes[key]; replaced {
-				t.Errorf("%s: attribute %q is called %q", line.position, key, name)
+				t.Errorf("%s: attribute %q should be %q", line.position, key, name)
 			}
 		}
 		if unique := slices.Compact(slices.Sorted(slices.Values(line.attributes))); len(unique) < len(line.attributes) {
-			t.Errorf("%s: an attribute stands twice", line.position)
+			t.Errorf("%s: an attribute is repeated", line.position)
 		}
 	}
 }
--- a/internal/conventions/source_test.go
+++ b/internal/conventions/source_test.go
@@ -10,13 +10,13 @@
 	"testing"
 )
 
-// moduleRoot is the module's root, seen from this package.
+// moduleRoot is the path of the module's root, relative to this package.
 const moduleRoot = "../.."
 
-// sourceFile is a parsed Go file that is no test.
+// sourceFile is a parsed Go file other than a test.
 type sourceFile struct {
-	path string // from the module's root, with slashes
-	dir  string
+	path string // relative to the module's root, with slashes
+	dir  string // of path
 	ast  *ast.File
 }
 
--- a/internal/rapidseed/doc.go
+++ b/internal/rapidseed/doc.go
@@ -1,3 +1,3 @@
-// Package rapidseed makes property tests draw the same inputs on every run; the flag
-// -rapid.seed still overrides it. Tests import it for its effect.
+// Package rapidseed makes property tests (rapid) draw the same inputs on every run and write no
+// fail files. The flag -rapid.seed still overrides the seed. Tests import it for its side effect.
 package rapidseed
--- a/internal/rapidseed/rapidseed.go
+++ b/internal/rapidseed/rapidseed.go
@@ -3,7 +3,7 @@
 import (
 	"flag"
 
-	_ "pgregory.net/rapid" // defines the flags
+	_ "pgregory.net/rapid" // registers the flags that init sets
 )
 
 func init() {
