--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -139,8 +139,8 @@
 	return nil
 }
 
-// list picks a random age below twice listLag and returns the newest snapshot that is at least that old,
-// or no machines if there is none: the protocol allows the list to lag.
+// list picks a random age below twice listLag and returns the newest snapshot that is at least that
+// old, or no machines if there is none: the protocol allows the list to lag.
 func (c *Cloud) list() ([]wire.Instance, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/simulation/connections.go
+++ b/internal/simulation/connections.go
@@ -205,8 +205,8 @@
 	}
 }
 
-// Close fails further reads and writes at once. What was written before is still delivered for up
-// to drainTimeout, unless a partition holds it.
+// Close makes reads fail at once. What was written before is still delivered, for up to
+// drainTimeout, unless a partition holds it.
 func (c *pipeConn) Close() error {
 	c.once.Do(func() { close(c.closed) })
 	c.connections.mu.Lock()
