--- a/cmd/lynxledge/cache_options.go
+++ b/cmd/lynxledge/cache_options.go
@@ -8,18 +8,18 @@
 	"lynxledge/internal/storelimits"
 )
 
-// Shares of the store's request rate that all controllers together use to watch it, and to
-// answer users.
+// Shares of the store's request rate that all controllers together may use to watch it, and to
+// refresh their views for users' requests.
 const (
 	watchShare   = 0.3
 	refreshShare = 0.2
 )
 
-// finishedJobsMemoryShare is the part of the memory that finished jobs may take before operators
-// are warned.
+// finishedJobsMemoryShare is the share of the memory beyond which finished jobs cause a warning
+// to operators.
 const finishedJobsMemoryShare = 0.15
 
-// cacheOptions set the pace of the cache, and the sizes that it writes.
+// cacheOptions returns the cache's intervals, the sizes that it may write, and its callbacks.
 func cacheOptions(cfg *config.Config, limits *storelimits.Tracker) statecache.Options {
 	heartbeatInterval, store := cfg.Params.Workers.HeartbeatInterval, cfg.Params.Store
 	return statecache.Options{
@@ -38,13 +38,14 @@
 	}
 }
 
-// minReadInterval is the least time between two reads of this controller so that all of them
-// keep to a share of the store's request rate.
+// minReadInterval returns the shortest time between two reads of each controller with which all
+// controllers together stay within a share of the store's request rate.
 func minReadInterval(cfg *config.Config, share float64) time.Duration {
 	return config.Seconds(float64(len(cfg.Peers)+1) / (cfg.Params.Store.RequestRateLimit() * share))
 }
 
-// jobCountWarning is the number of finished jobs that take that part of the memory.
+// jobCountWarning returns the number of finished jobs that use finishedJobsMemoryShare of the
+// memory.
 func jobCountWarning(resources config.ControllerResources) int {
 	return int(resources.MemoryMB * (1 << 20) * finishedJobsMemoryShare / statecache.FinishedJobBytes)
 }
--- a/cmd/lynxledge/combined_failures_test.go
+++ b/cmd/lynxledge/combined_failures_test.go
@@ -56,8 +56,8 @@
 	}
 }
 
-// gatherWorkers has every worker send its heartbeats to one controller.
-func (c *cluster) gatherWorkers(member string) {
+// directHeartbeatsTo has every worker send its heartbeats to one controller.
+func (c *cluster) directHeartbeatsTo(member string) {
 	for _, other := range c.othersThan(member) {
 		c.crash(other)
 	}
@@ -70,7 +70,7 @@
 // cancellations, then the store is out for all for longer than the cancellation deadline.
 func outageAfterCancellation(t *testing.T, c *cluster) {
 	old := c.leader()
-	c.gatherWorkers(old)
+	c.directHeartbeatsTo(old)
 	c.store.SetUnavailableFor(old, true)
 	c.advance(time.Second)
 	c.cancelLongJobs(t, c.othersThan(old))
@@ -88,7 +88,7 @@
 	}},
 	{"leader isolated from store and peers, jobs cancelled elsewhere", func(t *testing.T, c *cluster) {
 		old := c.leader()
-		c.gatherWorkers(old)
+		c.directHeartbeatsTo(old)
 		c.isolate(old)
 		c.advance(5 * time.Second)
 		c.cancelLongJobs(t, c.othersThan(old))
@@ -284,7 +284,7 @@
 	}},
 	{"process paused beyond every lease while its jobs are cancelled elsewhere", func(t *testing.T, c *cluster) {
 		old := c.scheduler()
-		c.gatherWorkers(old)
+		c.directHeartbeatsTo(old)
 		c.pause(old, 40*time.Second)
 		c.advance(time.Second)
 		c.cancelLongJobs(t, c.othersThan(old))
--- a/cmd/lynxledge/controller.go
+++ b/cmd/lynxledge/controller.go
@@ -27,7 +27,7 @@
 	"lynxledge/wire"
 )
 
-// clients are a controller's ways to everything outside its process.
+// clients are a controller's connections to the store, the cloud, workers and other controllers.
 type clients struct {
 	store interface {
 		statecache.Store
@@ -41,10 +41,10 @@
 	dialPeer peer.Dial
 }
 
-// controller is the actors of one process, and what they share.
+// controller holds the actors of one process and what they share.
 type controller struct {
 	config      *config.Config
-	incarnation uint64 // tells this process from its earlier ones
+	incarnation uint64 // distinguishes this process from earlier ones of the same controller
 	clients     clients
 	storeLimits *storelimits.Tracker
 	overload    *overload.Gauge
@@ -58,26 +58,26 @@
 	election   *election.Election
 	catalog    *cloud.Catalog
 
-	zoneController *zonecontrol.Controller // nil: zone recovery is off
-	standby        *standby.Standby        // nil: early failover is off
+	zoneController *zonecontrol.Controller // nil if zone recovery is off
+	standby        *standby.Standby        // nil if early failover is off
 }
 
-// assemble starts a controller's actors, which end with ctx, and then has them exchange
-// messages. Each actor is handed those that were started before it; the functions that connect
-// two are the only way back.
-func assemble(ctx context.Context, cfg *config.Config, incarnation uint64, to clients) *controller {
+// assemble starts a controller's actors, which stop when ctx ends, and then their inputs. Each
+// actor is given references to actors started before it; an earlier actor calls a later one only
+// through a callback.
+func assemble(ctx context.Context, cfg *config.Config, incarnation uint64, clients clients) *controller {
 	c := &controller{
 		config:      cfg,
 		incarnation: incarnation,
-		clients:     to,
+		clients:     clients,
 		storeLimits: &storelimits.Tracker{},
 		overload:    overload.Start(ctx, cfg.Params.Workers.HeartbeatInterval),
 	}
 	slog.Info("controller started", "member", cfg.MemberName, "zone", cfg.Zone, "incarnation", incarnation)
-	c.startStoreSide(ctx)
-	c.startHeartbeats(ctx)
-	c.startControl(ctx)
-	c.connectHeartbeats()
+	c.startStateCache(ctx)
+	c.startHeartbeatHandling(ctx)
+	c.startControlActors(ctx)
+	c.subscribeReachable()
 	c.startElection(ctx)
 	c.startCatalog(ctx)
 	if cfg.Operator.ZoneRecovery != nil {
@@ -90,26 +90,27 @@
 	return c
 }
 
-// startStoreSide starts the cache of the store that all actors follow.
-func (c *controller) startStoreSide(ctx context.Context) {
+// startStateCache starts the cache of the store's records, which the other actors follow.
+func (c *controller) startStateCache(ctx context.Context) {
 	c.cache = statecache.Start(ctx, c.clients.store, cacheOptions(c.config, c.storeLimits))
 }
 
-// startHeartbeats starts what takes heartbeats: of other controllers and of workers.
-func (c *controller) startHeartbeats(ctx context.Context) {
+// startHeartbeatHandling starts the actors that receive heartbeats: the transport those of other
+// controllers, the receiver those of workers.
+func (c *controller) startHeartbeatHandling(ctx context.Context) {
 	c.transport = peer.Start(ctx, peer.Options{Config: c.config, Dial: c.clients.dialPeer, FreshAsOf: c.cache.FreshAsOf})
 	c.receiver = heartbeat.Start(ctx, heartbeat.Options{Config: c.config, Cache: c.cache, Routes: heartbeat.Routes{
 		FreshPeer:    c.transport.FreshPeer,
 		Isolated:     c.transport.Isolated,
 		SendEvidence: c.transport.SendEvidence,
 		ApplyEvidence: func(evidence reconcile.Evidence, wait time.Duration) {
-			c.scheduler.HandleEvidence(evidence, wait) // started after the receiver, before any heartbeat
+			c.scheduler.HandleEvidence(evidence, wait) // set after the receiver starts, before the first heartbeat
 		},
 	}})
 }
 
-// startControl starts what decides: on tasks, on users' requests and on machines.
-func (c *controller) startControl(ctx context.Context) {
+// startControlActors starts the actors that decide on tasks, users' requests and machines.
+func (c *controller) startControlActors(ctx context.Context) {
 	c.scheduler = scheduler.Start(ctx, scheduler.Options{
 		Config:            c.config,
 		Incarnation:       c.incarnation,
@@ -139,14 +140,15 @@
 	})
 }
 
-// connectHeartbeats has the machines that send heartbeats here announced to the other
-// controllers, and to the autoscaler.
-func (c *controller) connectHeartbeats() {
+// subscribeReachable has the machines that send heartbeats to this controller reported to the
+// other controllers and to the autoscaler.
+func (c *controller) subscribeReachable() {
 	c.receiver.OnReachable(c.transport.AnnounceReachable)
 	c.receiver.OnReachable(c.autoscaler.MachinesReachable)
 }
 
-// startElection starts this controller's membership, and its part in the leader election.
+// startElection starts the actor that maintains this controller's membership and takes part in
+// the leader election.
 func (c *controller) startElection(ctx context.Context) {
 	params, operator := c.config.Params, c.config.Operator
 	c.election = election.Start(ctx, c.clients.store, c.cache, election.Options{
@@ -160,7 +162,7 @@
 	})
 }
 
-// startCatalog starts what follows the cloud's machine types.
+// startCatalog starts the actor that polls the cloud's machine types, and subscribes their users.
 func (c *controller) startCatalog(ctx context.Context) {
 	c.catalog = cloud.NewCatalog(ctx, c.clients.cloud)
 	c.catalog.Subscribe(c.apiServer.SetMachineTypes)
@@ -168,8 +170,8 @@
 	c.catalog.Subscribe(c.autoscaler.SetMachineTypes)
 }
 
-// startZoneRecovery starts what follows the health of zones, and has the scheduler and the
-// autoscaler heed it.
+// startZoneRecovery starts the actor that monitors the health of zones, and makes the scheduler
+// and the autoscaler take that health into account.
 func (c *controller) startZoneRecovery(ctx context.Context) {
 	policy := zonehealth.PolicyOf(c.config)
 	c.zoneController = zonecontrol.Start(ctx, zonecontrol.Options{
@@ -187,14 +189,15 @@
 	c.catalog.Subscribe(c.zoneController.SetMachineTypes)
 }
 
-// run begins to follow the cloud, the other controllers and the store.
+// run starts the inputs: machine types from the cloud, messages of other controllers, and records
+// of the store.
 func (c *controller) run(ctx context.Context) {
 	go c.catalog.Run(ctx, 12*c.config.Operator.PlanningInterval, c.config.Params.Workers.HeartbeatInterval/3)
 	c.transport.Run(ctx, c.peerHandlers())
 	c.cache.Run()
 }
 
-// peerHandlers receive what other controllers send.
+// peerHandlers returns the handlers of other controllers' messages.
 func (c *controller) peerHandlers() peer.Handlers {
 	handlers := peer.Handlers{
 		Reachable: func(member string, machines []wire.MachineID) {
@@ -215,8 +218,8 @@
 	return handlers
 }
 
-// peerHandler answers other controllers and operators: users' requests that are forwarded, and
-// the status of what is switched on.
+// peerHandler returns the HTTP handler of the peer address: it serves users' requests that other
+// controllers forward and, to operators, the status of features that are enabled.
 func (c *controller) peerHandler() http.Handler {
 	router := chi.NewRouter()
 	if c.zoneController != nil {
@@ -229,7 +232,7 @@
 	return router
 }
 
-// capabilities are what the settings switch on that other members must know of.
+// capabilities returns the enabled features that this controller announces to other members.
 func capabilities(operator config.OperatorSettings) []string {
 	if operator.ZoneRecovery == nil {
 		return nil
--- a/cmd/lynxledge/failover_measure_test.go
+++ b/cmd/lynxledge/failover_measure_test.go
@@ -34,7 +34,7 @@
 // phases names the figures.
 var phases = []string{"membership removed", "leader elected", "teams assigned", "first provisioning", "first binding"}
 
-func (f *failover) figures() []time.Duration {
+func (f *failover) durations() []time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return []time.Duration{f.memberRemoved, f.leaderElected, f.teamsAssigned, f.machineProvisioned, f.taskBound}
@@ -78,7 +78,7 @@
 	var figures []time.Duration
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		c := newCluster(ctx, seed, standbyClusterSize(early), func(p *config.Params) {
+		c := newCluster(ctx, seed, standbyClusterSpec(early), func(p *config.Params) {
 			p.Teams = []config.TeamQuota{{Name: "red"}, {Name: "blue"}}
 			p.Workers.HeartbeatInterval = config.Seconds(report)
 		})
@@ -105,7 +105,7 @@
 			c.submitArray(wire.JobID(fmt.Sprintf("req-5%05d", i)), "blue", 2, 20*time.Second, func(j *wire.Job) { j.Priority = wire.PriorityHigh })
 			time.Sleep(time.Second)
 		}
-		figures = f.figures()
+		figures = f.durations()
 		cancel()
 		c.shutdown()
 	})
--- a/cmd/lynxledge/fleet_test.go
+++ b/cmd/lynxledge/fleet_test.go
@@ -15,18 +15,18 @@
 
 // fleet is a deployment of many machines, with its own settings.
 type fleet struct {
-	clusterSize
+	clusterSpec
 	adjust func(*config.Params)
 	// jobs that are submitted at first, and their sizes
 	arrays, urgent, services int
 	tasks, replicas          int
 	cpus, memoryGB           float64
-	lostZone                 wire.Zone // its machines are partitioned for a while; none if empty
+	partitionedZone          wire.Zone // its machines are partitioned for a while; none if empty
 	fewSockets               bool      // those of one controller can't hold all machines
 }
 
-// machines is how many can be provisioned.
-func (f *fleet) machines() int {
+// maxMachines is how many can be provisioned.
+func (f *fleet) maxMachines() int {
 	n := 0
 	for _, t := range f.machineTypes {
 		n += f.poolSizes[t.Name] * 2 * len(t.Zones)
@@ -34,15 +34,15 @@
 	return n
 }
 
-// threeSizes are the machine types of the fleets of three controllers.
-var threeSizes = []wire.MachineType{
+// threeMachineTypes are the machine types of the fleets of three controllers.
+var threeMachineTypes = []wire.MachineType{
 	{Name: "s", CPUs: 4, MemoryGB: 8, CacheGB: 35, ImageFetchGBps: 1, HourlyPrice: 0.15, HourlySpotPrice: 0.06, BootTime: 20, Zones: []wire.Zone{"a"}},
 	{Name: "m", CPUs: 16, MemoryGB: 64, CacheGB: 25, ImageFetchGBps: 1, HourlyPrice: 0.67, HourlySpotPrice: 0.28, BootTime: 20, Zones: []wire.Zone{"a"}},
 	{Name: "l", CPUs: 64, MemoryGB: 256, CacheGB: 40, ImageFetchGBps: 1, HourlyPrice: 2.59, HourlySpotPrice: 1.01, BootTime: 20, Zones: []wire.Zone{"a", "b"}},
 }
 
-// twoSizes are those of the fleets of seven.
-var twoSizes = []wire.MachineType{
+// twoMachineTypes are those of the fleets of seven.
+var twoMachineTypes = []wire.MachineType{
 	{Name: "s", CPUs: 4, MemoryGB: 32, CacheGB: 35, ImageFetchGBps: 1, HourlyPrice: 0.19, HourlySpotPrice: 0.05, BootTime: 20, Zones: []wire.Zone{"a", "b"}},
 	{Name: "b", CPUs: 16, MemoryGB: 128, CacheGB: 40, ImageFetchGBps: 1, HourlyPrice: 0.78, HourlySpotPrice: 0.2, BootTime: 20, Zones: []wire.Zone{"b", "c"}},
 }
@@ -53,9 +53,9 @@
 // sockets among them.
 var fleets = map[string]*fleet{
 	"three controllers, 1360 machines": {
-		clusterSize: clusterSize{
+		clusterSpec: clusterSpec{
 			members: 3, poolSizes: map[string]int{"s": 520, "m": 130, "l": 15},
-			machineTypes: threeSizes,
+			machineTypes: threeMachineTypes,
 		},
 		adjust: func(p *config.Params) {
 			p.Workers = config.WorkerTimings{HeartbeatInterval: 5 * time.Second, LeaseDuration: 34 * time.Second, CancellationDeadline: 64 * time.Second}
@@ -65,9 +65,9 @@
 		arrays: 50, urgent: 50, services: 330, tasks: 50, replicas: 12, cpus: 4, memoryGB: 4,
 	},
 	"seven controllers, 2250 machines": {
-		clusterSize: clusterSize{
+		clusterSpec: clusterSpec{
 			members: 7, poolSizes: map[string]int{"s": 452, "b": 111},
-			machineTypes: twoSizes,
+			machineTypes: twoMachineTypes,
 		},
 		adjust: func(p *config.Params) {
 			p.Workers = config.WorkerTimings{HeartbeatInterval: 8 * time.Second, LeaseDuration: 44 * time.Second, CancellationDeadline: 74 * time.Second}
@@ -78,9 +78,9 @@
 		arrays: 30, urgent: 4, services: 260, tasks: 100, replicas: 12, cpus: 4, memoryGB: 29,
 	},
 	"seven controllers, 4064 machines": {
-		clusterSize: clusterSize{
+		clusterSpec: clusterSpec{
 			members: 7, poolSizes: map[string]int{"s": 820, "b": 196},
-			machineTypes: twoSizes,
+			machineTypes: twoMachineTypes,
 		},
 		adjust: func(p *config.Params) {
 			p.Workers = config.WorkerTimings{HeartbeatInterval: 8 * time.Second, LeaseDuration: 44 * time.Second, CancellationDeadline: 74 * time.Second}
@@ -88,19 +88,19 @@
 			p.Cloud = config.CloudLimits{RequestRate: 10, ListLag: 10 * time.Second}
 			p.Resources = config.ControllerResources{CPUCores: 0.09, MemoryMB: 212, FileDescriptorLimit: 5000}
 		},
-		arrays: 44, urgent: 4, services: 390, tasks: 100, replicas: 12, cpus: 4, memoryGB: 29, lostZone: "c", fewSockets: true,
+		arrays: 44, urgent: 4, services: 390, tasks: 100, replicas: 12, cpus: 4, memoryGB: 29, partitionedZone: "c", fewSockets: true,
 	},
 	"three controllers, 4056 machines, few sockets": {
-		clusterSize: clusterSize{
+		clusterSpec: clusterSpec{
 			members: 3, poolSizes: map[string]int{"s": 1560, "m": 390, "l": 39},
-			machineTypes: threeSizes,
+			machineTypes: threeMachineTypes,
 		},
 		adjust: func(p *config.Params) {
 			p.Workers = config.WorkerTimings{HeartbeatInterval: 5 * time.Second, LeaseDuration: 34 * time.Second, CancellationDeadline: 64 * time.Second}
 			p.Store = config.StoreLimits{RequestRate: 150, WriteRate: 50, MaxValueKB: 8, MaxTxnOps: 24}
 			p.Resources = config.ControllerResources{CPUCores: 0.3, MemoryMB: 300, FileDescriptorLimit: 800}
 		},
-		arrays: 150, urgent: 50, services: 800, tasks: 50, replicas: 12, cpus: 4, memoryGB: 4, lostZone: "b", fewSockets: true,
+		arrays: 150, urgent: 50, services: 800, tasks: 50, replicas: 12, cpus: 4, memoryGB: 4, partitionedZone: "b", fewSockets: true,
 	},
 }
 
@@ -109,14 +109,14 @@
 	*cluster
 	fleet        *fleet
 	pending      []*wire.Job // that no controller has accepted yet
-	mostMachines int         // that were ever running at once
+	peakMachines int         // that were ever running at once
 }
 
 // run has a fleet's users want every machine at first; then the scheduling controller is lost,
 // the store is out, and many machines fail at once.
 func (f *fleet) run(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
-	r := &fleetRun{fleet: f, cluster: newCluster(ctx, 1, f.clusterSize, func(p *config.Params) {
+	r := &fleetRun{fleet: f, cluster: newCluster(ctx, 1, f.clusterSpec, func(p *config.Params) {
 		f.adjust(p)
 		p.Teams = []config.TeamQuota{{Name: "red", GuaranteedCPUs: 2000}, {Name: "blue", GuaranteedCPUs: 2000}}
 	})}
@@ -124,10 +124,10 @@
 	r.store.SetLimits(simulation.StoreLimits{WriteRate: limits.WriteRate, MaxValueKB: limits.MaxValueKB, MaxTxnOps: limits.MaxTxnOps, MaxWatchEvents: 500})
 	r.advance(5 * time.Second)
 	r.submitInitialWork()
-	r.loseMostMembers()
-	r.loseStoreAndMachines()
-	if f.lostZone != "" {
-		r.partitionZone(f.lostZone)
+	r.crashMostMembers()
+	r.failStoreAndMachines()
+	if f.partitionedZone != "" {
+		r.partitionZone(f.partitionedZone)
 	}
 	r.healAndFinish()
 	r.check(t)
@@ -173,7 +173,7 @@
 		}
 		r.pending = pending
 		r.advance(time.Second)
-		r.mostMachines = max(r.mostMachines, len(r.cloud.RunningMachines()))
+		r.peakMachines = max(r.peakMachines, len(r.cloud.RunningMachines()))
 	}
 }
 
@@ -198,8 +198,8 @@
 	}
 }
 
-// loseMostMembers crashes more than half of the controllers, the scheduling one among them.
-func (r *fleetRun) loseMostMembers() {
+// crashMostMembers crashes more than half of the controllers, the scheduling one among them.
+func (r *fleetRun) crashMostMembers() {
 	for _, member := range r.members[:len(r.members)/2+1] {
 		r.crash(member)
 	}
@@ -208,12 +208,12 @@
 	r.advanceSubmitting(10 * time.Second)
 }
 
-// loseStoreAndMachines has an outage of the store, after which one machine in twenty fails.
-func (r *fleetRun) loseStoreAndMachines() {
+// failStoreAndMachines has an outage of the store, after which one machine in twenty fails.
+func (r *fleetRun) failStoreAndMachines() {
 	r.store.SetOutage(true)
 	r.advanceSubmitting(15 * time.Second)
 	r.store.SetOutage(false)
-	for i := range r.fleet.machines() / 20 {
+	for i := range r.fleet.maxMachines() / 20 {
 		r.cloud.FailMachine(i*13, i%2 == 0)
 	}
 	r.advanceSubmitting(30 * time.Second)
@@ -250,8 +250,8 @@
 	if len(r.pending) > 0 {
 		t.Errorf("%d jobs never accepted", len(r.pending))
 	}
-	if all := r.fleet.machines(); r.mostMachines < all*9/10 {
-		t.Errorf("%d machines of %d were ever up", r.mostMachines, all)
+	if all := r.fleet.maxMachines(); r.peakMachines < all*9/10 {
+		t.Errorf("%d machines of %d were ever up", r.peakMachines, all)
 	}
 }
 
@@ -276,16 +276,16 @@
 		f.adjust(&p)
 		sockets := newSocketBudget(p.Resources)
 		if f.fewSockets {
-			if sockets.inbound >= f.machines() {
+			if sockets.inbound >= f.maxMachines() {
 				t.Errorf("%s: %d sockets hold all machines", name, sockets.inbound)
 			}
 			continue
 		}
-		if left := p.Resources.FileDescriptorLimit - f.machines() - sockets.idleCommands - sockets.busyCommands; left < 64 {
+		if left := p.Resources.FileDescriptorLimit - f.maxMachines() - sockets.idleWorkerConnections - sockets.inFlightCommands; left < 64 {
 			t.Errorf("%s: %d sockets left", name, left)
 		}
-		if sockets.idleCommands < f.machines()/2 {
-			t.Errorf("%s: %d connections kept for %d machines", name, sockets.idleCommands, f.machines())
+		if sockets.idleWorkerConnections < f.maxMachines()/2 {
+			t.Errorf("%s: %d connections kept for %d machines", name, sockets.idleWorkerConnections, f.maxMachines())
 		}
 	}
 }
--- a/cmd/lynxledge/logging.go
+++ b/cmd/lynxledge/logging.go
@@ -6,7 +6,8 @@
 	"strings"
 )
 
-// setUpLogging has log lines written to standard error, from the level that LOG_LEVEL names.
+// setUpLogging sends log lines to standard error. LOG_LEVEL (error, info or debug) sets the lowest
+// level that is logged; the default is info.
 func setUpLogging() {
 	level := slog.LevelInfo
 	switch strings.ToLower(os.Getenv("LOG_LEVEL")) {
--- a/cmd/lynxledge/loopback_measure_test.go
+++ b/cmd/lynxledge/loopback_measure_test.go
@@ -12,8 +12,8 @@
 	"lynxledge/internal/statecache"
 )
 
-// roundsOfTakeovers is how often each role's holder is ended.
-const roundsOfTakeovers = 60
+// failoversPerRole is how often each role's holder is ended.
+const failoversPerRole = 60
 
 // TestMeasureFailoverOnLoopback kills leaders and schedulers of processes on loopback again
 // and again, and stops leaders for a while, and prints how long takeovers take and how many
@@ -26,7 +26,7 @@
 	defer c.shutdown()
 	for _, role := range []string{"leader", "scheduler"} {
 		var took []time.Duration
-		for range roundsOfTakeovers {
+		for range failoversPerRole {
 			took = append(took, c.failover(role, c.kill))
 		}
 		slices.Sort(took)
--- a/cmd/lynxledge/main.go
+++ b/cmd/lynxledge/main.go
@@ -21,7 +21,7 @@
 	}
 }
 
-// rootCommand runs a controller, or checks its settings.
+// rootCommand returns the command that runs a controller or, with --check, checks its settings.
 func rootCommand() *cobra.Command {
 	var configPath, operatorsPath string
 	var checkOnly bool
--- a/cmd/lynxledge/replica_move_faults_test.go
+++ b/cmd/lynxledge/replica_move_faults_test.go
@@ -25,7 +25,7 @@
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		size := zoneClusterSize(false)
+		size := zoneClusterSpec(false)
 		size.poolSize = machinesPerZone
 		c := &moveCluster{zoneCluster: &zoneCluster{
 			restored:   map[wire.JobID]time.Duration{},
@@ -231,8 +231,8 @@
 	})
 }
 
-// stuckReplicas are services that fill zones b and c, of which none may be moved to zone a.
-var stuckReplicas = map[string]func(t *testing.T, c *moveCluster){
+// immovableReplicas are services that fill zones b and c, of which none may be moved to zone a.
+var immovableReplicas = map[string]func(t *testing.T, c *moveCluster){
 	"they save checkpoints": func(t *testing.T, c *moveCluster) {
 		c.fillZones(t, 2, func(j *wire.Job) { j.CheckpointInterval, j.CheckpointDuration = 10, 1 })
 	},
@@ -257,7 +257,7 @@
 // Replicas that may not run elsewhere, or would find no capacity there, go on running where they
 // are (guards against replicas that are stopped for nothing).
 func TestReplicasThatCannotMoveAreNotStopped(t *testing.T) {
-	for name, fill := range stuckReplicas {
+	for name, fill := range immovableReplicas {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			withMoveCluster(t, 1, 1, func(c *moveCluster) {
--- a/cmd/lynxledge/replica_move_test.go
+++ b/cmd/lynxledge/replica_move_test.go
@@ -15,7 +15,7 @@
 func TestReplicaOfSpreadServiceIsMoved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		size := zoneClusterSize(false)
+		size := zoneClusterSpec(false)
 		size.poolSize = 1 // a machine of four processors in each zone
 		c := &zoneCluster{cluster: newCluster(ctx, 1, size, func(p *config.Params) {
 			p.Teams = []config.TeamQuota{{Name: "red"}}
--- a/cmd/lynxledge/run.go
+++ b/cmd/lynxledge/run.go
@@ -24,7 +24,7 @@
 	"lynxledge/internal/worker"
 )
 
-// run sets the process up and serves until it is killed.
+// run configures the process, opens its listeners and serves until it is killed or has resigned.
 func run(cfg *config.Config) error {
 	setUpLogging()
 	limitRuntime(cfg.Params.Resources)
@@ -42,18 +42,18 @@
 	return serve(context.Background(), cfg, clientListener, peerListener)
 }
 
-// goMemoryLimitShare is the part of the memory limit at which Go collects harder; the rest is
-// for what its heap doesn't count.
+// goMemoryLimitShare is the share of the memory limit that is Go's soft limit, near which garbage
+// is collected more often. The rest is for memory that Go's limit does not count.
 const goMemoryLimitShare = 0.6
 
-// limitRuntime keeps Go's runtime within the controller's resources.
+// limitRuntime sets the limits of the Go runtime from the controller's resources.
 func limitRuntime(resources config.ControllerResources) {
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(resources.CPUCores))))
 	debug.SetMemoryLimit(int64(resources.MemoryMB * goMemoryLimitShare * (1 << 20)))
 	debug.SetGCPercent(800)
 }
 
-// serve assembles a controller and answers until the process is killed, or has resigned.
+// serve starts a controller and serves requests until the process is killed or has resigned.
 func serve(ctx context.Context, cfg *config.Config, clientListener, peerListener net.Listener) error {
 	sockets := newSocketBudget(cfg.Params.Resources)
 	c := assemble(ctx, cfg, newIncarnation(), newClients(cfg, sockets))
@@ -72,22 +72,23 @@
 	return nil
 }
 
-// newIncarnation tells this process from its earlier ones.
+// newIncarnation returns a random number that distinguishes this process from earlier ones of
+// the same controller.
 func newIncarnation() uint64 { return rand.Uint64() >> 1 }
 
-// newClients makes the clients of a controller in production.
+// newClients returns the clients of a controller in production; tests use simulated ones.
 func newClients(cfg *config.Config, sockets socketBudget) clients {
 	heartbeatInterval := cfg.Params.Workers.HeartbeatInterval
 	store, provider := cfg.Params.Store, cfg.Params.Cloud
 	return clients{
 		store:    kvstore.New(cfg.External.State, store.RequestRateLimit(), store.WriteRate, store.MaxTxnOps, heartbeatInterval/2),
 		cloud:    cloud.New(cfg.External.Cloud, provider.RequestRate, cfg.Operator.CloudRateShare, 2*heartbeatInterval),
-		workers:  worker.New(heartbeatInterval, sockets.idleCommands, sockets.busyCommands),
+		workers:  worker.New(heartbeatInterval, sockets.idleWorkerConnections, sockets.inFlightCommands),
 		dialPeer: new(net.Dialer).DialContext,
 	}
 }
 
-// newClientServer is the HTTP server for users, workers and health checks.
+// newClientServer returns the HTTP server for users, workers and health checks.
 func newClientServer(cfg *config.Config, handler http.Handler, connections *connlimit.Limiter) *http.Server {
 	return &http.Server{
 		Handler:           connections.Handler(handler),
@@ -97,10 +98,10 @@
 	}
 }
 
-// resignOnSignal hands this controller's roles over when the platform asks it to end, and then
-// closes its server. It does not wait for longer than timeout: what was not handed over, others
-// take over after a failover.
-func resignOnSignal(ctx context.Context, roles *election.Election, server *http.Server, timeout time.Duration) {
+// resignOnSignal gives up this controller's roles when the platform sends SIGTERM, and then closes
+// its server. It waits no longer than timeout: roles that were not given up by then pass to other
+// controllers by failover.
+func resignOnSignal(ctx context.Context, participant *election.Election, server *http.Server, timeout time.Duration) {
 	signalled, stop := signal.NotifyContext(ctx, syscall.SIGTERM)
 	defer stop()
 	<-signalled.Done()
@@ -108,7 +109,7 @@
 		return
 	}
 	resigned := make(chan struct{})
-	roles.Resign(func() { close(resigned) })
+	participant.Resign(func() { close(resigned) })
 	select {
 	case <-resigned:
 	case <-time.After(timeout):
--- a/cmd/lynxledge/sim_check_test.go
+++ b/cmd/lynxledge/sim_check_test.go
@@ -71,7 +71,7 @@
 }
 
 // withCluster runs a test of a cluster on a clock of its own, and shuts the cluster down.
-func withCluster(t *testing.T, seed uint64, size clusterSize, adjust func(*config.Params), test func(t *testing.T, c *cluster)) {
+func withCluster(t *testing.T, seed uint64, size clusterSpec, adjust func(*config.Params), test func(t *testing.T, c *cluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
--- a/cmd/lynxledge/sim_cluster_test.go
+++ b/cmd/lynxledge/sim_cluster_test.go
@@ -31,7 +31,7 @@
 	running        map[string]context.CancelFunc // members that are running
 	handlers       handlerTable
 	peerHandlers   map[string]http.Handler   // of the peer addresses, by member
-	actorsOf       map[string][]*actor.Actor // by member
+	actors         map[string][]*actor.Actor // by member
 	rng            *rand.Rand
 	jobCount       int
 	submitted      []*wire.Job
@@ -54,7 +54,7 @@
 }
 
 // newCluster starts a cluster of controllers. adjust changes the settings; nil: none.
-func newCluster(ctx context.Context, seed uint64, size clusterSize, adjust func(*config.Params)) *cluster {
+func newCluster(ctx context.Context, seed uint64, size clusterSpec, adjust func(*config.Params)) *cluster {
 	slog.SetDefault(slog.New(slog.NewTextHandler(io.Discard, nil)))
 	cfg := parseSettings(size, adjust)
 	c := &cluster{
@@ -66,7 +66,7 @@
 		memberZones:  size.memberZones,
 		running:      map[string]context.CancelFunc{},
 		peerHandlers: map[string]http.Handler{},
-		actorsOf:     map[string][]*actor.Actor{},
+		actors:       map[string][]*actor.Actor{},
 		rng:          rand.New(&lockedSource{source: rand.NewPCG(seed, 9)}),
 		machineTypes: size.machineTypes,
 	}
@@ -86,7 +86,7 @@
 	return c
 }
 
-func parseSettings(size clusterSize, adjust func(*config.Params)) *config.Config {
+func parseSettings(size clusterSpec, adjust func(*config.Params)) *config.Config {
 	cfg, err := config.Parse(settings)
 	if err != nil {
 		panic(err)
@@ -134,7 +134,7 @@
 	})
 	c.peerHandlers[member] = controller.peerHandler()
 	go controller.transport.Serve(ctx, c.connections.Listen(member, cfg.PeerListenAddress), c.peerHandlers[member])
-	c.actorsOf[member] = controller.actors()
+	c.actors[member] = controller.actors()
 	c.running[member] = cancel
 	c.handlers.set(member, controller.apiServer.Handler())
 }
--- a/cmd/lynxledge/sim_faults_test.go
+++ b/cmd/lynxledge/sim_faults_test.go
@@ -223,7 +223,7 @@
 	if c.running[member] == nil {
 		return
 	}
-	for _, actor := range c.actorsOf[member] {
+	for _, actor := range c.actors[member] {
 		actor.Post(func() { time.Sleep(duration) })
 	}
 }
--- a/cmd/lynxledge/sim_processes_test.go
+++ b/cmd/lynxledge/sim_processes_test.go
@@ -90,19 +90,19 @@
 
 // processCluster is controllers as processes, with the simulation on loopback addresses.
 type processCluster struct {
-	t            *testing.T
-	ctx          context.Context
-	cfg          *config.Config
-	invariants   *simulation.InvariantChecker
-	store        *simulation.Store
-	network      *simulation.Network
-	cloud        *simulation.Cloud
-	client       *http.Client
-	processes    []*process
-	orderChecker *history.RecoveryOrderChecker
-	services     []*wire.Job
-	jobCount     int
-	operators    string // the operators' settings
+	t                *testing.T
+	ctx              context.Context
+	cfg              *config.Config
+	invariants       *simulation.InvariantChecker
+	store            *simulation.Store
+	network          *simulation.Network
+	cloud            *simulation.Cloud
+	client           *http.Client
+	processes        []*process
+	orderChecker     *history.RecoveryOrderChecker
+	services         []*wire.Job
+	jobCount         int
+	operatorSettings string // the operators' settings
 }
 
 // freeAddress is a loopback address that nobody listens on.
@@ -123,14 +123,14 @@
 		t.Fatal(err)
 	}
 	c := &processCluster{
-		t:          t,
-		ctx:        ctx,
-		cfg:        cfg,
-		invariants: simulation.NewInvariantChecker(cfg.Params),
-		store:      simulation.NewStore(),
-		network:    simulation.NewNetwork(1, 0),
-		client:     &http.Client{Timeout: 3 * time.Second},
-		operators:  operators,
+		t:                t,
+		ctx:              ctx,
+		cfg:              cfg,
+		invariants:       simulation.NewInvariantChecker(cfg.Params),
+		store:            simulation.NewStore(),
+		network:          simulation.NewNetwork(1, 0),
+		client:           &http.Client{Timeout: 3 * time.Second},
+		operatorSettings: operators,
 	}
 	clientAddresses := map[string]string{}
 	var names []string
@@ -183,7 +183,7 @@
 	}
 	p.settingsFile = filepath.Join(c.t.TempDir(), p.name+".toml")
 	text := fmt.Sprintf(loopbackSettings, p.name, p.zone, p.clientAddress, p.peerAddress, others.String(), p.cloudAddress, p.storeAddress)
-	for path, content := range map[string]string{p.settingsFile: text, p.settingsFile + ".json": c.operators} {
+	for path, content := range map[string]string{p.settingsFile: text, p.settingsFile + ".json": c.operatorSettings} {
 		if err := os.WriteFile(path, []byte(content), 0o600); err != nil {
 			c.t.Fatal(err)
 		}
--- a/cmd/lynxledge/sim_settings_test.go
+++ b/cmd/lynxledge/sim_settings_test.go
@@ -47,8 +47,8 @@
 	{Name: "l", CPUs: 16, MemoryGB: 64, CacheGB: 20, ImageFetchGBps: 1, HourlyPrice: 4.5, HourlySpotPrice: 1.5, BootTime: 20, Zones: []wire.Zone{"a"}},
 }
 
-// clusterSize is the size of a cluster and of the cloud.
-type clusterSize struct {
+// clusterSpec is the size of a cluster and of the cloud.
+type clusterSpec struct {
 	members          int
 	machineTypes     []wire.MachineType
 	poolSize         int            // machines of one type, zone and price class
@@ -57,4 +57,4 @@
 	operatorSettings func(*config.OperatorSettings)
 }
 
-var smallCluster = clusterSize{members: 3, machineTypes: machineTypes, poolSize: 5}
+var smallCluster = clusterSpec{members: 3, machineTypes: machineTypes, poolSize: 5}
--- a/cmd/lynxledge/sim_workload_test.go
+++ b/cmd/lynxledge/sim_workload_test.go
@@ -64,7 +64,7 @@
 	for i := range 3 + f.Target%3 {
 		j := c.pipelineStage(f, stages)
 		if i == 2+f.Target%3 {
-			closePipeline(j, stages)
+			makeFinalStage(j, stages)
 		}
 		c.submit(j, time.Duration(2+f.Magnitude)*time.Second)
 		if !c.invariants.Accepted(j.ID) {
@@ -95,8 +95,8 @@
 	return j
 }
 
-// closePipeline makes the last stage depend on all others, and gives it a deadline.
-func closePipeline(last *wire.Job, former []*wire.Job) {
+// makeFinalStage makes the last stage depend on all others, and gives it a deadline.
+func makeFinalStage(last *wire.Job, former []*wire.Job) {
 	deadline := wire.Seconds(90)
 	last.Priority, last.Deadline = wire.PriorityHigh, &deadline
 	for _, stage := range former {
--- a/cmd/lynxledge/sim_zones_test.go
+++ b/cmd/lynxledge/sim_zones_test.go
@@ -27,9 +27,9 @@
 	{Name: "s", CPUs: 4, MemoryGB: 16, CacheGB: 20, ImageFetchGBps: 1, HourlyPrice: 1, HourlySpotPrice: 0.4, BootTime: 20, Zones: allZones},
 }
 
-// zoneClusterSize is a cluster over three zones with a controller in each.
-func zoneClusterSize(recovery bool) clusterSize {
-	s := clusterSize{members: 3, machineTypes: zoneMachineTypes, poolSize: 8, memberZones: allZones}
+// zoneClusterSpec is a cluster over three zones with a controller in each.
+func zoneClusterSpec(recovery bool) clusterSpec {
+	s := clusterSpec{members: 3, machineTypes: zoneMachineTypes, poolSize: 8, memberZones: allZones}
 	if recovery {
 		s.operatorSettings = func(o *config.OperatorSettings) {
 			section := config.DefaultZoneRecovery()
@@ -69,12 +69,12 @@
 
 // newZoneCluster starts a cluster with services in all zones, and more arrays than fit.
 func newZoneCluster(ctx context.Context, seed uint64, recovery bool) *zoneCluster {
-	return newLoadedZoneCluster(ctx, seed, zoneClusterOptions{size: zoneClusterSize(recovery), recovery: recovery, workload: smallZoneWorkload})
+	return newLoadedZoneCluster(ctx, seed, zoneClusterOptions{spec: zoneClusterSpec(recovery), recovery: recovery, workload: smallZoneWorkload})
 }
 
 // zoneClusterOptions are those of a cluster over three zones.
 type zoneClusterOptions struct {
-	size     clusterSize
+	spec     clusterSpec
 	recovery bool // zone recovery is on
 	workload zoneWorkload
 	adjust   func(*config.Params) // changes the settings; nil: none
@@ -85,7 +85,7 @@
 		workload:   options.workload,
 		restored:   map[wire.JobID]time.Duration{},
 		partitions: map[wire.Zone]*zonePartition{},
-		cluster: newCluster(ctx, seed, options.size, func(p *config.Params) {
+		cluster: newCluster(ctx, seed, options.spec, func(p *config.Params) {
 			p.Teams = []config.TeamQuota{{Name: "red"}, {Name: "blue"}}
 			p.Zones = slices.Clone(allZones)
 			if options.adjust != nil {
--- a/cmd/lynxledge/sockets.go
+++ b/cmd/lynxledge/sockets.go
@@ -6,46 +6,46 @@
 	"lynxledge/internal/config"
 )
 
-// Parts of a process's sockets. What they leave is for the store, the cloud,
-// the other controllers, and connections on their way out.
+// Shares of a process's sockets. The rest is for connections to the store, the cloud and the other
+// controllers, and for connections that are being closed.
 const (
-	inboundShare      = 0.45 // users, workers and health checks
-	idleCommandShare  = 0.30 // connections to workers kept for the next command
-	busyCommandsShare = 0.15 // commands under way, each of which may take one more
+	inboundShare              = 0.45 // connections from users, workers and health checks
+	idleWorkerConnectionShare = 0.30 // idle connections to workers, kept for the next command
+	inFlightCommandShare      = 0.15 // commands in flight, each of which may take one more socket
 )
 
-// Parts of a process's memory that open connections may take, and what one takes, as
-// measured: buffers and stacks.
+// Shares of a process's memory that open connections may use, and the measured memory of one
+// connection: its buffers and stacks.
 const (
-	inboundMemoryShare     = 0.20
-	idleCommandMemoryShare = 0.15
-	inboundBytes           = 16 << 10
-	idleCommandBytes       = 20 << 10
+	inboundMemoryShare              = 0.20
+	idleWorkerConnectionMemoryShare = 0.15
+	inboundConnectionBytes          = 16 << 10
+	idleWorkerConnectionBytes       = 20 << 10
 )
 
-// socketBudget divides a process's sockets among what it does, so that nothing that
-// grows with the machines can take the sockets or the memory that the rest needs.
+// socketBudget divides a process's sockets among their uses, so that those that grow with the
+// number of machines can't take the sockets or the memory that the others need.
 type socketBudget struct {
-	inbound      int
-	idleCommands int
-	busyCommands int
+	inbound               int
+	idleWorkerConnections int
+	inFlightCommands      int
 }
 
-// newSocketBudget is the budget of a process. Without a limit nothing is bounded.
+// newSocketBudget returns the budget of a process. A limit of 0 bounds nothing.
 func newSocketBudget(resources config.ControllerResources) socketBudget {
-	sockets := socketBudget{inbound: math.MaxInt, idleCommands: math.MaxInt16, busyCommands: math.MaxInt16}
+	sockets := socketBudget{inbound: math.MaxInt, idleWorkerConnections: math.MaxInt16, inFlightCommands: math.MaxInt16}
 	if limit := float64(resources.FileDescriptorLimit); limit > 0 {
 		sockets.inbound = int(inboundShare * limit)
-		sockets.idleCommands = int(idleCommandShare * limit)
-		sockets.busyCommands = int(busyCommandsShare * limit)
+		sockets.idleWorkerConnections = int(idleWorkerConnectionShare * limit)
+		sockets.inFlightCommands = int(inFlightCommandShare * limit)
 	}
 	if memory := resources.MemoryMB * (1 << 20); memory > 0 {
-		sockets.inbound = min(sockets.inbound, int(inboundMemoryShare*memory/inboundBytes))
-		sockets.idleCommands = min(sockets.idleCommands, int(idleCommandMemoryShare*memory/idleCommandBytes))
+		sockets.inbound = min(sockets.inbound, int(inboundMemoryShare*memory/inboundConnectionBytes))
+		sockets.idleWorkerConnections = min(sockets.idleWorkerConnections, int(idleWorkerConnectionMemoryShare*memory/idleWorkerConnectionBytes))
 	}
 	return socketBudget{
-		inbound:      max(1, sockets.inbound),
-		idleCommands: max(1, sockets.idleCommands),
-		busyCommands: max(1, sockets.busyCommands),
+		inbound:               max(1, sockets.inbound),
+		idleWorkerConnections: max(1, sockets.idleWorkerConnections),
+		inFlightCommands:      max(1, sockets.inFlightCommands),
 	}
 }
--- a/cmd/lynxledge/sockets_test.go
+++ b/cmd/lynxledge/sockets_test.go
@@ -117,7 +117,7 @@
 func TestSocketBudgetLeavesAReserve(t *testing.T) {
 	for _, limit := range []int{20, 100, 800, 5000} {
 		sockets := newSocketBudget(config.ControllerResources{FileDescriptorLimit: limit})
-		if reserve := limit - sockets.inbound - sockets.idleCommands - sockets.busyCommands; reserve < limit/10 {
+		if reserve := limit - sockets.inbound - sockets.idleWorkerConnections - sockets.inFlightCommands; reserve < limit/10 {
 			t.Errorf("%d of %d sockets left", reserve, limit)
 		}
 	}
@@ -128,11 +128,11 @@
 func TestSocketBudgetKeepsToTheMemory(t *testing.T) {
 	ample := newSocketBudget(config.ControllerResources{FileDescriptorLimit: 4000, MemoryMB: 1000})
 	small := newSocketBudget(config.ControllerResources{FileDescriptorLimit: 4000, MemoryMB: 70})
-	used := float64(small.inbound*inboundBytes+small.idleCommands*idleCommandBytes) / (70 << 20)
-	if used > inboundMemoryShare+idleCommandMemoryShare {
+	used := float64(small.inbound*inboundConnectionBytes+small.idleWorkerConnections*idleWorkerConnectionBytes) / (70 << 20)
+	if used > inboundMemoryShare+idleWorkerConnectionMemoryShare {
 		t.Errorf("connections take %.2f of 70 MB", used)
 	}
-	if small.inbound >= ample.inbound || small.idleCommands >= ample.idleCommands {
+	if small.inbound >= ample.inbound || small.idleWorkerConnections >= ample.idleWorkerConnections {
 		t.Errorf("%+v with 70 MB, %+v with 1000", small, ample)
 	}
 	few := config.ControllerResources{FileDescriptorLimit: 800, MemoryMB: 49}
--- a/cmd/lynxledge/standby.go
+++ b/cmd/lynxledge/standby.go
@@ -12,7 +12,8 @@
 	"lynxledge/internal/standby"
 )
 
-// standbyCommand prints a controller's verdicts on the others.
+// standbyCommand returns the command that prints who succeeds the leader, and how one controller
+// rates the health of its peers.
 func standbyCommand() *cobra.Command {
 	var endpoint string
 	command := &cobra.Command{
@@ -28,7 +29,7 @@
 		},
 	}
 	command.Flags().StringVar(&endpoint, "endpoint", "", "mesh `address` of a controller (mesh_addr in its settings)")
-	_ = command.MarkFlagRequired("endpoint") // the flag exists
+	_ = command.MarkFlagRequired("endpoint") // fails only for a flag that is not defined
 	return command
 }
 
--- a/cmd/lynxledge/standby_test.go
+++ b/cmd/lynxledge/standby_test.go
@@ -15,9 +15,9 @@
 	"lynxledge/wire"
 )
 
-// standbyClusterSize is a cluster with early failover, or without.
-func standbyClusterSize(early bool) clusterSize {
-	s := clusterSize{members: 3, machineTypes: machineTypes, poolSize: 20, memberZones: []wire.Zone{"a", "b", "b"}}
+// standbyClusterSpec is a cluster with early failover, or without.
+func standbyClusterSpec(early bool) clusterSpec {
+	s := clusterSpec{members: 3, machineTypes: machineTypes, poolSize: 20, memberZones: []wire.Zone{"a", "b", "b"}}
 	if early {
 		s.operatorSettings = func(o *config.OperatorSettings) {
 			section := config.DefaultStandby()
@@ -30,7 +30,7 @@
 // withStandbyCluster runs a test of a cluster with early failover that is at work.
 func withStandbyCluster(t *testing.T, seed uint64, test func(t *testing.T, c *cluster)) {
 	t.Helper()
-	withCluster(t, seed, standbyClusterSize(true), func(p *config.Params) {
+	withCluster(t, seed, standbyClusterSpec(true), func(p *config.Params) {
 		p.Teams = []config.TeamQuota{{Name: "red"}, {Name: "blue"}}
 		p.Workers.HeartbeatInterval = 8 * time.Second // a lease is as long: failovers without standby take as long
 		p.Workers.LeaseDuration, p.Workers.CancellationDeadline = 44*time.Second, 74*time.Second
@@ -240,7 +240,7 @@
 	for seed := range 24 {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			size := standbyClusterSize(true)
+			size := standbyClusterSpec(true)
 			standbySettings := size.operatorSettings
 			size.operatorSettings = func(o *config.OperatorSettings) {
 				standbySettings(o)
--- a/cmd/lynxledge/zone_measure_test.go
+++ b/cmd/lynxledge/zone_measure_test.go
@@ -20,8 +20,8 @@
 type zoneMeasurement struct {
 	spread, pinned restoreTimes // of services that may be elsewhere, and that may not
 	tasksStarted   int
-	price          float64 // of the machines, in machine hours at their prices
-	processor      time.Duration
+	cost           float64 // of the machines, in machine hours at their prices
+	cpuTime        time.Duration
 	allocated      uint64 // bytes
 	violations     []string
 	machinesLost   int
@@ -29,25 +29,25 @@
 
 // restoreTimes is when services that lost replicas had all of them again.
 type restoreTimes struct {
-	after              []time.Duration
-	never              int
+	restored           []time.Duration
+	unrestored         int
 	replicaSecondsLost float64
 }
 
 func (r *restoreTimes) add(o *restoreTimes) {
-	r.after = append(r.after, o.after...)
-	r.never += o.never
+	r.restored = append(r.restored, o.restored...)
+	r.unrestored += o.unrestored
 	r.replicaSecondsLost += o.replicaSecondsLost
 }
 
 func (r *restoreTimes) String() string {
-	slices.Sort(r.after)
+	slices.Sort(r.restored)
 	median, last := time.Duration(0), time.Duration(0)
-	if n := len(r.after); n > 0 {
-		median, last = r.after[n/2], r.after[n-1]
+	if n := len(r.restored); n > 0 {
+		median, last = r.restored[n/2], r.restored[n-1]
 	}
 	return fmt.Sprintf("%d degraded, restored after %.0f s (median), %.0f s (last), %d never, %.0f replica seconds lost",
-		len(r.after)+r.never, median.Seconds(), last.Seconds(), r.never, r.replicaSecondsLost)
+		len(r.restored)+r.unrestored, median.Seconds(), last.Seconds(), r.unrestored, r.replicaSecondsLost)
 }
 
 // add adds the figures of another run.
@@ -55,8 +55,8 @@
 	m.spread.add(&o.spread)
 	m.pinned.add(&o.pinned)
 	m.tasksStarted += o.tasksStarted
-	m.price += o.price
-	m.processor += o.processor
+	m.cost += o.cost
+	m.cpuTime += o.cpuTime
 	m.allocated += o.allocated
 	m.violations = append(m.violations, o.violations...)
 	m.machinesLost += o.machinesLost
@@ -64,7 +64,7 @@
 
 func (m *zoneMeasurement) String() string {
 	return fmt.Sprintf("%d machines lost; spread services: %v; pinned: %v; %d tasks started, price %.2f; %.1f s of processor, %d MB allocated; %d violations",
-		m.machinesLost, &m.spread, &m.pinned, m.tasksStarted, m.price, m.processor.Seconds(), m.allocated>>20, len(m.violations))
+		m.machinesLost, &m.spread, &m.pinned, m.tasksStarted, m.cost, m.cpuTime.Seconds(), m.allocated>>20, len(m.violations))
 }
 
 // zoneFleet is a fleet over three zones and the work on it.
@@ -103,9 +103,9 @@
 	m := &zoneMeasurement{}
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		size := zoneClusterSize(l.recovery)
+		size := zoneClusterSpec(l.recovery)
 		size.poolSize = l.machines / 6
-		c := newLoadedZoneCluster(ctx, l.seed, zoneClusterOptions{size: size, recovery: l.recovery, workload: l.workload, adjust: l.adjust})
+		c := newLoadedZoneCluster(ctx, l.seed, zoneClusterOptions{spec: size, recovery: l.recovery, workload: l.workload, adjust: l.adjust})
 		c.setStoreLimits()
 		c.advanceWithArrays(60)
 		m.machinesLost = len(c.machinesIn("a"))
@@ -126,9 +126,9 @@
 func (m *zoneMeasurement) measureResources(f func()) {
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
-	processor := processorTime()
+	processor := processCPUTime()
 	f()
-	m.processor = processorTime() - processor
+	m.cpuTime = processCPUTime() - processor
 	runtime.ReadMemStats(&after)
 	m.allocated = after.TotalAlloc - before.TotalAlloc
 }
@@ -150,44 +150,44 @@
 		for _, j := range c.services {
 			if missing := j.TaskCount - c.invariants.RunningTasks(j.ID); missing > 0 {
 				degraded[j.ID] = true
-				m.of(j).replicaSecondsLost += float64(missing)
+				m.timesFor(j).replicaSecondsLost += float64(missing)
 			}
 		}
-		m.addPrice(c.cloud.Running())
+		m.addCost(c.cloud.Running())
 	}
 	for _, j := range c.services {
 		if !degraded[j.ID] {
 			continue
 		}
 		if duration, restored := c.restored[j.ID]; restored {
-			m.of(j).after = append(m.of(j).after, duration)
+			m.timesFor(j).restored = append(m.timesFor(j).restored, duration)
 		} else {
-			m.of(j).never++
+			m.timesFor(j).unrestored++
 		}
 	}
 }
 
-// addPrice adds what machines cost in a second.
-func (m *zoneMeasurement) addPrice(running []wire.Instance) {
+// addCost adds what machines cost in a second.
+func (m *zoneMeasurement) addCost(running []wire.Instance) {
 	for _, instance := range running {
 		price := zoneMachineTypes[0].HourlyPrice
 		if instance.Spot {
 			price = zoneMachineTypes[0].HourlySpotPrice
 		}
-		m.price += price / 3600
+		m.cost += price / 3600
 	}
 }
 
-// of is the figures of a service's kind.
-func (m *zoneMeasurement) of(j *wire.Job) *restoreTimes {
+// timesFor is the figures timesFor a service's kind.
+func (m *zoneMeasurement) timesFor(j *wire.Job) *restoreTimes {
 	if j.SpreadZones {
 		return &m.spread
 	}
 	return &m.pinned
 }
 
-// processorTime is what this process has used.
-func processorTime() time.Duration {
+// processCPUTime is what this process has used.
+func processCPUTime() time.Duration {
 	var usage syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) != nil {
 		return 0
--- a/cmd/lynxledge/zone_recovery_test.go
+++ b/cmd/lynxledge/zone_recovery_test.go
@@ -21,13 +21,13 @@
 		c.failUntilLost(t, "a")
 		c.advanceWithArrays(40)
 		c.healZone("a", 0)
-		c.mustLeave(t, "a", "lost")
+		c.waitForPhaseEnd(t, "a", "lost")
 	},
 	"zone partitioned, back within a lease": func(t *testing.T, c *zoneCluster) {
 		c.partitionUntilLost(t, "a", false)
 		c.advanceWithArrays(8)
 		c.healZone("a", 0)
-		c.mustReach(t, "a", "returning")
+		c.waitForPhase(t, "a", "returning")
 	},
 	"zone partitioned for longer than its leases": func(t *testing.T, c *zoneCluster) {
 		c.partitionZone("a", true)
@@ -51,7 +51,7 @@
 		c.partitionUntilLost(t, "a", false)
 		c.advanceWithArrays(10)
 		c.healZone("a", 2)
-		c.mustLeave(t, "a", "lost")
+		c.waitForPhaseEnd(t, "a", "lost")
 	},
 	"leader fails with the zone": func(t *testing.T, c *zoneCluster) {
 		zone := c.zoneOf(c.leader())
@@ -68,7 +68,7 @@
 	"the leader changes between two steps": func(t *testing.T, c *zoneCluster) {
 		c.partitionUntilLost(t, "a", false)
 		c.healZone("a", 0)
-		c.mustReach(t, "a", "returning")
+		c.waitForPhase(t, "a", "returning")
 		before := c.recoveries()
 		c.fastRestart(c.leader())
 		c.advanceWithArrays(4)
@@ -99,7 +99,7 @@
 		c.partitionZone("a", false)
 		c.advanceWithArrays(15)
 		c.store.SetOutage(false)
-		c.mustReach(t, "a", "lost")
+		c.waitForPhase(t, "a", "lost")
 		c.advanceWithArrays(10)
 		c.healZone("a", 0)
 	},
@@ -164,26 +164,26 @@
 func (c *zoneCluster) partitionUntilLost(t *testing.T, zone wire.Zone, holdMessages bool) {
 	t.Helper()
 	c.partitionZone(zone, holdMessages)
-	c.mustReach(t, zone, "lost")
+	c.waitForPhase(t, zone, "lost")
 }
 
 // failUntilLost stops a zone's machines and controllers until it is recorded as lost.
 func (c *zoneCluster) failUntilLost(t *testing.T, zone wire.Zone) {
 	t.Helper()
 	c.failZone(zone)
-	c.mustReach(t, zone, "lost")
+	c.waitForPhase(t, zone, "lost")
 }
 
-// mustReach lets time pass until a zone's recorded phase is reached.
-func (c *zoneCluster) mustReach(t *testing.T, zone wire.Zone, phase string) {
+// waitForPhase lets time pass until a zone's recorded phase is reached.
+func (c *zoneCluster) waitForPhase(t *testing.T, zone wire.Zone, phase string) {
 	t.Helper()
 	if !c.advanceUntil(60, func() bool { return c.recordedPhase(zone) == phase }) {
 		t.Errorf("zone %s is not %s but %s", zone, phase, c.recordedPhase(zone))
 	}
 }
 
-// mustLeave lets time pass until a zone's recorded phase is another.
-func (c *zoneCluster) mustLeave(t *testing.T, zone wire.Zone, phase string) {
+// waitForPhaseEnd lets time pass until a zone's recorded phase is another.
+func (c *zoneCluster) waitForPhaseEnd(t *testing.T, zone wire.Zone, phase string) {
 	t.Helper()
 	if !c.advanceUntil(120, func() bool { return c.recordedPhase(zone) != phase }) {
 		t.Errorf("zone %s is still %s", zone, phase)
@@ -293,7 +293,7 @@
 // Whatever happens to zones: no invariant is violated, no array goes ahead of a service while a
 // zone recovers, every service has all replicas in the end, and no zone stays withheld.
 func TestZoneRecoveryOfGeneratedLosses(t *testing.T) {
-	for seed := range generatedSequences {
+	for seed := range generatedFaultSequences {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			faults := genZoneFaults().Example(seed)
@@ -307,8 +307,8 @@
 	}
 }
 
-// generatedSequences is how many generated sequences are played.
-const generatedSequences = 64
+// generatedFaultSequences is how many generated sequences are played.
+const generatedFaultSequences = 64
 
 // Without the section, the records are those that the version in production knows, field
 // by field.
--- a/cmd/lynxledge/zones.go
+++ b/cmd/lynxledge/zones.go
@@ -17,7 +17,7 @@
 // statusTimeout bounds the request for a status page.
 const statusTimeout = 5 * time.Second
 
-// zonesCommand prints what a controller knows of the zones.
+// zonesCommand returns the command that prints the zones' state as one controller sees it.
 func zonesCommand() *cobra.Command {
 	var endpoint string
 	command := &cobra.Command{
@@ -33,11 +33,12 @@
 		},
 	}
 	command.Flags().StringVar(&endpoint, "endpoint", "", "mesh `address` of a controller (mesh_addr in its settings)")
-	_ = command.MarkFlagRequired("endpoint") // the flag exists
+	_ = command.MarkFlagRequired("endpoint") // fails only for a flag that is not defined
 	return command
 }
 
-// fetchStatus reads a status page of a controller. Its peer address speaks HTTP/2 alone.
+// fetchStatus reads a status page from a controller's peer address, which serves only HTTP/2
+// without TLS.
 func fetchStatus(ctx context.Context, endpoint, path string, status any) error {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
