--- a/cmd/lynxledge/controller.go
+++ b/cmd/lynxledge/controller.go
@@ -140,8 +140,8 @@
 	})
 }
 
-// subscribeReachable has the machines that send heartbeats to this controller reported to the
-// other controllers and to the autoscaler.
+// subscribeReachable reports the machines that send heartbeats to this controller to the other
+// controllers and to the autoscaler.
 func (c *controller) subscribeReachable() {
 	c.receiver.OnReachable(c.transport.AnnounceReachable)
 	c.receiver.OnReachable(c.autoscaler.MachinesReachable)
--- a/cmd/lynxledge/fleet_test.go
+++ b/cmd/lynxledge/fleet_test.go
@@ -208,7 +208,7 @@
 	r.advanceSubmitting(10 * time.Second)
 }
 
-// failStoreAndMachines lets the store have an outage, after which one machine in twenty fails.
+// failStoreAndMachines causes an outage of the store, after which one machine in twenty fails.
 func (r *fleetRun) failStoreAndMachines() {
 	r.store.SetOutage(true)
 	r.advanceSubmitting(15 * time.Second)
--- a/cmd/lynxledge/loopback_test.go
+++ b/cmd/lynxledge/loopback_test.go
@@ -59,7 +59,7 @@
 		role, how string
 		end       func(p *process)
 	}{
-		{"leader", "killed", c.kill}, {"scheduler", "killed", c.kill}, {"leader", "terminated", c.stop}, {"scheduler", "terminated", c.stop},
+		{"leader", "killed", c.kill}, {"scheduler", "killed", c.kill}, {"leader", "asked to leave", c.stop}, {"scheduler", "asked to leave", c.stop},
 	} {
 		took := c.failover(termination.role, termination.end)
 		t.Logf("%s %s: replaced after %v", termination.role, termination.how, took)
--- a/cmd/lynxledge/replica_move_faults_test.go
+++ b/cmd/lynxledge/replica_move_faults_test.go
@@ -16,12 +16,12 @@
 // another service is moved: machines have four CPUs, and zones b and c are full.
 type moveCluster struct {
 	*zoneCluster
-	blocking *wire.Job // has replicas in b and c, of which one may be moved to a
-	blocked  *wire.Job // may have only one of two replicas in a
+	blocking *wire.Job // has replicas in zones b and c, one of which may be moved to zone a
+	blocked  *wire.Job // may have only one of its two replicas in zone a
 }
 
-// withMoveCluster runs a test of a cluster with so many machines, and as many spot ones, in each
-// zone. It checks the invariants and shuts the cluster down.
+// withMoveCluster runs a test of a cluster with machinesPerZone machines, and as many spot ones, in
+// each zone. It checks the invariants and shuts the cluster down.
 func withMoveCluster(t *testing.T, seed uint64, machinesPerZone int, test func(c *moveCluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -233,8 +233,7 @@
 	})
 }
 
-// immovableReplicas submit services that fill zones b and c, none of whose replicas can be moved to
-// zone a.
+// immovableReplicas are ways to fill zones b and c with replicas that can't be moved to zone a.
 var immovableReplicas = map[string]func(t *testing.T, c *moveCluster){
 	"they save checkpoints": func(t *testing.T, c *moveCluster) {
 		c.fillZones(t, 2, func(j *wire.Job) { j.CheckpointInterval, j.CheckpointDuration = 10, 1 })
--- a/cmd/lynxledge/standby_test.go
+++ b/cmd/lynxledge/standby_test.go
@@ -137,7 +137,7 @@
 	}},
 }
 
-// roles is the content of the records of the term, the leader and the scheduler.
+// roles are the term, the leader and the scheduler as recorded in the store.
 type roles struct {
 	term              uint64
 	leader, scheduler string
