--- a/cmd/lynxledge/zone_measure_test.go
+++ b/cmd/lynxledge/zone_measure_test.go
@@ -16,47 +16,47 @@
 	"lynxledge/wire"
 )
 
-// zoneMeasurement is what one played loss of a zone gives.
+// zoneMeasurement holds the figures of one or more simulated losses of a zone.
 type zoneMeasurement struct {
-	spread, pinned restoreTimes // of services that may be elsewhere, and that may not
+	spread, pinned restoreTimes // of services that may run in other zones, and that may not
 	tasksStarted   int
-	price          float64 // of the machines, in machine hours at their prices
-	processor      time.Duration
+	cost           float64 // of the machines: machine hours times hourly price
+	cpuTime        time.Duration
 	allocated      uint64 // bytes
 	violations     []string
 	machinesLost   int
 }
 
-// restoreTimes is when services that lost replicas had all of them again.
+// restoreTimes tells when services that lost replicas had all of them again.
 type restoreTimes struct {
-	after              []time.Duration
-	never              int
-	replicaSecondsLost float64
+	restored           []time.Duration // time from the loss, of each restored service
+	unrestored         int             // number of services that were not restored
+	replicaSecondsLost float64         // sum over seconds of the replicas that did not run
 }
 
 func (r *restoreTimes) add(o *restoreTimes) {
-	r.after = append(r.after, o.after...)
-	r.never += o.never
+	r.restored = append(r.restored, o.restored...)
+	r.unrestored += o.unrestored
 	r.replicaSecondsLost += o.replicaSecondsLost
 }
 
 func (r *restoreTimes) String() string {
-	slices.Sort(r.after)
+	slices.Sort(r.restored)
 	median, last := time.Duration(0), time.Duration(0)
-	if n := len(r.after); n > 0 {
-		median, last = r.after[n/2], r.after[n-1]
+	if n := len(r.restored); n > 0 {
+		median, last = r.restored[n/2], r.restored[n-1]
 	}
 	return fmt.Sprintf("%d degraded, restored after %.0f s (median), %.0f s (last), %d never, %.0f replica seconds lost",
-		len(r.after)+r.never, median.Seconds(), last.Seconds(), r.never, r.replicaSecondsLost)
+		len(r.restored)+r.unrestored, median.Seconds(), last.Seconds(), r.unrestored, r.replicaSecondsLost)
 }
 
-// add adds the figures of another run.
+// add adds the figures of another measurement.
 func (m *zoneMeasurement) add(o *zoneMeasurement) {
 	m.spread.add(&o.spread)
 	m.pinned.add(&o.pinned)
 	m.tasksStarted += o.tasksStarted
-	m.price += o.price
-	m.processor += o.processor
+	m.cost += o.cost
+	m.cpuTime += o.cpuTime
 	m.allocated += o.allocated
 	m.violations = append(m.violations, o.violations...)
 	m.machinesLost += o.machinesLost
@@ -64,18 +64,18 @@
 
 func (m *zoneMeasurement) String() string {
 	return fmt.Sprintf("%d machines lost; spread services: %v; pinned: %v; %d tasks started, price %.2f; %.1f s of processor, %d MB allocated; %d violations",
-		m.machinesLost, &m.spread, &m.pinned, m.tasksStarted, m.price, m.processor.Seconds(), m.allocated>>20, len(m.violations))
+		m.machinesLost, &m.spread, &m.pinned, m.tasksStarted, m.cost, m.cpuTime.Seconds(), m.allocated>>20, len(m.violations))
 }
 
-// zoneFleet is a fleet over three zones and the work on it.
+// zoneFleet is a fleet over three zones, its work, and the number of seeds to run.
 type zoneFleet struct {
 	machines int
 	workload zoneWorkload
-	adjust   func(*config.Params) // changes the settings; nil: none
+	adjust   func(*config.Params) // changes the settings, if not nil
 	seeds    uint64
 }
 
-// zoneFleets are the fleets measured.
+// zoneFleets are the fleets that are measured.
 var zoneFleets = []zoneFleet{
 	{48, smallZoneWorkload, nil, 8},
 	{400, zoneWorkload{pinnedReplicas: 60, services: 90, arrayTasks: 110}, fastStore, 3},
@@ -89,7 +89,7 @@
 	p.Resources = config.ControllerResources{CPUCores: 0.34, MemoryMB: 220, FileDescriptorLimit: 9000}
 }
 
-// zoneLoss is one loss of a zone that is measured.
+// zoneLoss describes one measured loss of a zone.
 type zoneLoss struct {
 	zoneFleet
 	recovery bool // zone recovery is on
@@ -97,15 +97,15 @@
 	seed     uint64
 }
 
-// measure loses a zone and heals it about a minute later, and observes four minutes.
+// measure measures four minutes from the loss of a zone, which is healed after about one.
 func (l *zoneLoss) measure(t *testing.T) *zoneMeasurement {
 	t.Helper()
 	m := &zoneMeasurement{}
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		size := zoneClusterSize(l.recovery)
-		size.poolSize = l.machines / 6
-		c := newLoadedZoneCluster(ctx, l.seed, zoneClusterOptions{size: size, recovery: l.recovery, workload: l.workload, adjust: l.adjust})
+		spec := zoneClusterSpec(l.recovery)
+		spec.poolSize = l.machines / 6
+		c := newLoadedZoneCluster(ctx, l.seed, zoneClusterOptions{spec: spec, recovery: l.recovery, workload: l.workload, adjust: l.adjust})
 		c.setStoreLimits()
 		c.advanceWithArrays(60)
 		m.machinesLost = len(c.machinesIn("a"))
@@ -122,18 +122,20 @@
 	return m
 }
 
-// measureResources adds the processor time and the memory that a function uses.
+// measureResources records the CPU time that the process uses and the memory that it allocates
+// while f runs.
 func (m *zoneMeasurement) measureResources(f func()) {
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
-	processor := processorTime()
+	cpuTimeBefore := processCPUTime()
 	f()
-	m.processor = processorTime() - processor
+	m.cpuTime = processCPUTime() - cpuTimeBefore
 	runtime.ReadMemStats(&after)
 	m.allocated = after.TotalAlloc - before.TotalAlloc
 }
 
-// loseAndHeal loses a zone and heals it, and measures what is missing and spent meanwhile.
+// loseAndHeal makes a zone fail or be partitioned, heals it, and records lost replicas and cost in
+// the meantime.
 func (l *zoneLoss) loseAndHeal(c *zoneCluster, m *zoneMeasurement) {
 	if l.fail {
 		c.failZone("a")
@@ -141,7 +143,7 @@
 		c.partitionZone("a", false)
 	}
 	degraded := map[wire.JobID]bool{}
-	healAfter := 48 + 4*int(l.seed) // or all runs would heal at the same moment of a retry
+	healAfter := 48 + 4*int(l.seed) // by seed: otherwise all runs would heal at the same point of a retry interval
 	for second := range 240 {
 		if second == healAfter {
 			c.healZone("a", 0)
@@ -150,44 +152,44 @@
 		for _, j := range c.services {
 			if missing := j.TaskCount - c.invariants.RunningTasks(j.ID); missing > 0 {
 				degraded[j.ID] = true
-				m.of(j).replicaSecondsLost += float64(missing)
+				m.timesFor(j).replicaSecondsLost += float64(missing)
 			}
 		}
-		m.addPrice(c.cloud.Running())
+		m.addCost(c.cloud.Running())
 	}
 	for _, j := range c.services {
 		if !degraded[j.ID] {
 			continue
 		}
 		if duration, restored := c.restored[j.ID]; restored {
-			m.of(j).after = append(m.of(j).after, duration)
+			m.timesFor(j).restored = append(m.timesFor(j).restored, duration)
 		} else {
-			m.of(j).never++
+			m.timesFor(j).unrestored++
 		}
 	}
 }
 
-// addPrice adds what machines cost in a second.
-func (m *zoneMeasurement) addPrice(running []wire.Instance) {
+// addCost adds the cost of running machines for a second.
+func (m *zoneMeasurement) addCost(running []wire.Instance) {
 	for _, instance := range running {
 		price := zoneMachineTypes[0].HourlyPrice
 		if instance.Spot {
 			price = zoneMachineTypes[0].HourlySpotPrice
 		}
-		m.price += price / 3600
+		m.cost += price / 3600
 	}
 }
 
-// of is the figures of a service's kind.
-func (m *zoneMeasurement) of(j *wire.Job) *restoreTimes {
+// timesFor returns the restore times of services of the same kind, spread or pinned.
+func (m *zoneMeasurement) timesFor(j *wire.Job) *restoreTimes {
 	if j.SpreadZones {
 		return &m.spread
 	}
 	return &m.pinned
 }
 
-// processorTime is what this process has used.
-func processorTime() time.Duration {
+// processCPUTime returns the user and system CPU time that this process has used.
+func processCPUTime() time.Duration {
 	var usage syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) != nil {
 		return 0
@@ -195,8 +197,8 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// TestMeasureZoneLoss prints what a zone's loss and return cost with and without zone
-// recovery, on the same days and seeds. Run with: go test -tags measure -run
+// TestMeasureZoneLoss prints what the loss and return of a zone cost with and without zone
+// recovery, with the same workloads and seeds. Run with: go test -tags measure -run
 // TestMeasureZoneLoss -v -timeout 60m ./cmd/lynxledge
 func TestMeasureZoneLoss(t *testing.T) {
 	for _, fleet := range zoneFleets {
