--- a/cmd/lynxledge/controller.go
+++ b/cmd/lynxledge/controller.go
@@ -99,7 +99,7 @@
 // controllers, the receiver those of workers.
 func (c *controller) startHeartbeatHandling(ctx context.Context) {
 	c.transport = peer.Start(ctx, peer.Options{Config: c.config, Dial: c.clients.dialPeer, FreshAsOf: c.cache.FreshAsOf})
-	c.receiver = heartbeat.Start(ctx, heartbeat.Options{Config: c.config, Cache: c.cache, Routes: heartbeat.Routes{
+	c.receiver = heartbeat.Start(ctx, heartbeat.Options{Config: c.config, Cache: c.cache, Callbacks: heartbeat.Callbacks{
 		FreshPeer:    c.transport.FreshPeer,
 		Isolated:     c.transport.Isolated,
 		SendEvidence: c.transport.SendEvidence,
--- a/internal/apiserver/bench_test.go
+++ b/internal/apiserver/bench_test.go
@@ -37,7 +37,7 @@
 	cfg.Params.Teams = []config.TeamQuota{{Name: "red"}}
 	conn := &simulation.StoreConn{Store: simulation.NewStore(), Network: simulation.NewNetwork(1, 0), Member: "n0", Timeout: time.Second}
 	cache := statecache.Start(ctx, conn, statecache.Options{ChunkTasks: statecache.ChunkTasks(4), WatchHold: time.Second, MaxViewAge: time.Second, Backoff: 100 * time.Millisecond})
-	receiver := heartbeat.Start(ctx, heartbeat.Options{Config: cfg, Cache: cache, Routes: heartbeat.Routes{
+	receiver := heartbeat.Start(ctx, heartbeat.Options{Config: cfg, Cache: cache, Callbacks: heartbeat.Callbacks{
 		FreshPeer:     func() string { return "" },
 		Isolated:      func() bool { return false },
 		ApplyEvidence: func(reconcile.Evidence, time.Duration) {},
--- a/internal/heartbeat/evidence.go
+++ b/internal/heartbeat/evidence.go
@@ -25,11 +25,11 @@
 	wait := time.Duration(0)
 	if scheduler := r.activeScheduler(); scheduler != "" && scheduler != r.config.MemberName {
 		wait = r.config.Params.Workers.Heartbeats(evidenceWaitHeartbeats)
-		if !r.routes.SendEvidence(scheduler, evidence) {
+		if !r.callbacks.SendEvidence(scheduler, evidence) {
 			unreachableScheduler = scheduler
 		}
 	}
-	r.routes.ApplyEvidence(evidence, wait)
+	r.callbacks.ApplyEvidence(evidence, wait)
 	return unreachableScheduler
 }
 
--- a/internal/heartbeat/receiver.go
+++ b/internal/heartbeat/receiver.go
@@ -11,8 +11,8 @@
 	"lynxledge/wire"
 )
 
-// Routes are the functions through which a Receiver uses the other actors of its controller.
-type Routes struct {
+// Callbacks are the functions through which a Receiver uses the other actors of its controller.
+type Callbacks struct {
 	// FreshPeer returns the name of a controller with a fresh view; empty if there is none.
 	FreshPeer func() string
 	// Isolated reports whether there are other controllers but none is reachable.
@@ -26,17 +26,17 @@
 
 // Options configures a Receiver.
 type Options struct {
-	Config *config.Config
-	Cache  *statecache.Cache
-	Routes Routes
+	Config    *config.Config
+	Cache     *statecache.Cache
+	Callbacks Callbacks
 }
 
 // Receiver is the actor that receives and answers the workers' heartbeats.
 type Receiver struct {
 	*actor.Actor
-	config *config.Config
-	cache  *statecache.Cache
-	routes Routes
+	config    *config.Config
+	cache     *statecache.Cache
+	callbacks Callbacks
 
 	view                 *statecache.View
 	freshAsOf            time.Time
@@ -53,7 +53,7 @@
 		Actor:                actor.Start(ctx, "heartbeat", 512),
 		config:               o.Config,
 		cache:                o.Cache,
-		routes:               o.Routes,
+		callbacks:            o.Callbacks,
 		view:                 statecache.NewUnfinishedView(statecache.ChunkTasks(o.Config.Params.Store.MaxValueKB)),
 		machineStates:        map[wire.MachineID]*machineState{},
 		refusedWhileIsolated: map[wire.MachineID]bool{},
--- a/internal/heartbeat/receiver_test.go
+++ b/internal/heartbeat/receiver_test.go
@@ -16,7 +16,7 @@
 )
 
 // controller is a Receiver with a cache of a store that holds one machine, i-1, and one job,
-// req-000001. freshPeer and isolated are returned by its Routes.
+// req-000001. freshPeer and isolated are returned by its Callbacks.
 type controller struct {
 	cache     *statecache.Cache
 	receiver  *Receiver
@@ -33,7 +33,7 @@
 	cache := statecache.Start(ctx, store, statecache.Options{ChunkTasks: statecache.ChunkTasks(8), WatchHold: time.Second, MaxViewAge: time.Second, Backoff: 100 * time.Millisecond})
 	c := &controller{cache: cache}
 	localScheduler := scheduler.Start(ctx, scheduler.Options{Config: cfg, Incarnation: 1, Cache: cache, OnCommandResponse: func(*wire.Heartbeat) {}})
-	c.receiver = Start(ctx, Options{Config: cfg, Cache: cache, Routes: Routes{
+	c.receiver = Start(ctx, Options{Config: cfg, Cache: cache, Callbacks: Callbacks{
 		FreshPeer:     func() string { return c.freshPeer },
 		Isolated:      func() bool { return c.isolated },
 		ApplyEvidence: localScheduler.HandleEvidence,
--- a/internal/heartbeat/renewal.go
+++ b/internal/heartbeat/renewal.go
@@ -33,9 +33,9 @@
 		return true
 	case viewAge <= min(r.renewalWindow()/2, r.config.Params.Workers.HeartbeatInterval):
 		return false
-	case r.routes.FreshPeer() != "":
+	case r.callbacks.FreshPeer() != "":
 		return true
-	case r.routes.Isolated() && !r.refusedWhileIsolated[machine]:
+	case r.callbacks.Isolated() && !r.refusedWhileIsolated[machine]:
 		r.refusedWhileIsolated[machine] = true
 		return true
 	}
--- a/internal/heartbeat/respond.go
+++ b/internal/heartbeat/respond.go
@@ -38,7 +38,7 @@
 	switch {
 	case r.shouldRefuse(heartbeat.Machine, now.Sub(r.freshAsOf)):
 		r.observeRefused(heartbeat, machine, now)
-		reply(redirected(r.routes.FreshPeer()))
+		reply(redirected(r.callbacks.FreshPeer()))
 	case mayRefresh && recordOutdated(machine, heartbeat):
 		r.refreshAndRespond(heartbeat, reply)
 	case machine == nil:
@@ -74,7 +74,7 @@
 	r.cache.Refresh(func(err error) {
 		r.Send(func() {
 			if err != nil {
-				reply(redirected(r.routes.FreshPeer()))
+				reply(redirected(r.callbacks.FreshPeer()))
 				return
 			}
 			r.respond(heartbeat, reply, false)
