--- a/internal/autoscaler/planning_input.go
+++ b/internal/autoscaler/planning_input.go
@@ -37,7 +37,7 @@
 		in.AvoidedZone = func(zone wire.Zone) bool { return a.zoneRecoveryPolicy.IsLost(a.view.ZoneRecoveries, zone) }
 	}
 	in.Demands = slices.Concat(gatherer.runnableDemands(), gatherer.upcomingDemands(waits), gatherer.replacementDemands())
-	in.Machines = append(gatherer.machines(a.zoneRecoveryPolicy.WithheldSeconds(now, a.view)), gatherer.unnamedMachines()...)
+	in.Machines = append(gatherer.machines(a.zoneRecoveryPolicy.SecondsUntilAdmitted(now, a.view)), gatherer.unnamedMachines()...)
 	return in
 }
 
--- a/internal/autoscaler/planning_machines.go
+++ b/internal/autoscaler/planning_machines.go
@@ -9,9 +9,9 @@
 	"lynxledge/wire"
 )
 
-// machines returns the machines of the view with their tasks. withheldSeconds is, for
-// machines that are up but withheld while their zone recovers, the time until they take tasks.
-func (g *inputGatherer) machines(withheldSeconds map[wire.MachineID]float64) []planner.Machine {
+// machines returns the machines of the view with their tasks. secondsUntilAdmitted is, for machines
+// that are up but not admitted yet while their zone recovers, the time until they take tasks.
+func (g *inputGatherer) machines(secondsUntilAdmitted map[wire.MachineID]float64) []planner.Machine {
 	machines := make([]planner.Machine, 0, len(g.view.Machines))
 	for name, record := range g.view.Machines {
 		m := planner.Machine{
@@ -26,7 +26,7 @@
 			// An overdue boot may never finish: the machine no longer counts as capacity.
 			m.Schedulable = m.Schedulable && !g.machineTypes.isBootOverdue(record, g.now)
 		}
-		m.ReadyInSeconds = max(m.ReadyInSeconds, withheldSeconds[name])
+		m.ReadyInSeconds = max(m.ReadyInSeconds, secondsUntilAdmitted[name])
 		machines = append(machines, m)
 	}
 	return machines
--- a/internal/recovery/scaling_policy.go
+++ b/internal/recovery/scaling_policy.go
@@ -51,24 +51,24 @@
 	})
 }
 
-// WithheldSeconds returns the seconds until each schedulable machine is admitted, for machines
-// that are not admitted yet.
-func (p *ScalingPolicy) WithheldSeconds(now time.Time, view *statecache.View) map[wire.MachineID]float64 {
+// SecondsUntilAdmitted returns, for each schedulable machine that is not admitted yet, the seconds
+// until it is.
+func (p *ScalingPolicy) SecondsUntilAdmitted(now time.Time, view *statecache.View) map[wire.MachineID]float64 {
 	if p == nil || !Recovering(view.ZoneRecoveries) {
 		return nil
 	}
 	schedules := p.admissionSchedules(now, view)
-	withheld := map[wire.MachineID]float64{}
+	seconds := map[wire.MachineID]float64{}
 	for name, machine := range view.Machines {
 		schedule, recorded := schedules[machine.Zone]
 		if !recorded || !machine.Schedulable() {
 			continue
 		}
-		if seconds := schedule.secondsUntilAdmitted(admissionRank(name)); seconds > 0 {
-			withheld[name] = seconds
+		if s := schedule.secondsUntilAdmitted(admissionRank(name)); s > 0 {
+			seconds[name] = s
 		}
 	}
-	return withheld
+	return seconds
 }
 
 // admissionSchedules returns the schedules of the zones that are in the recovery record.
--- a/internal/recovery/scaling_policy_test.go
+++ b/internal/recovery/scaling_policy_test.go
@@ -12,9 +12,9 @@
 
 var scalingTestPolicy = zonehealth.Policy{AdmissionSteps: []float64{0.25, 0.5, 1}, StepDuration: 5 * time.Second, MaxHoldDown: time.Minute}
 
-// withheld returns how many of a zone's twelve machines are not admitted yet, by the seconds
+// notAdmitted returns how many of a zone's twelve machines are not admitted yet, by the seconds
 // until they are.
-func withheld(now time.Time, zone statecache.ZoneRecovery) map[float64]int {
+func notAdmitted(now time.Time, zone statecache.ZoneRecovery) map[float64]int {
 	view := statecache.NewUnfinishedView(8)
 	zone.Zone = "a"
 	view.ZoneRecoveries = &statecache.ZoneRecoveries{Zones: []statecache.ZoneRecovery{zone}}
@@ -24,15 +24,15 @@
 		view.Machines["b-"+name] = &statecache.Machine{Name: "b-" + name, Zone: "b", Incarnation: 1}
 	}
 	counts := map[float64]int{}
-	for _, seconds := range (&ScalingPolicy{policy: scalingTestPolicy}).WithheldSeconds(now, view) {
+	for _, seconds := range (&ScalingPolicy{policy: scalingTestPolicy}).SecondsUntilAdmitted(now, view) {
 		counts[seconds]++
 	}
 	return counts
 }
 
-// Machines of a returning zone are withheld until the step that admits them, those of a lost
-// zone until MaxHoldDown has passed, and those of other zones not at all.
-func TestWithheldSeconds(t *testing.T) {
+// Machines of a returning zone are admitted by one of its steps, those of a lost zone once
+// MaxHoldDown has passed, and those of other zones are admitted now.
+func TestSecondsUntilAdmitted(t *testing.T) {
 	now := time.Unix(1000, 0)
 	lost := statecache.TimestampOf(now.Add(-20 * time.Second))
 	for _, c := range []struct {
@@ -46,8 +46,8 @@
 		{statecache.ZoneRecovery{Phase: "lost", Since: lost}, map[float64]int{40: 12}},
 		{statecache.ZoneRecovery{Phase: "degraded"}, map[float64]int{}},
 	} {
-		if got := withheld(now, c.zone); fmt.Sprint(got) != fmt.Sprint(c.want) {
-			t.Errorf("%s at step %d: withheld machines by seconds %v, not %v", c.zone.Phase, c.zone.Step, got, c.want)
+		if got := notAdmitted(now, c.zone); fmt.Sprint(got) != fmt.Sprint(c.want) {
+			t.Errorf("%s at step %d: machines not admitted by seconds %v, not %v", c.zone.Phase, c.zone.Step, got, c.want)
 		}
 	}
 }
