--- a/cmd/lynxledge/cache_options.go
+++ b/cmd/lynxledge/cache_options.go
@@ -33,7 +33,7 @@
 		MaxValueBytes:           store.ValueSizeLimit(),
 		MaxCompletionChunkBytes: int(store.MaxValueKB * 1024),
 		OnThrottled:             limits.ObserveThrottled,
-		OnSizeRejected:          limits.ObserveLowerSizeLimit,
+		OnSizeRejected:          limits.ObserveSizeRejected,
 		JobCountWarning:         jobCountWarning(cfg.Params.Resources),
 	}
 }
--- a/internal/scheduler/completions_test.go
+++ b/internal/scheduler/completions_test.go
@@ -60,7 +60,7 @@
 					t.Errorf("before a size was rejected: task %d is added to %v", task, id)
 				}
 			}
-			s.storeLimits.ObserveLowerSizeLimit()
+			s.storeLimits.ObserveSizeRejected()
 			for task, from := range map[int]int{0: statecache.WholeChunk, part - 1: statecache.WholeChunk, part: part, 9000: 9000 / part * part} {
 				if id := c.completionChunkFor("req-000001", task); id != (statecache.CompletionChunkID{FirstTask: from}) {
 					t.Errorf("after a size was rejected: task %d is added to %v", task, id)
--- a/internal/storelimits/tracker.go
+++ b/internal/storelimits/tracker.go
@@ -50,9 +50,9 @@
 	}
 }
 
-// ObserveLowerSizeLimit records that the store rejected a value whose size is within the present
-// limits.
-func (t *Tracker) ObserveLowerSizeLimit() {
+// ObserveSizeRejected records that the store rejected a value whose size is within the present
+// limits, which proves that the upcoming ones are in force.
+func (t *Tracker) ObserveSizeRejected() {
 	if t == nil {
 		return
 	}
@@ -64,8 +64,8 @@
 	t.upcomingProven = true
 }
 
-// LowerLimitsInForce reports whether the upcoming limits are proven to be in force.
-func (t *Tracker) LowerLimitsInForce() bool {
+// UpcomingLimitsInForce reports whether the upcoming limits are proven to be in force.
+func (t *Tracker) UpcomingLimitsInForce() bool {
 	if t == nil {
 		return false
 	}
--- a/internal/storelimits/tracker_test.go
+++ b/internal/storelimits/tracker_test.go
@@ -37,7 +37,7 @@
 		want("after persistent throttling", 35)
 		time.Sleep(time.Minute)
 		want("a minute later", 50)
-		tracker.ObserveLowerSizeLimit()
+		tracker.ObserveSizeRejected()
 		want("after a size was rejected", 35)
 		limits.Upcoming = nil
 		want("without upcoming limits", 50)
