--- a/internal/apiserver/cancel.go
+++ b/internal/apiserver/cancel.go
@@ -64,7 +64,7 @@
 	key := statecache.Key(statecache.KindJob, string(id))
 	outcome, ok := s.commit(ctx, statecache.Commit{
 		Preconditions: []wire.Precondition{{Key: key, ModRevision: snapshot.job.ModRevision}},
-		Puts:          []statecache.Put{{Key: key, Record: snapshot.job.Cancelled(statecache.TimestampOf(time.Now()))}},
+		Puts:          []statecache.Put{{Key: key, Record: snapshot.job.AsCancelled(statecache.TimestampOf(time.Now()))}},
 	})
 	switch {
 	case ok && outcome == statecache.Committed:
--- a/internal/scheduler/completions.go
+++ b/internal/scheduler/completions.go
@@ -28,7 +28,7 @@
 		if !hasAssignments || c.ops() >= c.limit/2 || !c.canAddPrecondition() {
 			return
 		}
-		c.cancellations[id] = job.Cancelled(job.FinishedAt)
+		c.cancellations[id] = job.AsCancelled(job.FinishedAt)
 		c.jobPreconditions[id] = job.ModRevision
 	}
 }
--- a/internal/statecache/job.go
+++ b/internal/statecache/job.go
@@ -34,9 +34,9 @@
 	return max(j.SubmittedAt, j.DependenciesDoneAt)
 }
 
-// Cancelled returns the record of the cancelled job. It omits the fields that only the start of
+// AsCancelled returns the record of the cancelled job. It omits the fields that only the start of
 // tasks needs, so that the record fits even if the limit of values has fallen since.
-func (j *Job) Cancelled(at Timestamp) *Job {
+func (j *Job) AsCancelled(at Timestamp) *Job {
 	next := &Job{State: wire.JobCancelled, TaskCount: j.TaskCount, SubmittedAt: j.SubmittedAt, FinishedAt: at}
 	if j.Spec != nil {
 		spec := *j.Spec
