--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -16,18 +16,18 @@
 
 // Client calls the cloud's API.
 type Client struct {
-	service *httpjson.Service
+	client  *httpjson.Client
 	timeout time.Duration
 }
 
 // New returns a client of the cloud at addr that makes at most a share of the cloud's requestRate,
 // in requests per second.
 func New(addr string, requestRate, share float64, timeout time.Duration) *Client {
-	return &Client{service: httpjson.NewService(addr, requestRate*share, timeout, idleConns), timeout: timeout}
+	return &Client{client: httpjson.NewClient(addr, requestRate*share, timeout, idleConns), timeout: timeout}
 }
 
 func (c *Client) call(ctx context.Context, method, path string, in, out any) error {
-	return translateError(c.service.Call(ctx, c.timeout, method, path, in, out))
+	return translateError(c.client.Call(ctx, c.timeout, method, path, in, out))
 }
 
 // MachineTypes returns the machine types that the cloud offers, with their prices.
--- a/internal/httpjson/service.go
+++ b/internal/httpjson/rate_limited_client.go
@@ -24,17 +24,17 @@
 // Error implements the error interface.
 func (e *StatusError) Error() string { return fmt.Sprintf("status %d: %.200s", e.StatusCode, e.Body) }
 
-// Service is a client of a JSON service that limits its own request rate.
-type Service struct {
+// Client is a client of a JSON service that limits its own request rate.
+type Client struct {
 	baseURL    string
 	httpClient *http.Client
 	limiter    *rate.Limiter
 }
 
-// NewService returns a client of the service at addr that sends up to requestRate requests per
+// NewClient returns a client of the service at addr that sends up to requestRate requests per
 // second and keeps up to idleConns idle connections.
-func NewService(addr string, requestRate float64, dialTimeout time.Duration, idleConns int) *Service {
-	return &Service{
+func NewClient(addr string, requestRate float64, dialTimeout time.Duration, idleConns int) *Client {
+	return &Client{
 		baseURL: "http://" + addr, httpClient: NewHTTPClient(dialTimeout, idleConns, 0),
 		limiter: rate.NewLimiter(rate.Limit(requestRate), max(1, int(requestRate))),
 	}
@@ -43,11 +43,11 @@
 // Call sends in as JSON, unless it is nil, and decodes the response into out, unless that is nil.
 // The request was certainly not executed if the error is ErrRateLimited or ErrNotSent. Other
 // errors are *StatusError and those of the transport and of decoding the response.
-func (s *Service) Call(ctx context.Context, timeout time.Duration, method, path string, in, out any) error {
-	if err := Wait(ctx, s.limiter, 1); err != nil {
+func (c *Client) Call(ctx context.Context, timeout time.Duration, method, path string, in, out any) error {
+	if err := Wait(ctx, c.limiter, 1); err != nil {
 		return err
 	}
-	status, body, err := Call(ctx, s.httpClient, timeout, method, s.baseURL+path, in)
+	status, body, err := Call(ctx, c.httpClient, timeout, method, c.baseURL+path, in)
 	switch {
 	case err != nil:
 		return err
--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -19,7 +19,7 @@
 
 // Client is a client for the key-value store.
 type Client struct {
-	service      *httpjson.Service
+	client       *httpjson.Client
 	writeLimiter *rate.Limiter
 	timeout      time.Duration
 }
@@ -28,14 +28,14 @@
 // see to it that all controllers together stay within the store's rates.
 func New(addr string, requestRate, writeRate float64, maxTxnOps int, timeout time.Duration) *Client {
 	return &Client{
-		service:      httpjson.NewService(addr, requestRate, timeout, idleConns),
+		client:       httpjson.NewClient(addr, requestRate, timeout, idleConns),
 		writeLimiter: rate.NewLimiter(rate.Limit(writeRate), max(maxTxnOps, int(writeRate))),
 		timeout:      timeout,
 	}
 }
 
 func (c *Client) call(ctx context.Context, timeout time.Duration, method, path string, in, out any) error {
-	return translate(c.service.Call(ctx, timeout, method, path, in, out))
+	return translate(c.client.Call(ctx, timeout, method, path, in, out))
 }
 
 // List returns a page of the keys with a prefix, in order: up to limit of those that follow the
