--- a/cmd/lynxledge/sim_faults_test.go
+++ b/cmd/lynxledge/sim_faults_test.go
@@ -225,7 +225,7 @@
 		return
 	}
 	for _, actor := range c.actors[member] {
-		actor.Post(func() { time.Sleep(duration) })
+		actor.TrySend(func() { time.Sleep(duration) })
 	}
 }
 
--- a/internal/actor/actor.go
+++ b/internal/actor/actor.go
@@ -44,8 +44,8 @@
 	message()
 }
 
-// Post sends a message without blocking. It reports whether the mailbox had room for it.
-func (a *Actor) Post(message func()) bool {
+// TrySend sends a message without blocking. It reports whether the mailbox had room for it.
+func (a *Actor) TrySend(message func()) bool {
 	select {
 	case a.mailbox <- message:
 		return true
@@ -83,7 +83,7 @@
 // full or the actor ends before that.
 func Ask[T any](a *Actor, f func(reply func(T))) (v T, ok bool) {
 	replies := make(chan T, 1)
-	if !a.Post(func() { f(func(v T) { replies <- v }) }) {
+	if !a.TrySend(func() { f(func(v T) { replies <- v }) }) {
 		return v, false
 	}
 	select {
--- a/internal/apiserver/snapshot.go
+++ b/internal/apiserver/snapshot.go
@@ -28,7 +28,7 @@
 			refreshed <- err
 			return
 		}
-		if !s.Post(func() { refreshed <- nil }) { // runs after the updates that the refresh sent to the mailbox
+		if !s.TrySend(func() { refreshed <- nil }) { // runs after the updates that the refresh sent to the mailbox
 			refreshed <- errStoreUnreachable
 		}
 	})
--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -118,7 +118,7 @@
 // MachinesReachable reports machines whose heartbeats reached any controller.
 func (a *Autoscaler) MachinesReachable(machines []wire.MachineID) {
 	now := time.Now()
-	a.Post(func() { a.liveness.heartbeatsReceived(machines, now) })
+	a.TrySend(func() { a.liveness.heartbeatsReceived(machines, now) })
 }
 
 // apply applies an update of the cache to the view and to what is derived from it.
--- a/internal/election/handover.go
+++ b/internal/election/handover.go
@@ -12,7 +12,7 @@
 // the former leader fails, and its launches carry older fencing tokens. A former leader that is
 // still alive loses its leadership but nothing else.
 func (e *Election) ClaimLeadership(revision uint64) {
-	e.Post(func() {
+	e.TrySend(func() {
 		if e.requestBlocked() || e.lease.id == 0 || e.view.Leader == nil || e.view.Leader.ModRevision != revision {
 			return
 		}
@@ -25,7 +25,7 @@
 // incarnation, conditional on that record's revision. A member that is still alive registers
 // again, and may be assigned teams again.
 func (e *Election) EvictMember(name string, incarnation uint64) {
-	e.Post(func() {
+	e.TrySend(func() {
 		member := e.view.Members[name]
 		if e.requestBlocked() || !e.isLeader() || member == nil || member.Incarnation != incarnation {
 			return
--- a/internal/heartbeat/respond.go
+++ b/internal/heartbeat/respond.go
@@ -19,7 +19,7 @@
 // is forwarded, but it gets no response. It doesn't mark the machine as reachable, since it doesn't
 // show that the machine's own heartbeats, which alone renew its lease, reach any controller.
 func (r *Receiver) HandleCommandResponse(heartbeat *wire.Heartbeat) {
-	r.Post(func() {
+	r.TrySend(func() {
 		machine := r.view.Machines[heartbeat.Machine]
 		if machine == nil {
 			return
--- a/internal/peer/stream.go
+++ b/internal/peer/stream.go
@@ -161,6 +161,6 @@
 			t.observer.ConnectionOpened(sender)
 		}
 		t.observer.Heartbeat(heartbeat.Member, heartbeat.Incarnation)
-		t.Post(func() { t.handleHeartbeat(heartbeat) })
+		t.TrySend(func() { t.handleHeartbeat(heartbeat) })
 	}
 }
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -85,7 +85,7 @@
 // are assigned to this process, otherwise after wait unless another process has written it.
 // Evidence is dropped while the scheduler's mailbox is full.
 func (s *Scheduler) HandleEvidence(evidence reconcile.Evidence, wait time.Duration) {
-	s.Post(func() {
+	s.TrySend(func() {
 		if s.evidence.add(evidence, time.Now().Add(wait)) {
 			s.schedule()
 		}
@@ -95,7 +95,7 @@
 // WithClusterState runs f in the scheduler's actor with the current state of the cluster. It
 // returns false without running f if the scheduler's mailbox is full.
 func (s *Scheduler) WithClusterState(f func(placement.ClusterState)) bool {
-	return s.Post(func() { f(s.clusterState()) })
+	return s.TrySend(func() { f(s.clusterState()) })
 }
 
 // apply applies an update from the state cache, and schedules a cycle if anything changed.
--- a/internal/standby/standby.go
+++ b/internal/standby/standby.go
@@ -55,7 +55,7 @@
 }
 
 // mailboxSize is the number of messages that the actor's mailbox holds. While it is full, Send
-// blocks and Post drops the message.
+// blocks and TrySend drops the message.
 const mailboxSize = 512
 
 // checksPerHeartbeat is the number of failure detector checks per heartbeat interval.
@@ -104,12 +104,12 @@
 
 // ConnectionOpened records a new connection from or to a controller.
 func (s *Standby) ConnectionOpened(member string) {
-	s.Post(func() { s.detector.ConnectionOpened(member) })
+	s.TrySend(func() { s.detector.ConnectionOpened(member) })
 }
 
 // ConnectionClosed records the end of a connection from or to a controller.
 func (s *Standby) ConnectionClosed(member string) {
-	s.Post(func() { s.detector.ConnectionClosed(time.Now(), member) })
+	s.TrySend(func() { s.detector.ConnectionClosed(time.Now(), member) })
 }
 
 // Heartbeat records a heartbeat of a controller's process. It refutes this controller's verdict on
@@ -117,7 +117,7 @@
 // controllers hold down verdicts on the member. If only those with a verdict of their own did so,
 // leadership could move on from one controller to the next.
 func (s *Standby) Heartbeat(member string, incarnation uint64) {
-	s.Post(func() {
+	s.TrySend(func() {
 		now := time.Now()
 		if !s.detector.Heartbeat(now, member, incarnation) {
 			return
--- a/internal/statecache/refresh.go
+++ b/internal/statecache/refresh.go
@@ -14,7 +14,7 @@
 // ErrOverloaded, if the actor's mailbox is full. Concurrent requests share a read. ErrNotLoaded,
 // ErrOverloaded and the errors of the store are temporary.
 func (c *Cache) Refresh(reply func(error)) {
-	if !c.Post(func() { c.refresh(reply) }) {
+	if !c.TrySend(func() { c.refresh(reply) }) {
 		reply(ErrOverloaded)
 	}
 }
--- a/internal/zonecontrol/controller.go
+++ b/internal/zonecontrol/controller.go
@@ -59,7 +59,7 @@
 	Policy      zonehealth.Policy
 }
 
-// mailboxSize is the number of queued messages at which Send blocks and Post drops its message.
+// mailboxSize is the number of queued messages at which Send blocks and TrySend drops its message.
 const mailboxSize = 256
 
 // checksPerHeartbeat is how many times per heartbeat interval the evidence is evaluated.
@@ -94,13 +94,13 @@
 
 // MachinesReachable records that a controller has received heartbeats from machines.
 func (c *Controller) MachinesReachable(controller string, machines []wire.MachineID) {
-	c.Post(func() { c.reachability.MachinesReachable(controller, machines) })
+	c.TrySend(func() { c.reachability.MachinesReachable(controller, machines) })
 }
 
 // PoolExhausted records that the cloud has no machines in a pool; it is not asked again before
 // until.
 func (c *Controller) PoolExhausted(pool resources.Pool, until time.Time) {
-	c.Post(func() { c.exhaustedPools[pool] = until })
+	c.TrySend(func() { c.exhaustedPools[pool] = until })
 }
 
 // apply applies an update of the cache.
--- a/internal/zonecontrol/status.go
+++ b/internal/zonecontrol/status.go
@@ -82,7 +82,7 @@
 func (c *Controller) Status(ctx context.Context) (*Status, error) {
 	zones := make(chan *Status, 1)
 	services := make(chan []ServiceStatus, 1)
-	queued := c.Post(func() { zones <- c.statusWithoutServices(time.Now()) }) &&
+	queued := c.TrySend(func() { zones <- c.statusWithoutServices(time.Now()) }) &&
 		c.scheduler.WithClusterState(func(cluster placement.ClusterState) { services <- serviceStatuses(cluster) })
 	if !queued {
 		return nil, ErrBusy
