--- a/internal/placement/replica_move.go
+++ b/internal/placement/replica_move.go
@@ -21,9 +21,9 @@
 
 func (m *replicaMove) task() *RunningTask { return &m.node.Tasks[m.index] }
 
-// CanBeMadeRoomFor reports whether replicas may be moved to make room for a job: only for a service
+// MayMoveReplicasFor reports whether replicas may be moved to make room for a job: only for a service
 // whose zones are constrained.
-func CanBeMadeRoomFor(job *wire.Job) bool {
+func MayMoveReplicasFor(job *wire.Job) bool {
 	return job.IsService() && (job.Zone != "" || job.SpreadZones || job.SingleZone)
 }
 
@@ -31,7 +31,7 @@
 // make room for a task that must run in the zone it leaves; nil if there is none. The replica is to
 // be stopped and placed again; the capacity on its target is claimed for it.
 func FindReplicaToMove(job *wire.Job, zones ZoneCounts, nodes []*Node) *Victims {
-	if !CanBeMadeRoomFor(job) {
+	if !MayMoveReplicasFor(job) {
 		return nil
 	}
 	targets := slices.DeleteFunc(slices.Clone(nodes), func(n *Node) bool { return !n.hasFreeCapacity() })
--- a/internal/scheduler/job_placement.go
+++ b/internal/scheduler/job_placement.go
@@ -211,7 +211,7 @@
 		}
 		victims = placement.FindVictims(p.spec, p.zones, p.nodes.offers, nodes, placement.Quotas{Usage: p.usage, Of: p.teamQuota})
 	}
-	if node == nil && victims == nil && placement.CanBeMadeRoomFor(p.spec) {
+	if node == nil && victims == nil && placement.MayMoveReplicasFor(p.spec) {
 		victims = p.findReplicaToMove()
 	}
 	return victims
