--- a/internal/placement/node.go
+++ b/internal/placement/node.go
@@ -9,14 +9,14 @@
 
 // RunningTask is a task bound to a node, with the facts that preemption considers.
 type RunningTask struct {
-	Job             *wire.Job // nil if its job is unknown
-	TaskIndex       int
-	Stopping        bool          // a stop has been decided
-	WithinGuarantee bool          // its job and the team's earlier ones fit the team's guarantee
-	LastOfJob       bool          // its job has no pending task, so stopping this one delays the job
-	BoundSince      time.Time     // when it was first observed to be bound
-	RuntimeSoFar    time.Duration // since BoundSince
-	Service         *ReplicaSet   // of a replica: the state of its service; nil if unknown
+	Job                  *wire.Job // nil if its job is unknown
+	TaskIndex            int
+	Stopping             bool          // a stop has been decided
+	WithinGuarantee      bool          // its job and the team's earlier ones fit the team's guarantee
+	JobHasNoPendingTasks bool          // stopping this task delays its job
+	BoundSince           time.Time     // when it was first observed to be bound
+	RuntimeSoFar         time.Duration // since BoundSince
+	Service              *ReplicaSet   // of a replica: the state of its service; nil if unknown
 }
 
 // ReplicaSet is the state of a service that the choice of victims considers. All replicas of the
--- a/internal/placement/victims.go
+++ b/internal/placement/victims.go
@@ -147,7 +147,7 @@
 	}
 	if t.Job.IsService() {
 		lostSeconds += replicaLossSeconds * t.Service.lossFactor(t.Job)
-	} else if t.LastOfJob {
+	} else if t.JobHasNoPendingTasks {
 		lostSeconds += float64(t.Job.EstimatedRuntime)
 	}
 	return (1 + lostSeconds) * t.Job.CPUs * float64(1+3*t.Job.Priority)
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -56,7 +56,7 @@
 			job := c.jobs.active[t.Job.ID]
 			t.Stopping = t.Stopping || job == nil
 			t.WithinGuarantee = c.victims.guaranteed[t.Job.ID]
-			t.LastOfJob = job != nil && c.view.PendingTasks(t.Job.ID, job) <= 0
+			t.JobHasNoPendingTasks = job != nil && c.view.PendingTasks(t.Job.ID, job) <= 0
 			t.RuntimeSoFar = c.now.Sub(t.BoundSince)
 			if job != nil && t.Job.IsService() {
 				t.Service = c.replicaSet(job)
