--- a/internal/autoscaler/planning_demands.go
+++ b/internal/autoscaler/planning_demands.go
@@ -61,13 +61,13 @@
 	untilDeadline := firstFeasible(deadlines, age, leadTime)
 	lastDeadline := deadlines[len(deadlines)-1]
 	return planner.Demand{
-		Job:             job.Spec,
-		Count:           g.limitByQuota(job.Spec, pending),
-		DeadlineSeconds: untilDeadline.Seconds(),
-		RuntimeSeconds:  runtimeSeconds,
-		Late:            !job.Spec.IsService() && leadTime > untilDeadline,
-		Overdue:         age > overdueDeadlineMultiple*lastDeadline && !g.hasSuitableMachine(job.Spec),
-		Zones:           placement.ZoneCountsOf(g.view, id),
+		Job:              job.Spec,
+		Count:            g.limitByQuota(job.Spec, pending),
+		DeadlineSeconds:  untilDeadline.Seconds(),
+		RuntimeSeconds:   runtimeSeconds,
+		Late:             !job.Spec.IsService() && leadTime > untilDeadline,
+		IgnorePriceLimit: age > overdueDeadlineMultiple*lastDeadline && !g.hasSuitableMachine(job.Spec),
+		Zones:            placement.ZoneCountsOf(g.view, id),
 	}, true
 }
 
--- a/internal/planner/input.go
+++ b/internal/planner/input.go
@@ -8,13 +8,13 @@
 
 // Demand is a number of tasks of one job that need capacity.
 type Demand struct {
-	Job             *wire.Job
-	Count           int
-	DeadlineSeconds float64 // negative if it has passed, +Inf if there is none
-	RuntimeSeconds  float64 // expected runtime of a task
-	Late            bool    // no deadline can be met: planned after the others of its priority
-	Overdue         bool    // MaxPriceMultiple does not apply
-	Zones           placement.ZoneCounts
+	Job              *wire.Job
+	Count            int
+	DeadlineSeconds  float64 // negative if it has passed, +Inf if there is none
+	RuntimeSeconds   float64 // expected runtime of a task
+	Late             bool    // no deadline can be met: planned after the others of its priority
+	IgnorePriceLimit bool    // MaxPriceMultiple does not apply
+	Zones            placement.ZoneCounts
 
 	excludeScarceZones bool // use only zones that offer the largest number of machine types
 }
--- a/internal/planner/pools.go
+++ b/internal/planner/pools.go
@@ -85,7 +85,7 @@
 
 // cheapestPool returns the available pool in which a task costs least; for services, the one with
 // the largest machines of those within serviceCostTolerance. While the cheap pools are exhausted,
-// demands that are not overdue wait for them rather than pay more than MaxPriceMultiple allows:
+// demands without IgnorePriceLimit wait for them rather than pay more than MaxPriceMultiple allows:
 // the load determines how many machines are enough, not what one may cost.
 func (c *cycle) cheapestPool(d *pendingDemand) (best poolOffer, ok bool) {
 	offers, lowestCost := c.poolOffers(d)
@@ -94,7 +94,7 @@
 		lowestAvailableCost = math.Min(lowestAvailableCost, offers[i].cost)
 	}
 	atPremium := c.MaxPriceMultiple > 0 && lowestAvailableCost > lowestCost*c.MaxPriceMultiple
-	if len(offers) == 0 || atPremium && !d.Overdue {
+	if len(offers) == 0 || atPremium && !d.IgnorePriceLimit {
 		return poolOffer{}, false
 	}
 	maxCost := lowestAvailableCost
