--- a/internal/apiserver/admission.go
+++ b/internal/apiserver/admission.go
@@ -103,5 +103,5 @@
 	if job.IsService() {
 		tasks = float64(job.TaskCount)
 	}
-	return (resources.Usage{}).WithinLimit(team, resources.Vector{}.Plus(resources.OfTask(job), tasks))
+	return (resources.Usage{}).WithinLimit(team, resources.Vector{}.AddScaled(resources.OfTask(job), tasks))
 }
--- a/internal/autoscaler/replacement.go
+++ b/internal/autoscaler/replacement.go
@@ -46,7 +46,7 @@
 		if _, changed := usedBefore[node]; !changed {
 			usedBefore[node] = node.Used
 		}
-		node.Used = node.Used.Plus(need, 1)
+		node.Used = node.Used.AddScaled(need, 1)
 		zones[task.Job][node.Zone]++
 	}
 	return true
@@ -79,7 +79,7 @@
 		for i := range m.Bindings {
 			job := a.view.Jobs[m.Bindings[i].Job]
 			if job != nil && job.Spec != nil && job.Spec.Priority == wire.PriorityProduction {
-				node.Used = node.Used.Plus(resources.OfTask(job.Spec), 1)
+				node.Used = node.Used.AddScaled(resources.OfTask(job.Spec), 1)
 			}
 		}
 		nodes = append(nodes, node)
--- a/internal/placement/node.go
+++ b/internal/placement/node.go
@@ -88,9 +88,9 @@
 func (n *Node) HasCapacityFor(job *wire.Job, need resources.Vector) bool {
 	used := n.usedWithClaims(job)
 	if !job.IsService() && job.Priority < wire.PriorityHigh {
-		used = used.Plus(n.Reserved, 1)
+		used = used.AddScaled(n.Reserved, 1)
 	}
-	return used.Plus(need, 1).Fits(n.capacity())
+	return used.AddScaled(need, 1).Fits(n.capacity())
 }
 
 // usedWithClaims returns what is used of the node, plus what is claimed for jobs other than job.
@@ -98,7 +98,7 @@
 	used := n.Used
 	for _, claim := range n.Claims {
 		if claim.Service != job.ID {
-			used = used.Plus(claim.Need, 1)
+			used = used.AddScaled(claim.Need, 1)
 		}
 	}
 	return used
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -38,8 +38,8 @@
 		}
 		for k := range rapid.IntRange(0, 4).Draw(t, "running") {
 			job := genJob(t, 100+k)
-			if n.Used.Plus(resources.OfTask(job), 1).Fits(resources.OfMachineType(n.MachineType)) {
-				n.Used = n.Used.Plus(resources.OfTask(job), 1)
+			if n.Used.AddScaled(resources.OfTask(job), 1).Fits(resources.OfMachineType(n.MachineType)) {
+				n.Used = n.Used.AddScaled(resources.OfTask(job), 1)
 				n.Tasks = append(n.Tasks, RunningTask{Job: job, TaskIndex: i, WithinGuarantee: rapid.Bool().Draw(t, "guaranteed")})
 			}
 		}
@@ -56,7 +56,7 @@
 		ok := func(n *Node) bool {
 			inOther := zones["p"] + zones["q"] - zones[n.Zone]
 			return (job.AllowSpot || !n.Spot) && (!job.SingleZone || inOther == 0) && (!job.SpreadZones || 2*zones[n.Zone] < job.TaskCount) &&
-				n.Used.Plus(resources.OfTask(job), 1).Fits(resources.OfMachineType(n.MachineType))
+				n.Used.AddScaled(resources.OfTask(job), 1).Fits(resources.OfMachineType(n.MachineType))
 		}
 		got := PickNode(job, zones, ZoneOffers{}, nodes)
 		if got != nil && !ok(got) {
@@ -79,7 +79,7 @@
 		usage := resources.Usage{}
 		for _, n := range nodes {
 			for _, task := range n.Tasks {
-				usage[task.Job.Team] = usage[task.Job.Team].Plus(resources.OfTask(task.Job), 1)
+				usage[task.Job.Team] = usage[task.Job.Team].AddScaled(resources.OfTask(task.Job), 1)
 			}
 		}
 		victims := FindVictims(job, ZoneCounts{}, ZoneOffers{}, nodes, Quotas{Usage: usage, Of: quotaOf})
@@ -93,7 +93,7 @@
 		}
 		for _, i := range victims.Tasks {
 			victim := victims.Node.Tasks[i]
-			used = used.Plus(resources.OfTask(victim.Job), -1)
+			used = used.AddScaled(resources.OfTask(victim.Job), -1)
 			if victim.Job.Priority < job.Priority {
 				continue
 			}
@@ -111,7 +111,7 @@
 			}
 			remainingCPUs -= victim.Job.CPUs
 		}
-		if !used.Plus(resources.OfTask(job), 1).Fits(resources.OfMachineType(victims.Node.MachineType)) {
+		if !used.AddScaled(resources.OfTask(job), 1).Fits(resources.OfMachineType(victims.Node.MachineType)) {
 			t.Fatal("the task does not fit once the victims are stopped")
 		}
 	})
--- a/internal/placement/replica_move.go
+++ b/internal/placement/replica_move.go
@@ -78,10 +78,10 @@
 		if !n.AllowedFor(job) || !zones.Allows(job, n.Zone) {
 			continue
 		}
-		used := n.usedWithClaims(job).Plus(need, 1)
+		used := n.usedWithClaims(job).AddScaled(need, 1)
 		for i := range n.Tasks {
 			t := &n.Tasks[i]
-			if t.isMovable() && used.Plus(resources.OfTask(t.Job), -1).Fits(n.capacity()) {
+			if t.isMovable() && used.AddScaled(resources.OfTask(t.Job), -1).Fits(n.capacity()) {
 				moves = append(moves, replicaMove{n, i})
 			}
 		}
--- a/internal/placement/replica_move_test.go
+++ b/internal/placement/replica_move_test.go
@@ -65,7 +65,7 @@
 }
 
 func (c *moveTestCluster) place(n *Node, job *wire.Job, replica int) {
-	n.Used = n.Used.Plus(resources.OfTask(job), 1)
+	n.Used = n.Used.AddScaled(resources.OfTask(job), 1)
 	n.Tasks = append(n.Tasks, RunningTask{Job: job, TaskIndex: replica, Service: c.sets[job.ID]})
 	c.sets[job.ID].Zones[n.Zone]++
 }
@@ -94,7 +94,7 @@
 	}
 	used := move.Target.Used
 	for _, claim := range move.Target.Claims {
-		used = used.Plus(claim.Need, 1)
+		used = used.AddScaled(claim.Need, 1)
 	}
 	if !used.Fits(resources.OfMachineType(move.Target.MachineType)) {
 		t.Fatalf("capacity counted twice: %v used and claimed", used)
@@ -120,11 +120,11 @@
 			moves++
 			task := &move.Node.Tasks[move.Tasks[0]]
 			task.Stopping, task.Service.Immovable = true, true
-			move.Node.Used = move.Node.Used.Plus(resources.OfTask(task.Job), -1)
+			move.Node.Used = move.Node.Used.AddScaled(resources.OfTask(task.Job), -1)
 			if !move.Node.HasCapacityFor(job, resources.OfTask(job)) {
 				t.Fatal("the waiting replica does not fit after the move")
 			}
-			move.Node.Used = move.Node.Used.Plus(resources.OfTask(job), 1)
+			move.Node.Used = move.Node.Used.AddScaled(resources.OfTask(job), 1)
 		}
 		if moves > len(cluster.services) {
 			t.Fatalf("%d moves with %d services", moves, len(cluster.services))
--- a/internal/placement/victims.go
+++ b/internal/placement/victims.go
@@ -70,18 +70,18 @@
 	used, limit := n.usedWithClaims(s.job), n.capacity()
 	remainingUsage := resources.Usage{}
 	for _, c := range s.candidates(n) {
-		if used.Plus(s.need, 1).Fits(limit) {
+		if used.AddScaled(s.need, 1).Fits(limit) {
 			break
 		}
 		victim := n.Tasks[c.index].Job
 		if victim.Priority >= s.job.Priority && !s.reclaimAboveGuarantee(remainingUsage, victim) {
 			continue
 		}
-		used = used.Plus(resources.OfTask(victim), -1)
+		used = used.AddScaled(resources.OfTask(victim), -1)
 		victims.Tasks = append(victims.Tasks, c.index)
 		victims.Cost += c.cost
 	}
-	if len(victims.Tasks) == 0 || !used.Plus(s.need, 1).Fits(limit) {
+	if len(victims.Tasks) == 0 || !used.AddScaled(s.need, 1).Fits(limit) {
 		return nil
 	}
 	return victims
@@ -121,7 +121,7 @@
 	if usage.CPUs <= quota.GuaranteedCPUs+resources.RoundingTolerance && usage.GPUs <= quota.GuaranteedGPUs+resources.RoundingTolerance {
 		return false
 	}
-	remainingUsage[quota.Name] = usage.Plus(resources.OfTask(victim), -1)
+	remainingUsage[quota.Name] = usage.AddScaled(resources.OfTask(victim), -1)
 	return true
 }
 
--- a/internal/recovery/advice.go
+++ b/internal/recovery/advice.go
@@ -34,7 +34,7 @@
 func (a *advice) applyPlan(plan Plan) {
 	for _, p := range plan.Placements {
 		if p.AtRisk {
-			a.reserved[p.Node] = a.reserved[p.Node].Plus(resources.OfTask(p.Service.Job), 1)
+			a.reserved[p.Node] = a.reserved[p.Node].AddScaled(resources.OfTask(p.Service.Job), 1)
 			continue
 		}
 		id := p.Service.Job.ID
--- a/internal/recovery/bin_packer.go
+++ b/internal/recovery/bin_packer.go
@@ -97,10 +97,10 @@
 	if found == nil {
 		return p.shortfallCause(r.service.Job, zones)
 	}
-	found.used = found.used.Plus(r.need, 1)
+	found.used = found.used.AddScaled(r.need, 1)
 	zones[found.node.Zone]++
 	if !r.atRisk {
-		p.usage[r.team.Name] = p.usage[r.team.Name].Plus(r.need, 1)
+		p.usage[r.team.Name] = p.usage[r.team.Name].AddScaled(r.need, 1)
 	}
 	p.value += priorityWeight(r.service.Job)
 	p.plan.Placements = append(p.plan.Placements, Placement{r.service, found.node, r.atRisk})
@@ -188,7 +188,7 @@
 		}
 		limit := resources.OfMachineType(pool.machineType)
 		for _, node := range pool.nodes {
-			if node.node.Used.Plus(r.need, 1).Fits(limit) {
+			if node.node.Used.AddScaled(r.need, 1).Fits(limit) {
 				return true
 			}
 		}
--- a/internal/recovery/free_capacity.go
+++ b/internal/recovery/free_capacity.go
@@ -95,7 +95,7 @@
 func (p *nodePool) firstFit(need resources.Vector) *nodeUsage {
 	limit := resources.OfMachineType(p.machineType)
 	i := p.firstFitIndex[need]
-	for i < len(p.nodes) && !p.nodes[i].used.Plus(need, 1).Fits(limit) {
+	for i < len(p.nodes) && !p.nodes[i].used.AddScaled(need, 1).Fits(limit) {
 		i++
 	}
 	p.firstFitIndex[need] = i
@@ -110,8 +110,8 @@
 	limit := resources.OfMachineType(p.machineType)
 	var sum resources.Vector
 	for _, node := range p.nodes {
-		if node.used.Plus(need, 1).Fits(limit) {
-			sum = sum.Plus(limit, 1).Plus(node.used, -1)
+		if node.used.AddScaled(need, 1).Fits(limit) {
+			sum = sum.AddScaled(limit, 1).AddScaled(node.used, -1)
 		}
 	}
 	return sum
@@ -125,7 +125,7 @@
 	limit := resources.OfMachineType(p.machineType)
 	count := 0
 	for _, node := range p.nodes {
-		free := limit.Plus(node.used, -1)
+		free := limit.AddScaled(node.used, -1)
 		if share := need.Share(free); share > 0 && !math.IsInf(share, 1) {
 			count += int(1/share + replicaRoundingTolerance)
 		}
--- a/internal/recovery/plan_test.go
+++ b/internal/recovery/plan_test.go
@@ -114,12 +114,12 @@
 			t.Fatalf("%s may not be in %s: %v", job.ID, node.Zone, z)
 		}
 		zones[p.Service][p.AtRisk][node.Zone]++
-		used[node] = used[node].Plus(need, 1)
-		if !node.Used.Plus(used[node], 1).Fits(resources.OfMachineType(node.MachineType)) {
+		used[node] = used[node].AddScaled(need, 1)
+		if !node.Used.AddScaled(used[node], 1).Fits(resources.OfMachineType(node.MachineType)) {
 			t.Fatalf("%s is over capacity", node.Name)
 		}
 		if !p.AtRisk {
-			teams[job.Team] = teams[job.Team].Plus(need, 1)
+			teams[job.Team] = teams[job.Team].AddScaled(need, 1)
 		}
 		placed[p.Service]++
 	}
--- a/internal/resources/vector.go
+++ b/internal/resources/vector.go
@@ -18,8 +18,8 @@
 // RoundingTolerance is the rounding error allowed in sums of decimal amounts.
 const RoundingTolerance = 1e-6
 
-// Plus returns v + n*other.
-func (v Vector) Plus(other Vector, n float64) Vector {
+// AddScaled returns v + n*other.
+func (v Vector) AddScaled(other Vector, n float64) Vector {
 	return Vector{v.CPUs + n*other.CPUs, v.GPUs + n*other.GPUs, v.MemoryGB + n*other.MemoryGB}
 }
 
--- a/internal/scheduler/evidence_application.go
+++ b/internal/scheduler/evidence_application.go
@@ -96,7 +96,7 @@
 	c.terminated++
 	c.terminationBytes += statecache.TerminationBytes(&t)
 	if job := c.view.Jobs[t.Job]; job != nil && job.Spec != nil {
-		c.usage[job.Spec.Team] = c.usage[job.Spec.Team].Plus(resources.OfTask(job.Spec), -1)
+		c.usage[job.Spec.Team] = c.usage[job.Spec.Team].AddScaled(resources.OfTask(job.Spec), -1)
 	}
 	if t.Reason != wire.ReasonCompleted {
 		c.onCommitted = append(c.onCommitted, func() {
--- a/internal/scheduler/job_placement.go
+++ b/internal/scheduler/job_placement.go
@@ -117,10 +117,10 @@
 	}
 	p.forgetShortageOnCommit()
 	p.placedSinceSample++
-	node.Used = node.Used.Plus(p.need, 1)
+	node.Used = node.Used.AddScaled(p.need, 1)
 	// Stopping keeps the task from being preempted in this cycle.
 	node.Tasks = append(node.Tasks, placement.RunningTask{Job: p.spec, TaskIndex: task, Stopping: true, BoundSince: p.now})
-	p.usage[p.quota.Name] = p.usage[p.quota.Name].Plus(p.need, 1)
+	p.usage[p.quota.Name] = p.usage[p.quota.Name].AddScaled(p.need, 1)
 	p.zones[node.Zone]++
 	return true
 }
--- a/internal/scheduler/node_index.go
+++ b/internal/scheduler/node_index.go
@@ -172,7 +172,7 @@
 // addToSums adds a node's counted tasks and pool to the sums, or subtracts them if sign is -1.
 func (x *nodeIndex) addToSums(n *indexedNode, sign float64) {
 	for _, job := range n.countedTasks {
-		x.usage[job.Team] = x.usage[job.Team].Plus(resources.OfTask(job), sign)
+		x.usage[job.Team] = x.usage[job.Team].AddScaled(resources.OfTask(job), sign)
 	}
 	if n.countedPool == nil {
 		return
@@ -181,7 +181,7 @@
 	pool.schedulableNodes += int(sign)
 	for _, job := range n.countedTasks {
 		if job.IsService() {
-			pool.serviceUsage = pool.serviceUsage.Plus(resources.OfTask(job), sign)
+			pool.serviceUsage = pool.serviceUsage.AddScaled(resources.OfTask(job), sign)
 		}
 	}
 	x.pools[*n.countedPool] = pool
@@ -200,7 +200,7 @@
 			// A task that is stopped without a grace period counts as free capacity: it has
 			// ended before a launch in the same batch of commands is carried out.
 			if binding.StopToken == 0 || binding.GraceSeconds > 0 {
-				n.Used = n.Used.Plus(resources.OfTask(job.Spec), 1)
+				n.Used = n.Used.AddScaled(resources.OfTask(job.Spec), 1)
 			}
 		}
 		for _, before := range old {
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -94,7 +94,7 @@
 	for _, i := range victims.Tasks {
 		task := &victims.Node.Tasks[i]
 		task.Stopping = true
-		victims.Node.Used = victims.Node.Used.Plus(resources.OfTask(task.Job), -1)
+		victims.Node.Used = victims.Node.Used.AddScaled(resources.OfTask(task.Job), -1)
 		binding := rec.FindBinding(task.Job.ID, task.TaskIndex)
 		if binding == nil {
 			continue
--- a/internal/scheduler/quota_claims.go
+++ b/internal/scheduler/quota_claims.go
@@ -30,11 +30,11 @@
 	used := resources.Usage{}
 	guaranteed := map[wire.JobID]bool{}
 	for _, claim := range claims {
-		need := resources.Vector{}.Plus(resources.OfTask(claim.Job), float64(claim.RemainingTasks))
+		need := resources.Vector{}.AddScaled(resources.OfTask(claim.Job), float64(claim.RemainingTasks))
 		if used.WithinGuarantee(quotaOf(claim.Job.Team), need) {
 			guaranteed[claim.Job.ID] = true
 		}
-		used[claim.Job.Team] = used[claim.Job.Team].Plus(need, 1)
+		used[claim.Job.Team] = used[claim.Job.Team].AddScaled(need, 1)
 	}
 	return guaranteed
 }
--- a/internal/scheduler/replica_moves.go
+++ b/internal/scheduler/replica_moves.go
@@ -193,7 +193,7 @@
 
 // holdQuota counts one replica of a service towards its team's usage.
 func (c *cycle) holdQuota(service *wire.Job) {
-	c.usage[service.Team] = c.usage[service.Team].Plus(resources.OfTask(service), 1)
+	c.usage[service.Team] = c.usage[service.Team].AddScaled(resources.OfTask(service), 1)
 	c.heldQuota[service.ID] = true
 }
 
@@ -203,7 +203,7 @@
 	if !c.heldQuota[service.ID] {
 		return false
 	}
-	c.usage[service.Team] = c.usage[service.Team].Plus(resources.OfTask(service), -1)
+	c.usage[service.Team] = c.usage[service.Team].AddScaled(resources.OfTask(service), -1)
 	delete(c.heldQuota, service.ID)
 	return true
 }
--- a/internal/simulation/history/recovery_order.go
+++ b/internal/simulation/history/recovery_order.go
@@ -177,11 +177,11 @@
 	node := &placement.Node{Name: m.Name, MachineType: c.types[m.MachineType], Zone: m.Zone, Spot: m.Spot, Schedulable: m.Schedulable()}
 	for i := range m.Bindings {
 		if j := c.view.Jobs[m.Bindings[i].Job]; j != nil && j.Spec != nil {
-			node.Used = node.Used.Plus(resources.OfTask(j.Spec), 1)
+			node.Used = node.Used.AddScaled(resources.OfTask(j.Spec), 1)
 		}
 	}
 	for _, j := range arrays {
-		node.Used = node.Used.Plus(resources.OfTask(j), -1)
+		node.Used = node.Used.AddScaled(resources.OfTask(j), -1)
 	}
 	for id := range c.waitingSince {
 		j, since := c.view.Jobs[id], c.waitingLongestSince(id)
@@ -199,7 +199,7 @@
 	used := resources.Usage{}
 	for id, tasks := range c.view.Bindings {
 		if other := c.view.Jobs[id]; other != nil && other.Spec != nil {
-			used[other.Spec.Team] = used[other.Spec.Team].Plus(resources.OfTask(other.Spec), float64(len(tasks)))
+			used[other.Spec.Team] = used[other.Spec.Team].AddScaled(resources.OfTask(other.Spec), float64(len(tasks)))
 		}
 	}
 	team, _ := c.params.TeamQuota(j.Team)
