--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -9,14 +9,14 @@
 	"lynxledge/wire"
 )
 
-// Plan is the result of a planning cycle.
+// Plan is the result of Compute.
 type Plan struct {
 	ScaleOut   []ScaleOutRequest
 	ScaleIn    []wire.MachineID
 	UnmetTasks int // tasks for which no pool is available
 }
 
-// Compute plans one planning cycle.
+// Compute computes which machines to provision and which to scale in.
 func Compute(in Input) Plan {
 	c := newCycle(in)
 	demands := append(slices.Clone(in.Demands), c.headroom()...)
--- a/internal/recovery/advisor.go
+++ b/internal/recovery/advisor.go
@@ -50,7 +50,7 @@
 	if len(services) == 0 {
 		return advice
 	}
-	in := PlanInput{
+	in := Input{
 		Services:  services,
 		Usage:     cluster.Usage,
 		TeamQuota: cluster.TeamQuota,
@@ -64,6 +64,6 @@
 			in.Fallback = append(in.Fallback, n)
 		}
 	}
-	advice.applyPlan(ComputePlan(in))
+	advice.applyPlan(Compute(in))
 	return advice
 }
--- a/internal/recovery/bin_packer.go
+++ b/internal/recovery/bin_packer.go
@@ -12,7 +12,7 @@
 
 // binPacker computes a plan by placing replicas one at a time.
 type binPacker struct {
-	in         *PlanInput
+	in         *Input
 	capacity   *freeCapacity
 	fallback   *freeCapacity
 	usage      resources.Usage
@@ -27,7 +27,7 @@
 	displaced int
 }
 
-func newBinPacker(in *PlanInput, allocation *allocation) *binPacker {
+func newBinPacker(in *Input, allocation *allocation) *binPacker {
 	p := &binPacker{
 		in:         in,
 		capacity:   newFreeCapacity(in.Nodes),
--- a/internal/recovery/linear_program.go
+++ b/internal/recovery/linear_program.go
@@ -39,7 +39,7 @@
 )
 
 // buildProgram builds the program of as many groups, in their order, as the limits allow.
-func buildProgram(in *PlanInput, capacity *freeCapacity) *linearProgram {
+func buildProgram(in *Input, capacity *freeCapacity) *linearProgram {
 	groups := groupReplicas(in.Services)
 	addZoneLimits(groups, in.Services, capacity.zones())
 	program := &linearProgram{}
@@ -53,7 +53,7 @@
 	return program
 }
 
-func programFor(in *PlanInput, capacity *freeCapacity, groups []*replicaGroup) *linearProgram {
+func programFor(in *Input, capacity *freeCapacity, groups []*replicaGroup) *linearProgram {
 	p := &linearProgram{}
 	for _, group := range groups {
 		p.addGroup(group, capacity)
@@ -144,7 +144,7 @@
 
 // constrainTeams limits the CPUs of a team's pending replicas by what its quota leaves. Replicas
 // at risk are already part of the team's usage.
-func (p *linearProgram) constrainTeams(in *PlanInput) {
+func (p *linearProgram) constrainTeams(in *Input) {
 	done := map[wire.TeamName]bool{}
 	for _, variable := range p.variables {
 		name := variable.group.key.team
--- a/internal/recovery/plan.go
+++ b/internal/recovery/plan.go
@@ -7,8 +7,8 @@
 	"lynxledge/wire"
 )
 
-// PlanInput is the input of ComputePlan.
-type PlanInput struct {
+// Input is the services and the capacity that a plan is computed from.
+type Input struct {
 	Services []*Service // in recovery order
 	// Nodes are the nodes that accept replicas.
 	Nodes []*placement.Node
@@ -23,7 +23,7 @@
 type Placement struct {
 	Service *Service
 	Node    *placement.Node
-	// AtRisk: the replica is still bound to another machine, as Service.AtRisk says; the capacity
+	// AtRisk reports whether the replica is still bound to another machine, as Service.AtRisk says; the capacity
 	// is for its replacement, once it is proved terminated.
 	AtRisk bool
 }
@@ -47,22 +47,23 @@
 	CausePlanLimit      Cause = "others come first; it follows in the next plan"
 )
 
-// Plan is only a recommendation: the scheduler decides, under its own preconditions.
+// Plan is the result of Compute. It is only a recommendation: the scheduler decides, under its own
+// preconditions.
 type Plan struct {
 	Placements []Placement
 	Shortfalls []Shortfall
-	// ImprovedBySolver: first-fit in recovery order left replicas without capacity, and the plan
-	// from the solver's allocation has a higher total weight.
+	// ImprovedBySolver reports whether first-fit in recovery order left replicas without capacity
+	// and the plan from the solver's allocation has a higher total weight.
 	ImprovedBySolver bool
 }
 
 // maxPlannedReplicas bounds the replicas considered by one plan. The rest follow in later plans.
 const maxPlannedReplicas = 2048
 
-// ComputePlan finds capacity for the pending and at-risk replicas of services. It places them by
+// Compute finds capacity for the pending and at-risk replicas of services. It places them by
 // first-fit in recovery order, and uses the solver only if replicas placed earlier have taken
 // the capacity that a later one needs.
-func ComputePlan(in PlanInput) Plan {
+func Compute(in Input) Plan {
 	firstFit := newBinPacker(&in, nil)
 	firstFit.pack()
 	if firstFit.displaced == 0 {
--- a/internal/recovery/plan_test.go
+++ b/internal/recovery/plan_test.go
@@ -55,8 +55,8 @@
 	return s
 }
 
-func generateInput(t *rapid.T) PlanInput {
-	in := PlanInput{Usage: resources.Usage{}, TeamQuota: func(name wire.TeamName) config.TeamQuota {
+func generateInput(t *rapid.T) Input {
+	in := Input{Usage: resources.Usage{}, TeamQuota: func(name wire.TeamName) config.TeamQuota {
 		if name == "red" {
 			return config.TeamQuota{Name: name, MaxCPUs: 24}
 		}
@@ -82,7 +82,7 @@
 }
 
 // checkPlan checks that a plan's placements are valid and that it accounts for every replica.
-func checkPlan(t *rapid.T, in *PlanInput, plan Plan) {
+func checkPlan(t *rapid.T, in *Input, plan Plan) {
 	accounted := checkPlacements(t, in, plan.Placements)
 	for _, shortfall := range plan.Shortfalls {
 		accounted[shortfall.Service] += shortfall.Count
@@ -99,7 +99,7 @@
 
 // checkPlacements checks placements against job constraints, machine capacities and the team's
 // CPU limit, and counts them by service.
-func checkPlacements(t *rapid.T, in *PlanInput, placements []Placement) map[*Service]int {
+func checkPlacements(t *rapid.T, in *Input, placements []Placement) map[*Service]int {
 	used := map[*placement.Node]resources.Vector{}
 	teams := resources.Usage{}
 	zones := zoneCountsByRisk(in)
@@ -131,7 +131,7 @@
 
 // zoneCountsByRisk counts the bound replicas of each service by zone, keyed by whether those at
 // risk are left out.
-func zoneCountsByRisk(in *PlanInput) map[*Service]map[bool]placement.ZoneCounts {
+func zoneCountsByRisk(in *Input) map[*Service]map[bool]placement.ZoneCounts {
 	zones := map[*Service]map[bool]placement.ZoneCounts{}
 	for _, s := range in.Services {
 		bound := placement.ZoneCounts{}
@@ -147,7 +147,7 @@
 	solved := 0
 	rapid.Check(t, func(t *rapid.T) {
 		in := generateInput(t)
-		plan := ComputePlan(in)
+		plan := Compute(in)
 		checkPlan(t, &in, plan)
 		firstFit := newBinPacker(&in, nil)
 		firstFit.pack()
@@ -161,7 +161,7 @@
 		if plan.ImprovedBySolver {
 			solved++
 		}
-		if again := ComputePlan(in); !reflect.DeepEqual(again, plan) {
+		if again := Compute(in); !reflect.DeepEqual(again, plan) {
 			t.Fatal("the same input gave a different plan")
 		}
 	})
@@ -180,19 +180,19 @@
 		j := &wire.Job{ID: id, Team: "blue", Kind: wire.KindService, Priority: wire.PriorityProduction, TaskCount: 1, CPUs: 4, MemoryGB: 1, Zone: zone}
 		return &Service{Job: j, Pending: 1, AtRisk: map[wire.Zone]int{}, BoundByZone: placement.ZoneCounts{}}
 	}
-	in := PlanInput{
+	in := Input{
 		Services:  []*Service{service("req-000001", ""), service("req-000002", "b")},
 		Nodes:     []*placement.Node{node("i-1", "b"), node("i-2", "c")},
 		TeamQuota: func(wire.TeamName) config.TeamQuota { return config.TeamQuota{} },
 	}
-	if plan := ComputePlan(in); !plan.ImprovedBySolver || len(plan.Placements) != 2 {
+	if plan := Compute(in); !plan.ImprovedBySolver || len(plan.Placements) != 2 {
 		t.Errorf("%+v", plan)
 	}
 }
 
 // Services beyond the limits of the linear program are still placed.
 func TestSolverIsBounded(t *testing.T) {
-	in := PlanInput{TeamQuota: func(wire.TeamName) config.TeamQuota { return config.TeamQuota{} }}
+	in := Input{TeamQuota: func(wire.TeamName) config.TeamQuota { return config.TeamQuota{} }}
 	for i := range 40 {
 		in.Nodes = append(in.Nodes, &placement.Node{Name: wire.MachineID(fmt.Sprintf("i-%02d", i)), MachineType: testTypes[i%2], Zone: []wire.Zone{"b", "c", "d"}[i%3], Spot: i%4 == 0, Schedulable: true})
 	}
@@ -204,7 +204,7 @@
 	if len(program.constraints) == 0 || len(program.constraints) > maxConstraints || len(program.variables) > maxVariables {
 		t.Errorf("%d constraints, %d variables", len(program.constraints), len(program.variables))
 	}
-	if plan := ComputePlan(in); len(plan.Placements) == 0 {
+	if plan := Compute(in); len(plan.Placements) == 0 {
 		t.Error("nothing is placed")
 	}
 }
@@ -238,7 +238,7 @@
 // BenchmarkPlan measures one plan after the loss of a zone with a third of the machines.
 func BenchmarkPlan(b *testing.B) {
 	for _, machines := range []int{48, 400, 4000} {
-		in := PlanInput{TeamQuota: func(wire.TeamName) config.TeamQuota { return config.TeamQuota{} }}
+		in := Input{TeamQuota: func(wire.TeamName) config.TeamQuota { return config.TeamQuota{} }}
 		for i := range machines * 2 / 3 {
 			n := &placement.Node{Name: wire.MachineID(fmt.Sprintf("i-%06d", i)), MachineType: testTypes[i%2], Zone: []wire.Zone{"b", "c"}[i/2%2], Spot: i%5 == 0, Schedulable: true}
 			n.Used = resources.Vector{CPUs: float64(i % 4), MemoryGB: float64(i % 9)}
@@ -254,7 +254,7 @@
 		b.Run(fmt.Sprint(machines), func(b *testing.B) {
 			b.ReportAllocs()
 			for range b.N {
-				ComputePlan(in)
+				Compute(in)
 			}
 		})
 	}
--- a/internal/recovery/solver.go
+++ b/internal/recovery/solver.go
@@ -22,14 +22,14 @@
 
 // solve distributes the replicas over pools. It returns nil if there is nothing to distribute or
 // the solver fails.
-func solve(in *PlanInput) *allocation {
+func solve(in *Input) *allocation {
 	capacity := newFreeCapacity(in.Nodes)
 	program := buildProgram(in, capacity)
 	if len(program.variables) == 0 {
 		return nil
 	}
 	values, err := program.maximize()
-	if err != nil { // ComputePlan keeps the first-fit plan
+	if err != nil { // Compute keeps the first-fit plan
 		slog.Debug("recovery plan unsolved", "error", err, "constraints", len(program.constraints), "variables", len(program.variables))
 		return nil
 	}
--- a/internal/zonecontrol/service_status.go
+++ b/internal/zonecontrol/service_status.go
@@ -12,7 +12,7 @@
 // serviceStatuses returns the status of each service with pending or at-risk replicas.
 func serviceStatuses(cluster placement.ClusterState) []ServiceStatus {
 	services := recovery.AffectedServices(cluster.View, cluster.ActiveJobs)
-	plan := recovery.ComputePlan(recovery.PlanInput{
+	plan := recovery.Compute(recovery.Input{
 		Services:  services,
 		Nodes:     schedulableNodes(cluster.Nodes),
 		Usage:     cluster.Usage,
