--- a/internal/scheduler/write_budget.go
+++ b/internal/scheduler/write_budget.go
@@ -58,8 +58,8 @@
 	return min(b.config.Params.Store.TxnOpsLimit(), int(b.limiter.TokensAt(now)))
 }
 
-// timeFor returns how long it takes until the given number of additional writes is available.
-func (b *writeBudget) timeFor(writes int) time.Duration {
+// refillTime returns how long it takes until the given number of additional writes is available.
+func (b *writeBudget) refillTime(writes int) time.Duration {
 	return time.Duration(float64(writes) / float64(b.limiter.Limit()) * float64(time.Second))
 }
 
@@ -103,11 +103,11 @@
 	case limit < txnOps/2 && (s.evidence.groupCount() > 1 || s.completedJobs.count() > 1):
 		// Large transactions cost less than many small ones. Waiting for one does not delay the
 		// oldest changes, since the write rate is the bottleneck.
-		return 0, s.writes.timeFor(txnOps/2 - limit)
+		return 0, s.writes.refillTime(txnOps/2 - limit)
 	case limit < txnOps && len(s.layout.oversized) > 0 && s.ownsAllTeams():
-		return 0, s.writes.timeFor(txnOps - limit) // a split takes a whole transaction
+		return 0, s.writes.refillTime(txnOps - limit) // a split takes a whole transaction
 	case limit < minCycleWrites:
-		return 0, s.writes.timeFor(minCycleWrites)
+		return 0, s.writes.refillTime(minCycleWrites)
 	}
 	return limit, 0
 }
