--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -35,7 +35,7 @@
 }
 
 func (c *Client) call(ctx context.Context, timeout time.Duration, method, path string, in, out any) error {
-	return translate(c.client.Call(ctx, timeout, method, path, in, out))
+	return translateError(c.client.Call(ctx, timeout, method, path, in, out))
 }
 
 // List returns a page of the keys with a prefix, in order: up to limit of those that follow the
@@ -54,7 +54,7 @@
 func (c *Client) Commit(ctx context.Context, txn *wire.Txn) (uint64, error) {
 	if n := len(txn.Writes); n > 0 {
 		if err := httpjson.Wait(ctx, c.writeLimiter, min(n, c.writeLimiter.Burst())); err != nil {
-			return 0, translate(err)
+			return 0, translateError(err)
 		}
 	}
 	if txn.Preconditions == nil {
--- a/internal/kvstore/client_test.go
+++ b/internal/kvstore/client_test.go
@@ -27,9 +27,9 @@
 	return New(strings.TrimPrefix(server.URL, "http://"), 100, 100, 8, time.Second)
 }
 
-// Every status of the store is translated to its error and to no other. An unknown status is
-// translated to none, since the outcome is unknown.
-func TestErrorOfStatus(t *testing.T) {
+// Each status of the store is translated to its error and to no other, an unknown status to none: its
+// outcome is unknown.
+func TestErrorByStatus(t *testing.T) {
 	sentinels := []error{ErrRejected, ErrThrottled, ErrNotFound, ErrRevisionCompacted, ErrLeaseNotFound, ErrInvalidRequest}
 	for _, test := range []struct {
 		status int
@@ -70,9 +70,9 @@
 	}
 }
 
-// The error of a request that was not sent tells that it was not executed: ErrRejected if it may
+// The error of a request that was not sent means that it was not executed: ErrRejected if it may
 // be retried, ErrInvalidRequest if it can't be made at all.
-func TestNotSentIsRejected(t *testing.T) {
+func TestUnsentRequestIsRejected(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	client := newTestClient(t, http.StatusOK, `{}`)
--- a/internal/kvstore/errors.go
+++ b/internal/kvstore/errors.go
@@ -36,9 +36,9 @@
 	return fmt.Sprintf("preconditions failed at revision %d: %v", c.Revision, c.FailedKeys)
 }
 
-// errorOfStatus maps the store's status codes to errors. [translateStatus] first handles the
-// responses whose body matters.
-var errorOfStatus = map[int]error{
+// errorByStatus maps status codes of the store to errors. translateStatus handles the cases in which
+// the body decides.
+var errorByStatus = map[int]error{
 	http.StatusBadRequest:         ErrInvalidRequest,
 	http.StatusNotFound:           ErrNotFound,
 	http.StatusGone:               ErrRevisionCompacted,
@@ -49,9 +49,10 @@
 // leaseNotFoundMessage is part of the response to a transaction whose lease does not exist.
 var leaseNotFoundMessage = []byte("no such lease")
 
-// translate converts an error of package httpjson to one of this package. Errors that leave the
-// outcome unknown are returned as they are.
-func translate(err error) error {
+// translateError adds to the error of a call the one of ErrRejected, ErrThrottled, ErrNotFound,
+// ErrRevisionCompacted, ErrLeaseNotFound and ErrInvalidRequest that it stands for, if any, and
+// converts the response to a failed precondition to a [ConflictError].
+func translateError(err error) error {
 	var status *httpjson.StatusError
 	switch {
 	case errors.Is(err, httpjson.ErrRateLimited):
@@ -75,8 +76,8 @@
 	case status.StatusCode == http.StatusBadRequest && bytes.Contains(status.Body, leaseNotFoundMessage):
 		return fmt.Errorf("%w: %w", ErrLeaseNotFound, status)
 	}
-	if meaning := errorOfStatus[status.StatusCode]; meaning != nil {
-		return fmt.Errorf("%w: %w", meaning, status)
+	if sentinel := errorByStatus[status.StatusCode]; sentinel != nil {
+		return fmt.Errorf("%w: %w", sentinel, status)
 	}
 	return status
 }
