--- a/internal/heartbeat/machine_state.go
+++ b/internal/heartbeat/machine_state.go
@@ -75,7 +75,7 @@
 	before := state.inboundPartitioned
 	state.inboundPartitioned = state.unacknowledgedToken > 0 && now.Sub(state.unacknowledgedSince) > r.config.Params.Workers.Heartbeats(inboundPartitionHeartbeats)
 	if state.inboundPartitioned && !before {
-		slog.Info("heartbeat responses not reaching machine",
+		slog.Info("inbound partition detected",
 			"machine", heartbeat.Machine, "fencing_token", heartbeat.FencingToken, "unacknowledged_fencing_token", state.unacknowledgedToken)
 	}
 	return state.inboundPartitioned
