--- a/internal/storelimits/tracker.go
+++ b/internal/storelimits/tracker.go
@@ -59,7 +59,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if !t.upcomingProven {
-		slog.Info("lower store limits in force")
+		slog.Info("upcoming store limits in force")
 	}
 	t.upcomingProven = true
 }
