--- a/cmd/lynxledge/standby.go
+++ b/cmd/lynxledge/standby.go
@@ -47,7 +47,7 @@
 			held = other.HeldUntil.Sub(now).Round(time.Second).String()
 		}
 		fmt.Fprintf(table, "%s\t%s\t%.1f s\t%d\t%d\t%s\n",
-			other.Member, other.Level, float64(other.SinceHeartbeatMS)/1000, other.Connections, other.Refutations, held)
+			other.Member, other.Level, float64(other.SinceHeartbeatMillis)/1000, other.Connections, other.Refutations, held)
 	}
 	return table.Flush()
 }
--- a/internal/standby/status.go
+++ b/internal/standby/status.go
@@ -26,12 +26,12 @@
 
 // PeerStatus is the status of another controller.
 type PeerStatus struct {
-	Member           string    `json:"member"`
-	Level            string    `json:"level"`
-	SinceHeartbeatMS int64     `json:"silentMs"`
-	Connections      int       `json:"connections"`
-	Refutations      int       `json:"refuted,omitempty"`
-	HeldUntil        time.Time `json:"heldUntil,omitzero"`
+	Member               string    `json:"member"`
+	Level                string    `json:"level"`
+	SinceHeartbeatMillis int64     `json:"silentMs"`
+	Connections          int       `json:"connections"`
+	Refutations          int       `json:"refuted,omitempty"`
+	HeldUntil            time.Time `json:"heldUntil,omitzero"`
 }
 
 // ServeHTTP writes the Status as JSON.
@@ -59,10 +59,10 @@
 
 func (s *Standby) peerStatus(member failuredetector.MemberStatus) PeerStatus {
 	status := PeerStatus{
-		Member:           member.Member,
-		Level:            member.Level.String(),
-		SinceHeartbeatMS: member.SinceHeartbeat.Milliseconds(),
-		Connections:      member.Connections,
+		Member:               member.Member,
+		Level:                member.Level.String(),
+		SinceHeartbeatMillis: member.SinceHeartbeat.Milliseconds(),
+		Connections:          member.Connections,
 	}
 	if h := s.holdDowns[member.Member]; h != nil {
 		status.Refutations, status.HeldUntil = h.refutations, h.until
