--- a/cmd/lynxledge/standby.go
+++ b/cmd/lynxledge/standby.go
@@ -43,8 +43,8 @@
 	fmt.Fprintln(table, "\nCONTROLLER\tLEVEL\tSILENT\tCONNECTIONS\tREFUTED\tHELD")
 	for _, other := range status.Peers {
 		held := "-"
-		if other.HeldUntil.After(now) {
-			held = other.HeldUntil.Sub(now).Round(time.Second).String()
+		if other.HoldUntil.After(now) {
+			held = other.HoldUntil.Sub(now).Round(time.Second).String()
 		}
 		fmt.Fprintf(table, "%s\t%s\t%.1f s\t%d\t%d\t%s\n",
 			other.Member, other.Level, float64(other.SinceHeartbeatMillis)/1000, other.Connections, other.Refutations, held)
--- a/internal/standby/status.go
+++ b/internal/standby/status.go
@@ -31,7 +31,7 @@
 	SinceHeartbeatMillis int64     `json:"silentMs"`
 	Connections          int       `json:"connections"`
 	Refutations          int       `json:"refuted,omitempty"`
-	HeldUntil            time.Time `json:"heldUntil,omitzero"`
+	HoldUntil            time.Time `json:"heldUntil,omitzero"`
 }
 
 // ServeHTTP writes the Status as JSON.
@@ -65,7 +65,7 @@
 		Connections:          member.Connections,
 	}
 	if h := s.holdDowns[member.Member]; h != nil {
-		status.Refutations, status.HeldUntil = h.refutations, h.until
+		status.Refutations, status.HoldUntil = h.refutations, h.until
 	}
 	return status
 }
