--- a/cmd/lynxledge/controller.go
+++ b/cmd/lynxledge/controller.go
@@ -103,7 +103,7 @@
 		FreshPeer:    c.transport.FreshPeer,
 		Isolated:     c.transport.Isolated,
 		SendEvidence: c.transport.SendEvidence,
-		ApplyEvidence: func(evidence reconcile.Evidence, wait time.Duration) {
+		HandleEvidence: func(evidence reconcile.Evidence, wait time.Duration) {
 			c.scheduler.HandleEvidence(evidence, wait) // set after the receiver starts, before the first heartbeat
 		},
 	}})
--- a/internal/apiserver/bench_test.go
+++ b/internal/apiserver/bench_test.go
@@ -38,10 +38,10 @@
 	conn := &simulation.StoreConn{Store: simulation.NewStore(), Network: simulation.NewNetwork(1, 0), Member: "n0", Timeout: time.Second}
 	cache := statecache.Start(ctx, conn, statecache.Options{ChunkTasks: statecache.ChunkTasks(4), WatchHold: time.Second, MaxViewAge: time.Second, Backoff: 100 * time.Millisecond})
 	receiver := heartbeat.Start(ctx, heartbeat.Options{Config: cfg, Cache: cache, Callbacks: heartbeat.Callbacks{
-		FreshPeer:     func() string { return "" },
-		Isolated:      func() bool { return false },
-		ApplyEvidence: func(reconcile.Evidence, time.Duration) {},
-		SendEvidence:  func(string, reconcile.Evidence) bool { return false },
+		FreshPeer:      func() string { return "" },
+		Isolated:       func() bool { return false },
+		HandleEvidence: func(reconcile.Evidence, time.Duration) {},
+		SendEvidence:   func(string, reconcile.Evidence) bool { return false },
 	}})
 	server := Start(ctx, Options{Config: cfg, Cache: cache, Heartbeats: receiver})
 	server.SetMachineTypes([]wire.MachineType{{Name: "s", CPUs: 16, MemoryGB: 128, Zones: []wire.Zone{"a"}}})
--- a/internal/heartbeat/evidence.go
+++ b/internal/heartbeat/evidence.go
@@ -29,7 +29,7 @@
 			unreachableScheduler = scheduler
 		}
 	}
-	r.callbacks.ApplyEvidence(evidence, wait)
+	r.callbacks.HandleEvidence(evidence, wait)
 	return unreachableScheduler
 }
 
--- a/internal/heartbeat/receiver.go
+++ b/internal/heartbeat/receiver.go
@@ -17,9 +17,9 @@
 	FreshPeer func() string
 	// Isolated reports whether there are other controllers but none is reachable.
 	Isolated func() bool
-	// ApplyEvidence passes evidence to this controller's scheduler, which writes it after wait
+	// HandleEvidence passes evidence to this controller's scheduler, which writes it after wait
 	// unless another controller has done so.
-	ApplyEvidence func(evidence reconcile.Evidence, wait time.Duration)
+	HandleEvidence func(evidence reconcile.Evidence, wait time.Duration)
 	// SendEvidence sends evidence to another controller; false if it can't be reached.
 	SendEvidence func(member string, evidence reconcile.Evidence) bool
 }
--- a/internal/heartbeat/receiver_test.go
+++ b/internal/heartbeat/receiver_test.go
@@ -34,10 +34,10 @@
 	c := &controller{cache: cache}
 	localScheduler := scheduler.Start(ctx, scheduler.Options{Config: cfg, Incarnation: 1, Cache: cache, OnCommandResponse: func(*wire.Heartbeat) {}})
 	c.receiver = Start(ctx, Options{Config: cfg, Cache: cache, Callbacks: Callbacks{
-		FreshPeer:     func() string { return c.freshPeer },
-		Isolated:      func() bool { return c.isolated },
-		ApplyEvidence: localScheduler.HandleEvidence,
-		SendEvidence:  func(string, reconcile.Evidence) bool { return false },
+		FreshPeer:      func() string { return c.freshPeer },
+		Isolated:       func() bool { return c.isolated },
+		HandleEvidence: localScheduler.HandleEvidence,
+		SendEvidence:   func(string, reconcile.Evidence) bool { return false },
 	}})
 	cache.Run()
 	time.Sleep(time.Second)
