--- a/cmd/lynxledge/controller.go
+++ b/cmd/lynxledge/controller.go
@@ -164,7 +164,7 @@
 
 // startCatalog starts the actor that polls the cloud's machine types, and subscribes their users.
 func (c *controller) startCatalog(ctx context.Context) {
-	c.catalog = cloud.NewCatalog(ctx, c.clients.cloud)
+	c.catalog = cloud.StartCatalog(ctx, c.clients.cloud)
 	c.catalog.Subscribe(c.apiServer.SetMachineTypes)
 	c.catalog.Subscribe(c.scheduler.SetMachineTypes)
 	c.catalog.Subscribe(c.autoscaler.SetMachineTypes)
--- a/internal/cloud/catalog.go
+++ b/internal/cloud/catalog.go
@@ -22,8 +22,8 @@
 	subscribers []func([]wire.MachineType)
 }
 
-// NewCatalog starts a catalog's actor, which runs until ctx ends. Call Subscribe only before Run.
-func NewCatalog(ctx context.Context, client MachineTypeLister) *Catalog {
+// StartCatalog starts a catalog's actor, which runs until ctx ends. Call Subscribe only before Run.
+func StartCatalog(ctx context.Context, client MachineTypeLister) *Catalog {
 	return &Catalog{Actor: actor.Start(ctx, "catalog", 16), client: client}
 }
 
--- a/internal/cloud/catalog_test.go
+++ b/internal/cloud/catalog_test.go
@@ -22,7 +22,7 @@
 	}
 	client := cachedTypes{{Name: "without CPUs", Zones: []wire.Zone{"a"}}, usable("s"), usable("l")}
 	before := slices.Clone(client)
-	c := NewCatalog(t.Context(), client)
+	c := StartCatalog(t.Context(), client)
 	var got []string
 	c.Subscribe(func(types []wire.MachineType) {
 		got = got[:0]
