--- a/cmd/lynxledge/fleet_test.go
+++ b/cmd/lynxledge/fleet_test.go
@@ -59,7 +59,7 @@
 		adjust: func(p *config.Params) {
 			p.Workers = config.WorkerTimings{HeartbeatInterval: 5 * time.Second, LeaseDuration: 34 * time.Second, CancellationDeadline: 64 * time.Second}
 			p.Store = config.StoreLimits{RequestRate: 600, WriteRate: 180, MaxValueKB: 8, MaxTxnOps: 24}
-			p.Resources = config.ControllerResources{CPUCores: 0.336, MemoryMB: 220, FileDescriptorLimit: 2783}
+			p.Resources = config.ControllerResources{CPUs: 0.336, MemoryMB: 220, FileDescriptorLimit: 2783}
 		},
 		arrays: 50, urgent: 50, services: 330, tasks: 50, replicas: 12, cpus: 4, memoryGB: 4,
 	},
@@ -72,7 +72,7 @@
 			p.Workers = config.WorkerTimings{HeartbeatInterval: 8 * time.Second, LeaseDuration: 44 * time.Second, CancellationDeadline: 74 * time.Second}
 			p.Store = config.StoreLimits{RequestRate: 180, WriteRate: 18, MaxValueKB: 4, MaxTxnOps: 8}
 			p.Cloud = config.CloudLimits{RequestRate: 10, ListLag: 10 * time.Second}
-			p.Resources = config.ControllerResources{CPUCores: 0.252, MemoryMB: 322, FileDescriptorLimit: 4233}
+			p.Resources = config.ControllerResources{CPUs: 0.252, MemoryMB: 322, FileDescriptorLimit: 4233}
 		},
 		arrays: 30, urgent: 4, services: 260, tasks: 100, replicas: 12, cpus: 4, memoryGB: 29,
 	},
@@ -85,7 +85,7 @@
 			p.Workers = config.WorkerTimings{HeartbeatInterval: 8 * time.Second, LeaseDuration: 44 * time.Second, CancellationDeadline: 74 * time.Second}
 			p.Store = config.StoreLimits{RequestRate: 200, WriteRate: 20, MaxValueKB: 4, MaxTxnOps: 8}
 			p.Cloud = config.CloudLimits{RequestRate: 10, ListLag: 10 * time.Second}
-			p.Resources = config.ControllerResources{CPUCores: 0.09, MemoryMB: 212, FileDescriptorLimit: 5000}
+			p.Resources = config.ControllerResources{CPUs: 0.09, MemoryMB: 212, FileDescriptorLimit: 5000}
 		},
 		arrays: 44, urgent: 4, services: 390, tasks: 100, replicas: 12, cpus: 4, memoryGB: 29, partitionedZone: "c", fewSockets: true,
 	},
@@ -97,7 +97,7 @@
 		adjust: func(p *config.Params) {
 			p.Workers = config.WorkerTimings{HeartbeatInterval: 5 * time.Second, LeaseDuration: 34 * time.Second, CancellationDeadline: 64 * time.Second}
 			p.Store = config.StoreLimits{RequestRate: 150, WriteRate: 50, MaxValueKB: 8, MaxTxnOps: 24}
-			p.Resources = config.ControllerResources{CPUCores: 0.3, MemoryMB: 300, FileDescriptorLimit: 800}
+			p.Resources = config.ControllerResources{CPUs: 0.3, MemoryMB: 300, FileDescriptorLimit: 800}
 		},
 		arrays: 150, urgent: 50, services: 800, tasks: 50, replicas: 12, cpus: 4, memoryGB: 4, partitionedZone: "b", fewSockets: true,
 	},
--- a/cmd/lynxledge/run.go
+++ b/cmd/lynxledge/run.go
@@ -48,7 +48,7 @@
 
 // limitRuntime sets the limits of the Go runtime from the controller's resources.
 func limitRuntime(resources config.ControllerResources) {
-	runtime.GOMAXPROCS(max(1, int(math.Ceil(resources.CPUCores))))
+	runtime.GOMAXPROCS(max(1, int(math.Ceil(resources.CPUs))))
 	debug.SetMemoryLimit(int64(resources.MemoryMB * goMemoryLimitShare * (1 << 20)))
 	debug.SetGCPercent(800)
 }
--- a/cmd/lynxledge/zone_measure_test.go
+++ b/cmd/lynxledge/zone_measure_test.go
@@ -86,7 +86,7 @@
 func fastStore(p *config.Params) {
 	p.Store = config.StoreLimits{RequestRate: 600, WriteRate: 180, MaxValueKB: 8, MaxTxnOps: 24}
 	p.Cloud = config.CloudLimits{RequestRate: 10, ListLag: 10 * time.Second}
-	p.Resources = config.ControllerResources{CPUCores: 0.34, MemoryMB: 220, FileDescriptorLimit: 9000}
+	p.Resources = config.ControllerResources{CPUs: 0.34, MemoryMB: 220, FileDescriptorLimit: 9000}
 }
 
 // zoneLoss describes one measured loss of a zone.
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -102,7 +102,7 @@
 
 // ControllerResources holds the resources that the controller process may use.
 type ControllerResources struct {
-	CPUCores            float64 `toml:"cpu"`
+	CPUs                float64 `toml:"cpu"`
 	MemoryMB            float64 `toml:"memory_mb"`
 	FileDescriptorLimit int     `toml:"fd_limit"`
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -105,11 +105,11 @@
 		resources ControllerResources
 		want      []string
 	}{
-		{ControllerResources{CPUCores: 0.029, MemoryMB: 49}, nil},
-		{ControllerResources{CPUCores: 0.001, MemoryMB: 49}, []string{"params.resources.cpu<0.02"}},
-		{ControllerResources{CPUCores: 0.001, MemoryMB: 16}, []string{"params.resources.cpu<0.02", "params.resources.memory_mb<40"}},
-		{ControllerResources{CPUCores: 0.029, MemoryMB: 49, FileDescriptorLimit: 800}, nil},
-		{ControllerResources{CPUCores: 0.029, MemoryMB: 49, FileDescriptorLimit: 99}, []string{"params.resources.fd_limit<100"}},
+		{ControllerResources{CPUs: 0.029, MemoryMB: 49}, nil},
+		{ControllerResources{CPUs: 0.001, MemoryMB: 49}, []string{"params.resources.cpu<0.02"}},
+		{ControllerResources{CPUs: 0.001, MemoryMB: 16}, []string{"params.resources.cpu<0.02", "params.resources.memory_mb<40"}},
+		{ControllerResources{CPUs: 0.029, MemoryMB: 49, FileDescriptorLimit: 800}, nil},
+		{ControllerResources{CPUs: 0.029, MemoryMB: 49, FileDescriptorLimit: 99}, []string{"params.resources.fd_limit<100"}},
 	} {
 		if got := c.resources.Warnings(); !slices.Equal(got, c.want) {
 			t.Errorf("%+v: %v, not %v", c.resources, got, c.want)
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -82,7 +82,7 @@
 		{"params.state.txn_ops", float64(p.Store.MaxTxnOps)},
 		{"params.cloud.rps", p.Cloud.RequestRate},
 		{"params.cloud.list_lag_s", p.Cloud.ListLag},
-		{"params.resources.cpu", p.Resources.CPUCores},
+		{"params.resources.cpu", p.Resources.CPUs},
 		{"params.resources.memory_mb", p.Resources.MemoryMB},
 	} {
 		if err := validatePositive(a.field, a.value); err != nil {
--- a/internal/config/warnings.go
+++ b/internal/config/warnings.go
@@ -45,7 +45,7 @@
 // Warnings lists resources that are probably too small.
 func (r ControllerResources) Warnings() []string {
 	var warnings []string
-	if r.CPUCores < minRecommendedCPU {
+	if r.CPUs < minRecommendedCPU {
 		warnings = append(warnings, fmt.Sprintf("params.resources.cpu<%v", minRecommendedCPU))
 	}
 	if r.MemoryMB < minRecommendedMemoryMB {
