--- a/internal/config/zone_recovery.go
+++ b/internal/config/zone_recovery.go
@@ -98,12 +98,12 @@
 // maxReturnTime returns the longest time for which a zone whose machines all send heartbeats is
 // withheld, wholly or in part, from batch work.
 func (z *ZoneRecovery) maxReturnTime(w WorkerTimings) time.Duration {
-	steps := time.Duration(len(z.Steps)) * z.StepTime(w)
+	steps := time.Duration(len(z.Steps)) * z.StepDuration(w)
 	return w.Heartbeats(z.ReturnHeartbeats) + w.Leases(z.HoldDownMaxLeases) + steps
 }
 
-// StepTime returns the duration of a step of a zone's return: at least a heartbeat interval, since
+// StepDuration returns the duration of a step of a zone's return: at least a heartbeat interval, since
 // there is no new evidence before that.
-func (z *ZoneRecovery) StepTime(w WorkerTimings) time.Duration {
+func (z *ZoneRecovery) StepDuration(w WorkerTimings) time.Duration {
 	return max(w.Leases(z.StepLeases), w.HeartbeatInterval)
 }
--- a/internal/zonehealth/policy.go
+++ b/internal/zonehealth/policy.go
@@ -35,7 +35,7 @@
 		LossConfirmation:   workers.Heartbeats(section.ConfirmHeartbeats),
 		ReturnConfirmation: workers.Heartbeats(section.ReturnHeartbeats),
 		AdmissionSteps:     section.Steps,
-		StepDuration:       section.StepTime(workers),
+		StepDuration:       section.StepDuration(workers),
 		HoldDown:           workers.Leases(section.HoldDownLeases),
 		MaxHoldDown:        workers.Leases(section.HoldDownMaxLeases),
 		FlapWindow:         workers.Leases(section.FlapMemoryLeases),
