--- a/internal/config/standby.go
+++ b/internal/config/standby.go
@@ -12,12 +12,12 @@
 	SuspectAfterHeartbeats    float64 `json:"suspect_beats"`
 	FailedAfterHeartbeats     float64 `json:"failed_beats"`
 	HoldDownHeartbeats        float64 `json:"hold_down_reports"`
-	HoldDownMaxHeartbeats     float64 `json:"hold_down_max_reports"`
+	MaxHoldDownHeartbeats     float64 `json:"hold_down_max_reports"`
 }
 
 // DefaultStandby returns the defaults of the section's fields.
 func DefaultStandby() Standby {
-	return Standby{HeartbeatIntervalMultiple: 0.2, SuspectAfterHeartbeats: 2, FailedAfterHeartbeats: 2, HoldDownHeartbeats: 5, HoldDownMaxHeartbeats: 80}
+	return Standby{HeartbeatIntervalMultiple: 0.2, SuspectAfterHeartbeats: 2, FailedAfterHeartbeats: 2, HoldDownHeartbeats: 5, MaxHoldDownHeartbeats: 80}
 }
 
 // UnmarshalJSON decodes the section. Missing fields get their defaults.
@@ -27,7 +27,7 @@
 	if err := json.Unmarshal(b, &p); err != nil {
 		return err
 	}
-	if p.HoldDownMaxHeartbeats < p.HoldDownHeartbeats {
+	if p.MaxHoldDownHeartbeats < p.HoldDownHeartbeats {
 		return fieldSubjectErrorf(jsonPointer("standby", "hold_down_max_reports"), "must not be below hold_down_reports")
 	}
 	*s = Standby(p)
--- a/internal/config/zone_recovery.go
+++ b/internal/config/zone_recovery.go
@@ -9,37 +9,37 @@
 // ZoneRecovery is the section of the operators' settings that enables zone recovery.
 // docs/zone-recovery.md describes each field.
 type ZoneRecovery struct {
-	DegradedShare         float64   `json:"degraded_share"`
-	LostShare             float64   `json:"lost_share"`
-	ReturnShare           float64   `json:"return_share"`
-	MinMachines           int       `json:"min_machines"`
-	UnreachableHeartbeats float64   `json:"silence_reports"`
-	ConfirmHeartbeats     float64   `json:"confirm_reports"`
-	ReturnHeartbeats      float64   `json:"proof_reports"`
-	Steps                 []float64 `json:"steps"`
-	StepLeases            float64   `json:"step_leases"`
-	HoldDownLeases        float64   `json:"hold_down_leases"`
-	HoldDownMaxLeases     float64   `json:"hold_down_max_leases"`
-	FlapMemoryLeases      float64   `json:"flap_memory_leases"`
-	EvacuateLeases        float64   `json:"evacuate_leases"`
+	DegradedShare                float64   `json:"degraded_share"`
+	LostShare                    float64   `json:"lost_share"`
+	ReturnShare                  float64   `json:"return_share"`
+	MinMachines                  int       `json:"min_machines"`
+	UnreachableHeartbeats        float64   `json:"silence_reports"`
+	LossConfirmationHeartbeats   float64   `json:"confirm_reports"`
+	ReturnConfirmationHeartbeats float64   `json:"proof_reports"`
+	AdmissionSteps               []float64 `json:"steps"`
+	StepLeases                   float64   `json:"step_leases"`
+	HoldDownLeases               float64   `json:"hold_down_leases"`
+	MaxHoldDownLeases            float64   `json:"hold_down_max_leases"`
+	FlapWindowLeases             float64   `json:"flap_memory_leases"`
+	EvacuateLeases               float64   `json:"evacuate_leases"`
 }
 
 // DefaultZoneRecovery returns the defaults of the section's fields.
 func DefaultZoneRecovery() ZoneRecovery {
 	return ZoneRecovery{
-		DegradedShare:         0.3,
-		LostShare:             0.6,
-		ReturnShare:           0.5,
-		MinMachines:           4,
-		UnreachableHeartbeats: 2.5,
-		ConfirmHeartbeats:     0.5,
-		ReturnHeartbeats:      2,
-		Steps:                 []float64{0.25, 0.5, 1},
-		StepLeases:            0.15,
-		HoldDownLeases:        0.2,
-		HoldDownMaxLeases:     0.7,
-		FlapMemoryLeases:      4,
-		EvacuateLeases:        1.2,
+		DegradedShare:                0.3,
+		LostShare:                    0.6,
+		ReturnShare:                  0.5,
+		MinMachines:                  4,
+		UnreachableHeartbeats:        2.5,
+		LossConfirmationHeartbeats:   0.5,
+		ReturnConfirmationHeartbeats: 2,
+		AdmissionSteps:               []float64{0.25, 0.5, 1},
+		StepLeases:                   0.15,
+		HoldDownLeases:               0.2,
+		MaxHoldDownLeases:            0.7,
+		FlapWindowLeases:             4,
+		EvacuateLeases:               1.2,
 	}
 }
 
@@ -47,12 +47,12 @@
 func (z *ZoneRecovery) UnmarshalJSON(b []byte) error {
 	type plain ZoneRecovery // without this method, to avoid recursion
 	p := plain(DefaultZoneRecovery())
-	p.Steps = nil // a given list replaces the default as a whole, also if it is shorter
+	p.AdmissionSteps = nil // a given list replaces the default as a whole, also if it is shorter
 	if err := json.Unmarshal(b, &p); err != nil {
 		return err
 	}
-	if p.Steps == nil {
-		p.Steps = DefaultZoneRecovery().Steps
+	if p.AdmissionSteps == nil {
+		p.AdmissionSteps = DefaultZoneRecovery().AdmissionSteps
 	}
 	*z = ZoneRecovery(p)
 	return z.validate()
@@ -65,11 +65,11 @@
 		return fieldSubjectErrorf(jsonPointer("zone_recovery", "lost_share"), "must be above degraded_share")
 	case z.ReturnShare >= z.LostShare:
 		return fieldSubjectErrorf(jsonPointer("zone_recovery", "return_share"), "must be below lost_share")
-	case z.HoldDownMaxLeases < z.HoldDownLeases:
+	case z.MaxHoldDownLeases < z.HoldDownLeases:
 		return fieldSubjectErrorf(jsonPointer("zone_recovery", "hold_down_max_leases"), "must not be below hold_down_leases")
 	}
 	last := 0.0
-	for i, share := range z.Steps {
+	for i, share := range z.AdmissionSteps {
 		if share <= last {
 			return fieldSubjectErrorf(jsonPointer("zone_recovery", "steps", strconv.Itoa(i)), "must be above the step before it")
 		}
@@ -98,8 +98,8 @@
 // maxReturnTime returns the longest time for which a zone whose machines all send heartbeats is
 // withheld, wholly or in part, from batch work.
 func (z *ZoneRecovery) maxReturnTime(w WorkerTimings) time.Duration {
-	steps := time.Duration(len(z.Steps)) * z.StepDuration(w)
-	return w.Heartbeats(z.ReturnHeartbeats) + w.Leases(z.HoldDownMaxLeases) + steps
+	steps := time.Duration(len(z.AdmissionSteps)) * z.StepDuration(w)
+	return w.Heartbeats(z.ReturnConfirmationHeartbeats) + w.Leases(z.MaxHoldDownLeases) + steps
 }
 
 // StepDuration returns the duration of a step of a zone's return: at least a heartbeat interval, since
--- a/internal/config/zone_recovery_test.go
+++ b/internal/config/zone_recovery_test.go
@@ -19,7 +19,7 @@
 		t.Errorf("%+v %v", o.ZoneRecovery, err)
 	}
 	o, err = ParseOperatorSettings([]byte(`{"zone_recovery": {"steps": [0.5], "min_machines": 9}}`))
-	if want := DefaultZoneRecovery(); err != nil || len(o.ZoneRecovery.Steps) != 1 || o.ZoneRecovery.MinMachines != 9 || o.ZoneRecovery.LostShare != want.LostShare {
+	if want := DefaultZoneRecovery(); err != nil || len(o.ZoneRecovery.AdmissionSteps) != 1 || o.ZoneRecovery.MinMachines != 9 || o.ZoneRecovery.LostShare != want.LostShare {
 		t.Errorf("%+v %v", o.ZoneRecovery, err)
 	}
 	for body, field := range map[string]string{
--- a/internal/standby/hold_down.go
+++ b/internal/standby/hold_down.go
@@ -35,11 +35,11 @@
 func (s *Standby) holdDownAfter(refutations int) time.Duration {
 	section := s.config.Operator.Standby
 	doublings := min(refutations, maxHoldDownDoublings)
-	heartbeats := min(section.HoldDownHeartbeats*float64(uint64(1)<<doublings), section.HoldDownMaxHeartbeats)
+	heartbeats := min(section.HoldDownHeartbeats*float64(uint64(1)<<doublings), section.MaxHoldDownHeartbeats)
 	return s.config.Params.Workers.Heartbeats(heartbeats)
 }
 
 // maxHoldDown returns the maximum duration of a hold-down.
 func (s *Standby) maxHoldDown() time.Duration {
-	return s.config.Params.Workers.Heartbeats(s.config.Operator.Standby.HoldDownMaxHeartbeats)
+	return s.config.Params.Workers.Heartbeats(s.config.Operator.Standby.MaxHoldDownHeartbeats)
 }
--- a/internal/standby/hold_down_test.go
+++ b/internal/standby/hold_down_test.go
@@ -12,7 +12,7 @@
 func TestHoldDownDoublesWithRefutations(t *testing.T) {
 	cfg := &config.Config{}
 	cfg.Params.Workers.HeartbeatInterval = time.Second
-	cfg.Operator.Standby = &config.Standby{HoldDownHeartbeats: 5, HoldDownMaxHeartbeats: 80}
+	cfg.Operator.Standby = &config.Standby{HoldDownHeartbeats: 5, MaxHoldDownHeartbeats: 80}
 	s := &Standby{config: cfg, holdDowns: map[string]*holdDown{}}
 	now := time.Unix(1000, 0)
 	for i, want := range []time.Duration{5, 10, 20, 40, 80, 80} {
--- a/internal/zonehealth/policy.go
+++ b/internal/zonehealth/policy.go
@@ -32,13 +32,13 @@
 		ReturnShare:        section.ReturnShare,
 		MinMachines:        section.MinMachines,
 		UnreachableAfter:   workers.Heartbeats(section.UnreachableHeartbeats),
-		LossConfirmation:   workers.Heartbeats(section.ConfirmHeartbeats),
-		ReturnConfirmation: workers.Heartbeats(section.ReturnHeartbeats),
-		AdmissionSteps:     section.Steps,
+		LossConfirmation:   workers.Heartbeats(section.LossConfirmationHeartbeats),
+		ReturnConfirmation: workers.Heartbeats(section.ReturnConfirmationHeartbeats),
+		AdmissionSteps:     section.AdmissionSteps,
 		StepDuration:       section.StepDuration(workers),
 		HoldDown:           workers.Leases(section.HoldDownLeases),
-		MaxHoldDown:        workers.Leases(section.HoldDownMaxLeases),
-		FlapWindow:         workers.Leases(section.FlapMemoryLeases),
+		MaxHoldDown:        workers.Leases(section.MaxHoldDownLeases),
+		FlapWindow:         workers.Leases(section.FlapWindowLeases),
 	}
 }
 
