--- a/cmd/lynxledge/controller.go
+++ b/cmd/lynxledge/controller.go
@@ -210,9 +210,9 @@
 	}
 	if c.standby != nil {
 		handlers.FailureDetection = &peer.FailureDetection{
-			Incarnation: c.incarnation,
-			Interval:    c.config.Operator.Standby.HeartbeatInterval(c.config.Params.Workers),
-			Observer:    c.standby,
+			Incarnation:       c.incarnation,
+			HeartbeatInterval: c.config.Operator.Standby.HeartbeatInterval(c.config.Params.Workers),
+			Observer:          c.standby,
 		}
 	}
 	return handlers
--- a/internal/peer/transport.go
+++ b/internal/peer/transport.go
@@ -45,9 +45,9 @@
 // additional ones every Interval, announces the Incarnation of its process in all of them, and
 // passes the heartbeats and connections of other controllers to Observer.
 type FailureDetection struct {
-	Incarnation uint64
-	Interval    time.Duration
-	Observer    Observer
+	Incarnation       uint64
+	HeartbeatInterval time.Duration
+	Observer          Observer
 }
 
 // Observer is notified of the heartbeats and connections of other controllers. It must not wait
@@ -109,7 +109,7 @@
 		t.peers.selectFreshest()
 	})
 	if detection != nil {
-		t.Every(detection.Interval, func() { t.AnnounceReachable(nil) })
+		t.Every(detection.HeartbeatInterval, func() { t.AnnounceReachable(nil) })
 	}
 }
 
