--- a/internal/autoscaler/write_budget.go
+++ b/internal/autoscaler/write_budget.go
@@ -12,24 +12,24 @@
 // writeBudget keeps the leader's commits within its share of the store's write rate, which is what
 // the schedulers' share leaves.
 type writeBudget struct {
-	config  *config.Config
-	limits  *storelimits.Tracker
-	limiter *rate.Limiter
+	config      *config.Config
+	storeLimits *storelimits.Tracker
+	limiter     *rate.Limiter
 }
 
-func newWriteBudget(cfg *config.Config, limits *storelimits.Tracker) *writeBudget {
+func newWriteBudget(cfg *config.Config, storeLimits *storelimits.Tracker) *writeBudget {
 	leaderRate := cfg.Params.Store.WriteRate * (1 - cfg.Operator.SchedulerWriteShare)
 	return &writeBudget{
-		config:  cfg,
-		limits:  limits,
-		limiter: rate.NewLimiter(rate.Limit(leaderRate), cfg.Params.Store.TxnOpsLimit()),
+		config:      cfg,
+		storeLimits: storeLimits,
+		limiter:     rate.NewLimiter(rate.Limit(leaderRate), cfg.Params.Store.TxnOpsLimit()),
 	}
 }
 
 // reserve reserves writes at the rate that is in force now, and returns how long to wait before
 // making them.
 func (b *writeBudget) reserve(writes int) time.Duration {
-	leaderRate := b.limits.WriteRate(&b.config.Params.Store) * (1 - b.config.Operator.SchedulerWriteShare)
+	leaderRate := b.storeLimits.WriteRate(&b.config.Params.Store) * (1 - b.config.Operator.SchedulerWriteShare)
 	b.limiter.SetLimit(rate.Limit(leaderRate))
 	return b.limiter.ReserveN(time.Now(), min(writes, b.limiter.Burst())).Delay()
 }
