--- a/cmd/lynxledge/sim_workload_test.go
+++ b/cmd/lynxledge/sim_workload_test.go
@@ -15,25 +15,25 @@
 	return wire.JobID(fmt.Sprintf("req-%06d", c.jobCount))
 }
 
-// submit submits a new job whose tasks run for runTime.
-func (c *cluster) submit(j *wire.Job, runTime time.Duration) (status int) {
-	c.invariants.Submitted(j, runTime)
+// submit submits a new job whose tasks run for runtime.
+func (c *cluster) submit(j *wire.Job, runtime time.Duration) (status int) {
+	c.invariants.Submitted(j, runtime)
 	c.submitted = append(c.submitted, j)
 	return c.request(http.MethodPost, "/work", j.ID, j)
 }
 
 func (c *cluster) resubmit(j *wire.Job) { c.request(http.MethodPost, "/work", j.ID, j) }
 
-// submitArray submits an array whose tasks run for runTime; change, if not nil, adjusts it first.
-func (c *cluster) submitArray(id wire.JobID, team wire.TeamName, tasks int, runTime time.Duration, change func(*wire.Job)) *wire.Job {
+// submitArray submits an array whose tasks run for runtime; change, if not nil, adjusts it first.
+func (c *cluster) submitArray(id wire.JobID, team wire.TeamName, tasks int, runtime time.Duration, change func(*wire.Job)) *wire.Job {
 	j := &wire.Job{
 		ID: id, Class: "c", Team: team, Kind: wire.KindArray, Priority: wire.PriorityNormal, TaskCount: tasks, CPUs: 1, MemoryGB: 1, Image: "img", ImageGB: 1,
-		AllowSpot: true, EstimatedRuntime: wire.Seconds(runTime.Seconds()),
+		AllowSpot: true, EstimatedRuntime: wire.Seconds(runtime.Seconds()),
 	}
 	if change != nil {
 		change(j)
 	}
-	c.submit(j, runTime)
+	c.submit(j, runtime)
 	return j
 }
 
--- a/cmd/lynxledge/sim_zones_test.go
+++ b/cmd/lynxledge/sim_zones_test.go
@@ -134,8 +134,8 @@
 	for range seconds {
 		c.elapsedSeconds++
 		if c.elapsedSeconds%3 == 0 {
-			tasks, runTime := c.workload.arrayTasks+c.elapsedSeconds%5, time.Duration(8+c.elapsedSeconds%9)*time.Second
-			c.submitArray(c.nextJobID(), "blue", tasks, runTime, func(j *wire.Job) { j.Priority = wire.Priority(1 + c.elapsedSeconds%2) })
+			tasks, runtime := c.workload.arrayTasks+c.elapsedSeconds%5, time.Duration(8+c.elapsedSeconds%9)*time.Second
+			c.submitArray(c.nextJobID(), "blue", tasks, runtime, func(j *wire.Job) { j.Priority = wire.Priority(1 + c.elapsedSeconds%2) })
 		}
 		c.advance(time.Second)
 		c.extendPartitions()
--- a/internal/simulation/invariants.go
+++ b/internal/simulation/invariants.go
@@ -31,7 +31,7 @@
 // jobRecord is what the checker knows about a job.
 type jobRecord struct {
 	job                         *wire.Job
-	runTime                     time.Duration     // of each task
+	runtime                     time.Duration     // of each task
 	completed                   map[int]bool      // by task index
 	runningByZone               map[wire.Zone]int // how many of its tasks are on machines
 	accepted                    bool              // a user was told that it was accepted
@@ -71,12 +71,12 @@
 	return slices.Clone(c.violations)
 }
 
-// Submitted registers a job; call it before the job's first submission. Each task runs for runTime.
-func (c *InvariantChecker) Submitted(j *wire.Job, runTime time.Duration) {
+// Submitted registers a job; call it before the job's first submission. Each task runs for runtime.
+func (c *InvariantChecker) Submitted(j *wire.Job, runtime time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.jobs[j.ID] == nil {
-		c.jobs[j.ID] = &jobRecord{job: j, runTime: runTime, completed: map[int]bool{}, runningByZone: map[wire.Zone]int{}, submittedAt: time.Now()}
+		c.jobs[j.ID] = &jobRecord{job: j, runtime: runtime, completed: map[int]bool{}, runningByZone: map[wire.Zone]int{}, submittedAt: time.Now()}
 	}
 }
 
@@ -115,9 +115,9 @@
 	}
 }
 
-// RunTime returns how long a task runs, or that it runs forever, for a worker that is commanded to
+// Runtime returns how long a task runs, or that it runs forever, for a worker that is commanded to
 // launch it, and counts the launch if the job is cancelled.
-func (c *InvariantChecker) RunTime(task wire.TaskID) (runTime time.Duration, forever bool, err error) {
+func (c *InvariantChecker) Runtime(task wire.TaskID) (runtime time.Duration, forever bool, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	id, _, ok := wire.ParseTaskID(task)
@@ -128,7 +128,7 @@
 	if !record.cancelledAt.IsZero() {
 		c.startsAfterCancellation++
 	}
-	return record.runTime, record.job.IsService(), nil
+	return record.runtime, record.job.IsService(), nil
 }
 
 // TaskEnded records that a task is no longer on a machine.
--- a/internal/simulation/worker_tasks.go
+++ b/internal/simulation/worker_tasks.go
@@ -71,19 +71,19 @@
 	t.stop = stop
 	w.tasks = append(w.tasks, t)
 	w.notifyChange()
-	runTime, forever, err := w.options.Checker.RunTime(command.Task)
+	runtime, forever, err := w.options.Checker.Runtime(command.Task)
 	if err != nil {
 		w.exit(t, wire.ReasonUnknown)
 		return
 	}
 	go func() {
 		defer stop()
-		w.run(ctx, t, runTime, forever)
+		w.run(ctx, t, runtime, forever)
 	}()
 }
 
 // run fetches a task's image and runs the task until it completes or its context ends.
-func (w *Worker) run(ctx context.Context, t *task, runTime time.Duration, forever bool) {
+func (w *Worker) run(ctx context.Context, t *task, runtime time.Duration, forever bool) {
 	if !sleep(ctx, w.options.ImageFetchTime) {
 		return
 	}
@@ -95,7 +95,7 @@
 		w.notifyChange()
 	}
 	w.mu.Unlock()
-	if forever || !sleep(ctx, runTime) {
+	if forever || !sleep(ctx, runtime) {
 		return
 	}
 	w.waitUntilResumed()
