--- a/cmd/lynxledge/sim_processes_test.go
+++ b/cmd/lynxledge/sim_processes_test.go
@@ -279,8 +279,8 @@
 	}, run)
 }
 
-// allReplicasRun tells whether every service runs all its replicas. Services that are pinned to the
-// zone except are left out, if it is not empty.
+// allReplicasRun reports whether every service runs all its replicas. Services that are pinned to
+// the zone except are left out, if it is not empty.
 func (c *processCluster) allReplicasRun(except wire.Zone) bool {
 	for _, j := range c.services {
 		if (except == "" || j.Zone != except) && c.invariants.RunningTasks(j.ID) != j.TaskCount {
@@ -357,8 +357,8 @@
 	return c
 }
 
-// peersConnected tells whether each controller sees every other as alive, with connections open in
-// both directions. A process that ends before that is replaced only when its lease expires.
+// peersConnected reports whether each controller sees every other as alive, with connections open
+// in both directions. A process that ends before that is replaced only when its lease expires.
 func (c *processCluster) peersConnected() bool {
 	for _, p := range c.processes {
 		status := &standby.Status{}
--- a/cmd/lynxledge/sim_requests_test.go
+++ b/cmd/lynxledge/sim_requests_test.go
@@ -34,7 +34,8 @@
 	t.handlers[member] = handler
 }
 
-// sendHeartbeat sends a worker's heartbeat to a controller; ok tells whether it responded with 200.
+// sendHeartbeat sends a worker's heartbeat to a controller; ok reports whether it responded with
+// 200.
 func sendHeartbeat(handler http.Handler, heartbeat *wire.Heartbeat) (response wire.HeartbeatResponse, redirectTo string, ok bool) {
 	status, body := serveRequest(handler, http.MethodPost, "/hello", heartbeat)
 	if status == http.StatusOK {
--- a/cmd/lynxledge/sim_zones_test.go
+++ b/cmd/lynxledge/sim_zones_test.go
@@ -233,7 +233,8 @@
 // recordedPhase returns a zone's recovery phase as recorded in the store.
 func (c *zoneCluster) recordedPhase(zone wire.Zone) string { return c.orderChecker.Phase(zone) }
 
-// advanceUntil lets up to so many seconds pass until a condition holds, and tells whether it does.
+// advanceUntil lets up to so many seconds pass until a condition holds, and reports whether it
+// does.
 func (c *zoneCluster) advanceUntil(seconds int, condition func() bool) bool {
 	for range seconds {
 		if condition() {
@@ -245,7 +246,7 @@
 }
 
 // advanceIdleUntil lets up to three minutes pass without new arrays until a condition holds, and
-// tells whether it does.
+// reports whether it does.
 func (c *zoneCluster) advanceIdleUntil(condition func() bool) bool {
 	for range 180 {
 		if condition() {
--- a/cmd/lynxledge/standby_test.go
+++ b/cmd/lynxledge/standby_test.go
@@ -100,8 +100,8 @@
 // harmlessFault is a fault in which no controller crashes.
 type harmlessFault struct {
 	inject func(c *cluster)
-	// leasesMayExpire is set if all renewals of a lease may be lost. The roles attached to the lease
-	// then pass to another member, as they do without early failover.
+	// leasesMayExpire reports whether all renewals of a lease may be lost. The roles attached to
+	// the lease then pass to another member, as they do without early failover.
 	leasesMayExpire bool
 }
 
@@ -147,7 +147,7 @@
 	return roles{term: c.highestTerm(), leader: c.leader(), scheduler: c.scheduler()}
 }
 
-// keptRoles tells whether each role is held by the same member as before. If leasesMayExpire, a
+// keptRoles reports whether each role is held by the same member as before. If leasesMayExpire, a
 // role whose lease expired may have moved.
 func (c *cluster) keptRoles(before roles, leasesMayExpire bool) bool {
 	after := c.roles()
--- a/cmd/lynxledge/zone_measure_test.go
+++ b/cmd/lynxledge/zone_measure_test.go
@@ -27,7 +27,7 @@
 	machinesLost   int
 }
 
-// restoreTimes tells when services that lost replicas had all of them again.
+// restoreTimes holds the times after which services that lost replicas had all of them again.
 type restoreTimes struct {
 	restored           []time.Duration // time from the loss, of each restored service
 	unrestored         int             // number of services that were not restored
@@ -63,7 +63,7 @@
 }
 
 func (m *zoneMeasurement) String() string {
-	return fmt.Sprintf("%d machines lost; spread services: %v; pinned: %v; %d tasks started, price %.2f; %.1f s of processor, %d MB allocated; %d violations",
+	return fmt.Sprintf("%d machines lost; spread services: %v; pinned: %v; %d tasks started, price %.2f; %.1f s of CPU time, %d MB allocated; %d violations",
 		m.machinesLost, &m.spread, &m.pinned, m.tasksStarted, m.cost, m.cpuTime.Seconds(), m.allocated>>20, len(m.violations))
 }
 
--- a/internal/actor/actor.go
+++ b/internal/actor/actor.go
@@ -16,7 +16,7 @@
 	done    <-chan struct{}
 }
 
-// Start starts an actor whose mailbox holds up to size messages. It runs until ctx ends.
+// Start starts an Actor that runs until ctx ends. Its mailbox holds up to size messages.
 func Start(ctx context.Context, name string, size int) *Actor {
 	a := &Actor{name: name, mailbox: make(chan func(), size), done: ctx.Done()}
 	go a.loop()
--- a/internal/apiserver/server.go
+++ b/internal/apiserver/server.go
@@ -28,7 +28,7 @@
 	commitRetryTime = 400 * time.Millisecond // how long a commit that the store rejected is retried
 )
 
-// Options configure a Server.
+// Options configures a Server.
 type Options struct {
 	Config      *config.Config
 	Cache       *statecache.Cache
@@ -51,13 +51,13 @@
 	retrySchedule    retrySchedule // of rejected submissions
 	maxViewAge       time.Duration // if the view is older, the store counts as unreachable
 
-	// Accessed only by the actor's goroutine.
+	// Accessed only by the actor.
 	view         *statecache.View
 	freshAsOf    time.Time
 	machineTypes []wire.MachineType
 }
 
-// Start runs a Server until ctx ends.
+// Start starts a Server that runs until ctx ends.
 func Start(ctx context.Context, o Options) *Server {
 	s := &Server{
 		Actor:            actor.Start(ctx, "apiserver", 512),
@@ -75,7 +75,7 @@
 	return s
 }
 
-// apply applies changes of the store to the view.
+// apply applies an update of the cache to the view.
 func (s *Server) apply(update statecache.Update) {
 	s.freshAsOf = update.FreshAsOf
 	for _, change := range update.Changes {
--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -22,7 +22,7 @@
 	MachineTypes(ctx context.Context) ([]wire.MachineType, error)
 }
 
-// Prober requests a machine's status directly from its worker.
+// Prober requests a heartbeat directly from a worker.
 type Prober interface {
 	Inspect(ctx context.Context, addr string) (*wire.Heartbeat, error)
 }
@@ -62,19 +62,21 @@
 // Options configures an Autoscaler.
 type Options struct {
 	Config          *config.Config
-	Incarnation     uint64 // incarnation of this process
+	Incarnation     uint64 // of this process
 	Cache           *statecache.Cache
 	Cloud           Cloud
 	Prober          Prober
 	OnProbeResponse func(*wire.Heartbeat)
-	StoreLimits     *storelimits.Tracker // nil: the configured limits are in force
-	Overload        *overload.Gauge      // nil: this process never counts as overloaded
+	StoreLimits     *storelimits.Tracker // nil: the limits are as configured
+	Overload        *overload.Gauge      // nil: this process is never overloaded
 }
 
-// mailboxSize is how many messages the actor's mailbox holds before Send blocks.
+// mailboxSize is the number of messages that the actor's mailbox holds. While it is full, Send
+// blocks and TrySend drops the message.
 const mailboxSize = 256
 
-// Start starts the actor, which runs until ctx ends. It acts only while this process is the leader.
+// Start starts an Autoscaler that runs until ctx ends. It acts only while this process is the
+// leader.
 func Start(ctx context.Context, o Options) *Autoscaler {
 	cfg := o.Config
 	a := &Autoscaler{
@@ -115,13 +117,13 @@
 	a.Send(func() { a.machineTypes.types = types })
 }
 
-// MachinesReachable reports machines whose heartbeats reached any controller.
+// MachinesReachable records that controllers have received heartbeats from machines.
 func (a *Autoscaler) MachinesReachable(machines []wire.MachineID) {
 	now := time.Now()
 	a.TrySend(func() { a.liveness.heartbeatsReceived(machines, now) })
 }
 
-// apply applies an update of the cache to the view and to what is derived from it.
+// apply applies an update of the cache to the view and to everything derived from it.
 func (a *Autoscaler) apply(u statecache.Update) {
 	a.revision, a.freshAsOf = u.Revision, u.FreshAsOf
 	now := time.Now()
--- a/internal/autoscaler/cycle.go
+++ b/internal/autoscaler/cycle.go
@@ -8,8 +8,8 @@
 	"lynxledge/internal/planner"
 )
 
-// maxSkippedCycles is the maximum time, in planning cycles, that planning is put off while processor
-// time is short.
+// maxSkippedCycles is the maximum time, in planning cycles, that planning is put off while CPU time
+// is short.
 const maxSkippedCycles = 4
 
 // runCycle runs one planning cycle: it lists the cloud's instances, calls the cloud for stored
@@ -44,8 +44,8 @@
 	a.scaleInDrained()
 }
 
-// deferPlanning reports whether to put planning off, because processor time is short and other
-// work is more urgent.
+// deferPlanning reports whether to put planning off, because CPU time is short and other work is
+// more urgent.
 func (a *Autoscaler) deferPlanning() bool {
 	maxDelay := a.config.Operator.PlanningIntervals(maxSkippedCycles)
 	return a.overload.Level() >= overload.Behind && time.Since(a.lastPlanned) < maxDelay
--- a/internal/autoscaler/instances.go
+++ b/internal/autoscaler/instances.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// listRateShare is the share of the leader's rate of calls to the cloud that listing the
+	// listRateShare is the share of the leader's request rate to the cloud that listing the
 	// instances may use: the list of a large deployment has many pages, and provisioning calls
 	// queue behind them.
 	listRateShare = 0.25
--- a/internal/autoscaler/instances_test.go
+++ b/internal/autoscaler/instances_test.go
@@ -6,7 +6,7 @@
 	"lynxledge/internal/config"
 )
 
-// Listing the instances of a large deployment leaves most of the rate of cloud calls for
+// Listing the instances of a large deployment leaves most of the request rate to the cloud for
 // provisioning; those of a small one are listed in every planning cycle.
 func TestListingLeavesCallsForProvisioning(t *testing.T) {
 	for _, requestRate := range []float64{3, 10} {
--- a/internal/autoscaler/replacement_test.go
+++ b/internal/autoscaler/replacement_test.go
@@ -45,7 +45,7 @@
 			}
 		}
 		if got := finder.canReplaceReplicas(view.Machines["i-a"]); got != test.replaceable {
-			t.Errorf("%v processors free in zone c: replaceable %v", test.freeInC, got)
+			t.Errorf("%v CPUs free in zone c: replaceable %v", test.freeInC, got)
 		}
 	}
 }
--- a/internal/cloud/catalog.go
+++ b/internal/cloud/catalog.go
@@ -22,7 +22,8 @@
 	subscribers []func([]wire.MachineType)
 }
 
-// StartCatalog starts a catalog's actor, which runs until ctx ends. Call Subscribe only before Run.
+// StartCatalog starts a Catalog that runs until ctx ends. Subscribers must be registered before
+// Run.
 func StartCatalog(ctx context.Context, client MachineTypeLister) *Catalog {
 	return &Catalog{Actor: actor.Start(ctx, "catalog", 16), client: client}
 }
--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -14,14 +14,14 @@
 // idleConns is the number of idle connections to the cloud that are kept open.
 const idleConns = 2
 
-// Client calls the cloud's API.
+// Client is a client of the cloud.
 type Client struct {
 	client  *httpjson.Client
 	timeout time.Duration
 }
 
-// New returns a client of the cloud at addr that makes at most a share of the cloud's requestRate,
-// in requests per second.
+// New returns a client of the cloud at addr that never exceeds the given share of the cloud's
+// requestRate, per second.
 func New(addr string, requestRate, share float64, timeout time.Duration) *Client {
 	return &Client{client: httpjson.NewClient(addr, requestRate*share, timeout, idleConns), timeout: timeout}
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -78,7 +78,7 @@
 	CancellationDeadline time.Duration
 }
 
-// Heartbeats returns the duration of n heartbeat intervals.
+// Heartbeats returns n times the heartbeat interval.
 func (w WorkerTimings) Heartbeats(n float64) time.Duration {
 	return scaleDuration(w.HeartbeatInterval, n)
 }
--- a/internal/config/operator_settings.go
+++ b/internal/config/operator_settings.go
@@ -37,7 +37,7 @@
 	Standby      *Standby
 }
 
-// PlanningIntervals returns the duration of n planning intervals.
+// PlanningIntervals returns n times the planning interval.
 func (o *OperatorSettings) PlanningIntervals(n float64) time.Duration {
 	return scaleDuration(o.PlanningInterval, n)
 }
--- a/internal/config/warnings.go
+++ b/internal/config/warnings.go
@@ -8,7 +8,7 @@
 // Minimum resources with which a controller serves a deployment of a few hundred machines.
 // docs/performance.md has the measurements.
 const (
-	minRecommendedCPU             = 0.02 // of a core
+	minRecommendedCPU             = 0.02 // in CPUs
 	minRecommendedMemoryMB        = 40.0
 	minRecommendedFileDescriptors = 100 // for sockets; with fewer, commands and heartbeats have to wait for one
 )
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -61,7 +61,7 @@
 	return e
 }
 
-// apply applies changes of records to the view and the team list.
+// apply applies the changes of an update of the cache to the view and to the team list.
 func (e *Election) apply(changes []statecache.Change) {
 	for _, change := range changes {
 		e.view.Apply(change)
--- a/internal/heartbeat/machine_state.go
+++ b/internal/heartbeat/machine_state.go
@@ -68,9 +68,9 @@
 // fencing token unacknowledged before it counts as partitioned inbound.
 const inboundPartitionHeartbeats = 2.5
 
-// inboundPartitioned determines whether a machine's heartbeats arrive but responses don't reach it:
-// two heartbeats after it was sent a fencing token, its heartbeats still have a lower one. Such a
-// machine doesn't count as reachable, so the leader suspects and then terminates it.
+// inboundPartitioned updates and reports whether a machine's heartbeats arrive but responses don't
+// reach it: two heartbeats after it was sent a fencing token, its heartbeats still have a lower
+// one. Such a machine doesn't count as reachable, so the leader suspects and then terminates it.
 func (r *Receiver) inboundPartitioned(heartbeat *wire.Heartbeat, state *machineState, now time.Time) bool {
 	before := state.inboundPartitioned
 	state.inboundPartitioned = state.unacknowledgedToken > 0 && now.Sub(state.unacknowledgedSince) > r.config.Params.Workers.Heartbeats(inboundPartitionHeartbeats)
--- a/internal/heartbeat/receiver.go
+++ b/internal/heartbeat/receiver.go
@@ -70,7 +70,7 @@
 	r.onReachable = append(r.onReachable, f)
 }
 
-// apply applies an update of the cache.
+// apply applies an update of the cache to the view and to what is derived from it.
 func (r *Receiver) apply(update statecache.Update) {
 	if update.FreshAsOf.After(r.freshAsOf) {
 		r.freshAsOf = update.FreshAsOf
--- a/internal/httpjson/rate_limited_client.go
+++ b/internal/httpjson/rate_limited_client.go
@@ -31,8 +31,8 @@
 	limiter    *rate.Limiter
 }
 
-// NewClient returns a client of the service at addr that sends up to requestRate requests per
-// second and keeps up to idleConns idle connections.
+// NewClient returns a client of the service at addr that never exceeds the given request rate, per
+// second, and keeps up to idleConns idle connections.
 func NewClient(addr string, requestRate float64, dialTimeout time.Duration, idleConns int) *Client {
 	return &Client{
 		baseURL: "http://" + addr, httpClient: NewHTTPClient(dialTimeout, idleConns, 0),
--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -17,15 +17,16 @@
 // idleConns is the number of idle connections to the store that are kept open.
 const idleConns = 8
 
-// Client is a client for the key-value store.
+// Client is a client of the key-value store.
 type Client struct {
 	client       *httpjson.Client
 	writeLimiter *rate.Limiter
 	timeout      time.Duration
 }
 
-// New returns a client that never exceeds the given rates of requests and writes. Callers must
-// see to it that all controllers together stay within the store's rates.
+// New returns a client of the store at addr that never exceeds the given request rate and write
+// rate, per second. Callers must see to it that all controllers together stay within the store's
+// rates.
 func New(addr string, requestRate, writeRate float64, maxTxnOps int, timeout time.Duration) *Client {
 	return &Client{
 		client:       httpjson.NewClient(addr, requestRate, timeout, idleConns),
--- a/internal/overload/overload.go
+++ b/internal/overload/overload.go
@@ -39,11 +39,11 @@
 type Gauge struct {
 	heartbeatInterval time.Duration
 	level             atomic.Int32
-	lowerChecks       int // consecutive checks below the current level; used only by the measuring goroutine
+	lowerChecks       int // consecutive checks below the current level; accessed only by the measuring goroutine
 }
 
-// Start returns a Gauge that measures until ctx ends. Lateness is measured relative to the
-// workers' heartbeat interval.
+// Start starts a Gauge that measures until ctx ends. Lateness is measured relative to the workers'
+// heartbeat interval.
 func Start(ctx context.Context, heartbeatInterval time.Duration) *Gauge {
 	g := &Gauge{heartbeatInterval: heartbeatInterval}
 	go g.measure(ctx)
--- a/internal/peer/message.go
+++ b/internal/peer/message.go
@@ -14,7 +14,7 @@
 	// Incarnation identifies the sender's process; 0: not announced.
 	Incarnation uint64           `json:"boot,omitempty"`
 	Reachable   []wire.MachineID `json:"heard,omitempty"` // machines that the sender had heartbeats from
-	// Evidence is written to the store by the receiver if its scheduler is active; may be nil.
+	// Evidence is written to the store by the receiver if its scheduler is active; nil: none.
 	Evidence *reconcile.Evidence `json:"note,omitempty"`
 }
 
--- a/internal/peer/table.go
+++ b/internal/peer/table.go
@@ -18,7 +18,7 @@
 	outbound  chan PeerHeartbeat // messages queued for the stream to that controller
 	connected atomic.Bool        // the stream is open
 
-	// Accessed only by the transport's actor.
+	// Accessed only by the actor.
 	lastHeartbeat time.Time
 	viewAge       time.Duration
 }
@@ -34,8 +34,8 @@
 }
 
 // table holds the state of the other controllers, whose set is fixed. The data from their
-// heartbeats is accessed only by the transport's actor, which publishes freshest and isolated for
-// other goroutines.
+// heartbeats is accessed only by the actor, which publishes freshest and isolated for other
+// goroutines.
 type table struct {
 	byName   map[string]*peerState
 	maxAge   time.Duration // age beyond which heartbeats and views don't count
--- a/internal/peer/transport.go
+++ b/internal/peer/transport.go
@@ -33,11 +33,13 @@
 
 // Handlers handle the messages of other controllers. They must not wait for the transport.
 type Handlers struct {
-	// Reachable is called with the machines that another controller had heartbeats from; may be nil.
+	// Reachable is called with the machines that another controller had heartbeats from; nil: they
+	// are ignored.
 	Reachable func(member string, machines []wire.MachineID)
-	// Evidence is called with the evidence that another controller forwards; may be nil.
+	// Evidence is called with the evidence that another controller forwards; nil: it is ignored.
 	Evidence func(reconcile.Evidence)
-	// FailureDetection is nil if early failover is off.
+	// FailureDetection configures the heartbeats for failure detection; nil: early failover is
+	// disabled.
 	FailureDetection *FailureDetection
 }
 
--- a/internal/placement/node.go
+++ b/internal/placement/node.go
@@ -25,7 +25,7 @@
 	Zones ZoneCounts // bound replicas by zone, including those that are stopping
 	// Running is the number of bound replicas that are to stay.
 	Running int
-	// Immovable is set if no replica may be stopped to be moved: for example, because another
+	// Immovable reports whether no replica may be stopped to be moved: for example, because another
 	// one is pending, stopping, or on a machine that is about to be removed.
 	Immovable bool
 }
@@ -53,8 +53,8 @@
 	// Claims reserve capacity for replicas that are being moved to the node. Tasks of other jobs
 	// must not use it.
 	Claims []Claim
-	// NeedsOwnWrite is set if the scheduling cycle does not write the node's group otherwise. Such
-	// nodes are worse candidates, since a transaction can write only a few groups.
+	// NeedsOwnWrite reports whether the scheduling cycle does not write the node's group otherwise.
+	// Such nodes are worse candidates, since a transaction can write only a few groups.
 	NeedsOwnWrite bool
 	// Ordinal is the node's position among all nodes. Candidates are sorted by it, whichever index
 	// they come from, so that ties between scores are resolved deterministically. It is a field of
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -49,7 +49,7 @@
 	Overload          *overload.Gauge       // nil: this process is never overloaded
 }
 
-// Start runs a scheduler until ctx ends.
+// Start starts a Scheduler that runs until ctx ends.
 func Start(ctx context.Context, o Options) *Scheduler {
 	s := newScheduler(o)
 	s.Actor = actor.Start(ctx, "scheduler", 512)
@@ -70,7 +70,7 @@
 	}
 }
 
-// SetMachineTypes sets the machine types of the cluster and schedules a cycle.
+// SetMachineTypes sets the machine types that the cloud offers, and schedules a cycle.
 func (s *Scheduler) SetMachineTypes(types []wire.MachineType) {
 	s.Send(func() {
 		s.nodes.setMachineTypes(types)
@@ -98,7 +98,7 @@
 	return s.TrySend(func() { f(s.clusterState()) })
 }
 
-// apply applies an update from the state cache, and schedules a cycle if anything changed.
+// apply applies an update of the cache, and schedules a cycle if anything changed.
 func (s *Scheduler) apply(update statecache.Update) {
 	s.schedulingState.apply(update, time.Now())
 	if len(update.Changes) > 0 {
--- a/internal/scheduler/state.go
+++ b/internal/scheduler/state.go
@@ -12,8 +12,8 @@
 	"lynxledge/wire"
 )
 
-// schedulingState is the state that scheduling cycles are planned from. It is owned by the
-// scheduler's actor and does no I/O.
+// schedulingState is the state that scheduling cycles are planned from. It is accessed only by the
+// actor and does no I/O.
 type schedulingState struct {
 	config      *config.Config
 	limits      recordLimits
@@ -71,7 +71,7 @@
 	}
 }
 
-// apply applies an update from the state cache to the view and to everything derived from it.
+// apply applies an update of the cache to the view and to everything derived from it.
 func (s *schedulingState) apply(update statecache.Update, now time.Time) {
 	s.revision, s.freshAsOf = update.Revision, update.FreshAsOf
 	s.writes.observe(len(update.Changes), now)
--- a/internal/scheduler/write_budget.go
+++ b/internal/scheduler/write_budget.go
@@ -73,7 +73,7 @@
 // by then, or were not made.
 func (b *writeBudget) commitEnded() { b.pendingOwn = 0 }
 
-// writeRateMeter estimates a rate of writes by an exponential moving average over a window.
+// writeRateMeter estimates a write rate by an exponential moving average over a window.
 type writeRateMeter struct {
 	window    time.Duration
 	perSecond float64
--- a/internal/simulation/store.go
+++ b/internal/simulation/store.go
@@ -37,7 +37,7 @@
 	delayedFraction    float64         // of the transactions, which get no response and are committed later
 	rng                *rand.Rand
 	changed            chan struct{}         // closed and replaced by notifyWatchers
-	IgnorePrecondition func(key string) bool // skips the preconditions on a key, for tests of what they prevent; may be nil
+	IgnorePrecondition func(key string) bool // reports whether to skip the preconditions on a key, for tests of what they prevent; nil: none are skipped
 
 	sentTimes sentTimes
 
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -8,7 +8,7 @@
 	"lynxledge/wire"
 )
 
-// WorkerOptions are a worker's settings and the parts of the simulation that it uses.
+// WorkerOptions configures a Worker.
 type WorkerOptions struct {
 	HeartbeatInterval, LeaseDuration time.Duration
 	Members                          []string
@@ -36,8 +36,8 @@
 	resumed          chan struct{} // closed when the paused machine resumes; nil unless paused
 }
 
-// NewWorker starts the worker of an instance. Its first heartbeat goes to the member with an index
-// in options.Members.
+// NewWorker returns a running Worker of an instance, which stops when ctx ends. Its first heartbeat
+// goes to the member with an index in options.Members.
 func NewWorker(ctx context.Context, instance wire.Instance, options WorkerOptions, memberIndex int) *Worker {
 	w := &Worker{instance: instance, options: options, incarnation: 1, leaseRenewedAt: time.Now(), changed: make(chan struct{}, 1), memberIndex: memberIndex}
 	w.ctx, w.cancel = context.WithCancel(ctx)
--- a/internal/statecache/cache.go
+++ b/internal/statecache/cache.go
@@ -18,14 +18,14 @@
 	Watch(ctx context.Context, prefix string, after uint64, hold time.Duration) (*wire.WatchResponse, error)
 }
 
-// Update tells a subscriber what changed, and how recent the view is.
+// Update is a set of changes that a subscriber receives, with how recent the view is after them.
 type Update struct {
 	Revision  uint64
 	FreshAsOf time.Time // start of the latest read whose changes the view includes completely
 	Changes   []Change
 }
 
-// Options of a cache.
+// Options configures a Cache.
 type Options struct {
 	ChunkTasks              int             // tasks in a whole completion chunk
 	WatchHold               time.Duration   // how long a watch waits for changes
@@ -34,11 +34,11 @@
 	MaxViewAge              time.Duration   // the view is refreshed before it is older than this
 	Backoff                 time.Duration   // first delay of the exponential backoff after failures
 	WriteInterval           time.Duration   // average time for one write at the store's write rate
-	MaxValueBytes           int             // larger values are never sent. 0: no limit
+	MaxValueBytes           int             // larger values are never sent; 0: no limit
 	MaxCompletionChunkBytes int             // the same for completion chunks, which shrink to MaxValueBytes once the store rejects the size
 	OnThrottled             func(time.Time) // called after a commit was rejected because the write rate was exceeded
 	OnSizeRejected          func()          // called after the store rejected a commit as invalid, as it does for its size
-	JobCountWarning         int             // number of known jobs above which a warning is logged, once. 0: never
+	JobCountWarning         int             // number of known jobs above which a warning is logged, once; 0: never
 }
 
 // FinishedJobBytes is the memory that a controller uses for each finished job.
@@ -60,7 +60,7 @@
 	jobCountWarned bool
 }
 
-// progress tells which state of the store the view includes.
+// progress holds which state of the store the view includes.
 type progress struct {
 	loaded    bool
 	revision  uint64
@@ -81,8 +81,7 @@
 	}
 }
 
-// Start starts a cache's actor, which runs until the context ends. Subscribers must be registered
-// before Run is called.
+// Start starts a Cache that runs until ctx ends. Subscribers must be registered before Run.
 func Start(ctx context.Context, store Store, options Options) *Cache {
 	view := NewView(options.ChunkTasks)
 	return &Cache{
@@ -103,7 +102,7 @@
 // must not wait for the actor.
 func (c *Cache) Subscribe(f func(Update)) { c.subscribers = append(c.subscribers, f) }
 
-// Run loads the view and keeps it up to date, in the background, until the context ends.
+// Run loads the view and keeps it up to date, in the background, until the context of Start ends.
 func (c *Cache) Run() {
 	go c.watchLoop()
 	c.Every(c.options.MaxViewAge/2, func() {
--- a/internal/statecache/machine.go
+++ b/internal/statecache/machine.go
@@ -17,9 +17,9 @@
 	Bindings      []TaskBinding
 	DrainReason   string // why no more tasks may be bound to it; empty: it is not drained
 	Terminating   bool
-	// Suspected: the leader receives no heartbeats from the machine, or the machine receives no
-	// replies. A heartbeat of a worker that has seen this record's fencing token clears it; a
-	// machine is terminated as unreachable only while it is suspected.
+	// Suspected reports whether the leader receives no heartbeats from the machine, or the machine
+	// receives no responses. A heartbeat of a worker that has seen this record's fencing token
+	// clears it; a machine is terminated as unreachable only while it is suspected.
 	Suspected bool
 
 	encoded string // the entry that the machine was decoded from; empty if it has to be encoded
--- a/internal/statecache/transaction.go
+++ b/internal/statecache/transaction.go
@@ -26,7 +26,7 @@
 type Put struct {
 	Key     string
 	Record  Record
-	LeaseID uint64 // lease that the key is attached to. 0: none
+	LeaseID uint64 // lease that the key is attached to; 0: none
 }
 
 // Ops returns the number of writes.
--- a/internal/statecache/zone_recoveries.go
+++ b/internal/statecache/zone_recoveries.go
@@ -24,8 +24,8 @@
 	Zones         []ZoneRecovery `json:"zones"`
 	ModRevision   uint64         `json:"-"`
 
-	// Unreadable: the record could not be decoded, since another version wrote it in a layout
-	// that this one does not know. It is not overwritten, and no decision is based on it.
+	// Unreadable reports whether the record could not be decoded, since another version wrote it in
+	// a layout that this one does not know. It is not overwritten, and no decision is based on it.
 	Unreadable bool `json:"-"`
 }
 
--- a/internal/worker/client.go
+++ b/internal/worker/client.go
@@ -17,7 +17,7 @@
 // no slot for it within the timeout. A retry may succeed.
 var ErrInFlightLimit = errors.New("too many requests to workers in flight")
 
-// Client sends requests directly to workers.
+// Client is a client of the workers.
 type Client struct {
 	httpClient *http.Client
 	timeout    time.Duration
@@ -40,7 +40,7 @@
 	return c.exchange(ctx, http.MethodPost, "http://"+addr+"/do", batch)
 }
 
-// Inspect requests a worker's heartbeat.
+// Inspect requests a heartbeat from a worker.
 func (c *Client) Inspect(ctx context.Context, addr string) (*wire.Heartbeat, error) {
 	return c.exchange(ctx, http.MethodGet, "http://"+addr+"/inspect", nil)
 }
--- a/internal/zonecontrol/controller.go
+++ b/internal/zonecontrol/controller.go
@@ -50,7 +50,7 @@
 	WithClusterState(f func(placement.ClusterState)) bool
 }
 
-// Options are the configuration and dependencies of a Controller.
+// Options configures a Controller.
 type Options struct {
 	Config      *config.Config
 	Incarnation uint64 // of this process
@@ -59,13 +59,14 @@
 	Policy      zonehealth.Policy
 }
 
-// mailboxSize is the number of queued messages at which Send blocks and TrySend drops its message.
+// mailboxSize is the number of messages that the actor's mailbox holds. While it is full, Send
+// blocks and TrySend drops the message.
 const mailboxSize = 256
 
 // checksPerHeartbeat is how many times per heartbeat interval the evidence is evaluated.
 const checksPerHeartbeat = 4
 
-// Start runs the actor until ctx ends.
+// Start starts a Controller that runs until ctx ends.
 func Start(ctx context.Context, o Options) *Controller {
 	now := time.Now()
 	c := &Controller{
--- a/internal/zonecontrol/status.go
+++ b/internal/zonecontrol/status.go
@@ -15,7 +15,7 @@
 	"lynxledge/wire"
 )
 
-// StatusPath is the HTTP path of a controller's Status, on its peer address.
+// StatusPath is the path on a controller's peer address that serves its Status.
 const StatusPath = "/status/zones"
 
 // Status describes, as one controller sees them, the zones and the services that wait for their
@@ -23,8 +23,8 @@
 type Status struct {
 	Member string `json:"member"`
 	Leader string `json:"leader,omitempty"`
-	// RecordSupported: all members support the recovery record, and this one can read it. Only
-	// then does evaluation have any effect.
+	// RecordSupported reports whether all members support the recovery record and this one can read
+	// it. Only then does evaluation have any effect.
 	RecordSupported bool            `json:"recorded"`
 	Zones           []ZoneStatus    `json:"zones"`
 	Services        []ServiceStatus `json:"services"`
@@ -62,7 +62,7 @@
 // statusTimeout bounds how long a status request waits for the actors.
 const statusTimeout = 2 * time.Second
 
-// ServeHTTP responds with the Status as JSON.
+// ServeHTTP writes the Status as JSON.
 func (c *Controller) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), statusTimeout)
 	defer cancel()
--- a/wire/doc.go
+++ b/wire/doc.go
@@ -19,7 +19,7 @@
 //	yard                 zone
 //	oneZone              single zone
 //	scatter              spread across zones
-//	loaners              spot instances
+//	loaners              spot machines
 //	bundle, sizeGb       container image and its size
 //	expectS              estimated runtime
 //	waypointS            checkpoint interval
