--- a/internal/autoscaler/cycle.go
+++ b/internal/autoscaler/cycle.go
@@ -15,7 +15,7 @@
 // runCycle runs one planning cycle: it lists the cloud's instances, calls the cloud for stored
 // intents, and plans.
 func (a *Autoscaler) runCycle() {
-	if !a.isLeader() || len(a.machineTypes.types) == 0 {
+	if !a.isConfirmedLeader() || len(a.machineTypes.types) == 0 {
 		return
 	}
 	a.listInstances()
@@ -27,7 +27,7 @@
 
 // planAndApply computes a plan and carries it out.
 func (a *Autoscaler) planAndApply() {
-	if !a.isLeader() || len(a.machineTypes.types) == 0 || a.deferPlanning() {
+	if !a.isConfirmedLeader() || len(a.machineTypes.types) == 0 || a.deferPlanning() {
 		return
 	}
 	now := time.Now()
--- a/internal/autoscaler/faulty.go
+++ b/internal/autoscaler/faulty.go
@@ -21,7 +21,7 @@
 		}
 		l := a.liveness.of(t.Machine)
 		l.observeTermination(t)
-		if len(l.failedJobs) >= faultyJobThreshold && m.DrainReason == "" && a.isLeader() {
+		if len(l.failedJobs) >= faultyJobThreshold && m.DrainReason == "" && a.isConfirmedLeader() {
 			slog.Warn("faulty machine detected",
 				"machine", t.Machine,
 				"machine_type", m.MachineType,
--- a/internal/autoscaler/scale_out.go
+++ b/internal/autoscaler/scale_out.go
@@ -104,7 +104,7 @@
 		a.provisioning.finish(name) // the next planning cycle repeats the call
 		return
 	}
-	if !a.isLeader() {
+	if !a.isConfirmedLeader() {
 		a.provisioning.finish(name)
 		return
 	}
--- a/internal/autoscaler/termination.go
+++ b/internal/autoscaler/termination.go
@@ -57,7 +57,7 @@
 // terminateMachines has the cloud delete the machines that are recorded as terminating. Once it has
 // confirmed, they and their tasks no longer exist, and their records are removed.
 func (a *Autoscaler) terminateMachines() {
-	if !a.isLeader() {
+	if !a.isConfirmedLeader() {
 		return
 	}
 	var names []wire.MachineID
--- a/internal/autoscaler/unreachable.go
+++ b/internal/autoscaler/unreachable.go
@@ -23,7 +23,7 @@
 // assumed to be gone: it is terminated, so that it certainly is. checkLiveness also deletes empty
 // groups, and retries pending updates and terminations.
 func (a *Autoscaler) checkLiveness() {
-	if !a.isLeader() {
+	if !a.isConfirmedLeader() {
 		return
 	}
 	now := time.Now()
