--- a/internal/apiserver/server.go
+++ b/internal/apiserver/server.go
@@ -83,7 +83,8 @@
 	}
 }
 
-// SetMachineTypes sets the machine types that submissions are checked against.
+// SetMachineTypes sets the machine types that the cloud offers, against which submissions are
+// checked.
 func (s *Server) SetMachineTypes(types []wire.MachineType) { s.Send(func() { s.machineTypes = types }) }
 
 // Handler returns the handler of all HTTP requests of clients.
--- a/internal/autoscaler/leadership.go
+++ b/internal/autoscaler/leadership.go
@@ -7,7 +7,8 @@
 	"lynxledge/internal/statecache"
 )
 
-// isConfirmedLeader reports whether this process is the leader and its view is fresh enough to act on.
+// isConfirmedLeader reports whether this process is the leader and its view is fresh enough to act
+// on.
 func (a *Autoscaler) isConfirmedLeader() bool {
 	_, ok := a.leadership()
 	return ok
--- a/internal/autoscaler/liveness.go
+++ b/internal/autoscaler/liveness.go
@@ -10,11 +10,11 @@
 // machineLiveness is what the leader knows about a machine from heartbeats, probes and failed tasks,
 // or from the absence of heartbeats.
 type machineLiveness struct {
-	lastReachable       time.Time           // last heartbeat that reached any controller, or last answered probe; zero: none
+	lastReachable       time.Time           // last heartbeat that reached any controller, or last response to a probe; zero: none
 	suspectedAt         time.Time           // when it was recorded as suspected
 	lastFailedProbe     time.Time           // when a probe last failed
 	probing             bool                // a probe is in flight
-	outboundPartitioned bool                // it answers probes, but its heartbeats reach no controller
+	outboundPartitioned bool                // it responds to probes, but its heartbeats reach no controller
 	failedJobs          map[wire.JobID]bool // jobs with tasks that failed on it since a task last completed
 }
 
@@ -40,11 +40,11 @@
 	}
 }
 
-// probeSucceeded records an answered probe. incarnation is that of the machine's record when the
-// probe was sent. A machine that answers is not lost: perhaps only its heartbeats reach no
+// probeSucceeded records a response to a probe. incarnation is that of the machine's record when
+// the probe was sent. A machine that responds is not lost: perhaps only its heartbeats reach no
 // controller. But if its lease has expired meanwhile, which begins a new incarnation, it keeps
-// losing all tasks assigned to it: from then on its answers don't count until a heartbeat arrives.
-// partitionDetected is true for the first such answer.
+// losing all tasks assigned to it: from then on its responses don't count until a heartbeat
+// arrives. partitionDetected is true for the first such response.
 func (l *machineLiveness) probeSucceeded(response *wire.Heartbeat, incarnation uint64, now time.Time) (partitionDetected bool) {
 	if response.Incarnation > incarnation && !l.outboundPartitioned {
 		l.outboundPartitioned, partitionDetected = true, true
--- a/internal/autoscaler/liveness_test.go
+++ b/internal/autoscaler/liveness_test.go
@@ -8,7 +8,7 @@
 	"lynxledge/wire"
 )
 
-// A machine that answers probes counts as reachable, unless its lease expired nevertheless: then
+// A machine that responds to probes counts as reachable, unless its lease expired nevertheless: then
 // only a heartbeat makes it reachable again.
 func TestProbesDoNotCountOnceLeaseExpired(t *testing.T) {
 	tracker := newLivenessTracker()
--- a/internal/config/objectives.go
+++ b/internal/config/objectives.go
@@ -8,7 +8,7 @@
 // ObjectiveKind names the time that a service-level objective bounds.
 type ObjectiveKind string
 
-// The kinds of objectives that scheduling considers. Others are accepted and have no effect.
+// Kinds of objectives that scheduling considers. Others are accepted and have no effect.
 const (
 	ObjectiveFinished  ObjectiveKind = "finished"  // time until a job of the class has finished
 	ObjectiveDeadline  ObjectiveKind = "deadline"  // time until a job of the class has finished, as a multiple of its own deadline
--- a/internal/election/lease.go
+++ b/internal/election/lease.go
@@ -16,7 +16,7 @@
 	renewalAttemptedAt time.Time // start of the last renewal request, successful or not
 }
 
-// checksPerLeaseTTL is how many times per TTL the lease is checked. A renewal that gets no answer
+// checksPerLeaseTTL is how many times per TTL the lease is checked. A renewal that gets no response
 // is retried at the next check.
 const checksPerLeaseTTL = 2 * config.RenewalsPerLeaseTTL
 
@@ -31,7 +31,7 @@
 }
 
 // maintainLease requests or renews the lease when that is due. A renewal waits neither for other
-// requests nor for earlier renewals, since a request that gets no answer takes long to fail.
+// requests nor for earlier renewals, since a request that gets no response takes long to fail.
 func (e *Election) maintainLease() {
 	switch {
 	case e.resigned:
--- a/internal/failuredetector/level.go
+++ b/internal/failuredetector/level.go
@@ -5,7 +5,7 @@
 // Level classifies a controller by how likely it is to have failed.
 type Level int
 
-// The levels. A controller that misses heartbeats or has lost all connections is suspect. It is
+// Levels of a controller. One that misses heartbeats or has lost all connections is suspect. It is
 // failed only if both hold for long enough.
 const (
 	Alive Level = iota
--- a/internal/heartbeat/response.go
+++ b/internal/heartbeat/response.go
@@ -2,17 +2,17 @@
 
 import "lynxledge/wire"
 
-// Outcome says how a heartbeat was answered.
+// Outcome is the result of handling a heartbeat.
 type Outcome uint8
 
-// The outcomes.
+// Outcomes of a heartbeat.
 const (
 	Refused    Outcome = iota // not accepted, and no other controller is known to accept it
 	Accepted                  // the lease is renewed
 	Redirected                // the worker should send its heartbeats to another controller
 )
 
-// Response is the answer to a heartbeat.
+// Response is the response to a heartbeat.
 type Response struct {
 	Outcome    Outcome
 	Body       wire.HeartbeatResponse // set if the heartbeat was accepted
--- a/internal/overload/overload.go
+++ b/internal/overload/overload.go
@@ -14,7 +14,7 @@
 // Level is the degree of overload.
 type Level int32
 
-// Levels, in ascending order.
+// Levels of overload, in ascending order.
 const (
 	Normal Level = iota
 	// Behind means that work that can wait for seconds should be delayed.
--- a/internal/scheduler/backoff.go
+++ b/internal/scheduler/backoff.go
@@ -17,7 +17,7 @@
 const probeAfter = 3
 
 // backoff delays jobs whose tasks failed or were preempted right after placement, and avoids
-// machines that refused tasks or didn't answer commands.
+// machines that refused tasks or didn't respond to commands.
 type backoff struct {
 	workers        config.WorkerTimings
 	failures       map[wire.JobID]*jobFailures
--- a/internal/statecache/machine.go
+++ b/internal/statecache/machine.go
@@ -28,7 +28,7 @@
 // Drain reasons that packages other than the autoscaler depend on.
 const (
 	DrainFailed      = "failed" // the cloud reports the machine as failed
-	DrainUnreachable = "silent" // the machine sends no heartbeats and answers no probe
+	DrainUnreachable = "silent" // the machine sends no heartbeats and responds to no probe
 )
 
 // Schedulable reports whether tasks may be bound to the machine.
--- a/internal/zonehealth/phase.go
+++ b/internal/zonehealth/phase.go
@@ -8,7 +8,7 @@
 // Phase is the state of a zone.
 type Phase int
 
-// The phases. A zone goes from Healthy to Lost, directly or through Degraded, and from Lost to
+// Phases of a zone. It goes from Healthy to Lost, directly or through Degraded, and from Lost to
 // Returning. From there it goes back to Healthy, or to Lost again.
 const (
 	// Healthy: the zone is used like any other.
