--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -82,7 +82,7 @@
 				usage[task.Job.Team] = usage[task.Job.Team].AddScaled(resources.OfTask(task.Job), 1)
 			}
 		}
-		victims := FindVictims(job, ZoneCounts{}, ZoneOffers{}, nodes, Quotas{Usage: usage, Of: quotaOf})
+		victims := FindVictims(job, ZoneCounts{}, ZoneOffers{}, nodes, Quotas{Usage: usage, TeamQuota: quotaOf})
 		if victims == nil {
 			return
 		}
--- a/internal/placement/victims.go
+++ b/internal/placement/victims.go
@@ -21,8 +21,8 @@
 
 // Quotas holds the usage and the quotas of teams.
 type Quotas struct {
-	Usage resources.Usage
-	Of    func(team wire.TeamName) config.TeamQuota
+	Usage     resources.Usage
+	TeamQuota func(team wire.TeamName) config.TeamQuota
 }
 
 // FindVictims returns the cheapest victims on one of the nodes that make room for a task of a job,
@@ -33,7 +33,7 @@
 	var best *Victims
 	bestScore := 0.0
 	search := victimSearch{job: job, need: resources.OfTask(job), quotas: quotas}
-	search.guaranteed = quotas.Usage.WithinGuarantee(quotas.Of(job.Team), search.need)
+	search.guaranteed = quotas.Usage.WithinGuarantee(quotas.TeamQuota(job.Team), search.need)
 	for _, n := range nodes {
 		if !n.AllowedFor(job) || !zones.Allows(job, n.Zone) {
 			continue
@@ -113,7 +113,7 @@
 // could: not if that usage is already within the guarantee. remainingUsage holds the usage of the
 // teams that victims have been chosen from.
 func (s *victimSearch) reclaimAboveGuarantee(remainingUsage resources.Usage, victim *wire.Job) bool {
-	quota := s.quotas.Of(victim.Team)
+	quota := s.quotas.TeamQuota(victim.Team)
 	usage, ok := remainingUsage[quota.Name]
 	if !ok {
 		usage = s.quotas.Usage[quota.Name]
--- a/internal/scheduler/job_placement.go
+++ b/internal/scheduler/job_placement.go
@@ -209,7 +209,7 @@
 		if node != nil { // preemption helps only on nodes that have the image
 			nodes = slices.DeleteFunc(slices.Clone(nodes), func(n *placement.Node) bool { return !n.HasImage(p.spec.Image) })
 		}
-		victims = placement.FindVictims(p.spec, p.zones, p.nodes.offers, nodes, placement.Quotas{Usage: p.usage, Of: p.teamQuota})
+		victims = placement.FindVictims(p.spec, p.zones, p.nodes.offers, nodes, placement.Quotas{Usage: p.usage, TeamQuota: p.teamQuota})
 	}
 	if node == nil && victims == nil && placement.MayMoveReplicasFor(p.spec) {
 		victims = p.findReplicaToMove()
