--- a/internal/election/handover.go
+++ b/internal/election/handover.go
@@ -11,9 +11,9 @@
 // the claim is conditional on the revision of the leader record. Once it is committed, every write
 // of the former leader fails, and its launches carry older fencing tokens. A former leader that is
 // still alive loses its leadership but nothing else.
-func (e *Election) ClaimLeadership(revision uint64) {
+func (e *Election) ClaimLeadership(modRevision uint64) {
 	e.TrySend(func() {
-		if e.requestBlocked() || e.lease.id == 0 || e.view.Leader == nil || e.view.Leader.ModRevision != revision {
+		if e.requestBlocked() || e.lease.id == 0 || e.view.Leader == nil || e.view.Leader.ModRevision != modRevision {
 			return
 		}
 		e.campaign()
