--- a/internal/worker/client.go
+++ b/internal/worker/client.go
@@ -1,4 +1,4 @@
-// Package worker provides a client for the workers, which are the agents on the machines.
+// Package worker provides a client of the workers, which are the agents on the machines.
 package worker
 
 import (
--- a/internal/zonecontrol/controller.go
+++ b/internal/zonecontrol/controller.go
@@ -1,5 +1,6 @@
-// Package zonecontrol has the actor that controls the recovery of zones: every controller collects
-// evidence, and the leader evaluates it and writes the state of each zone to the recovery record.
+// Package zonecontrol contains the actor that controls the recovery of zones: every controller
+// collects evidence, and the leader evaluates it and writes the state of each zone to the recovery
+// record.
 package zonecontrol
 
 import (
