--- a/internal/config/zone_recovery.go
+++ b/internal/config/zone_recovery.go
@@ -102,8 +102,8 @@
 	return w.Heartbeats(z.ReturnConfirmationHeartbeats) + w.Leases(z.MaxHoldDownLeases) + steps
 }
 
-// StepDuration returns the duration of a step of a zone's return: at least a heartbeat interval, since
-// there is no new evidence before that.
+// StepDuration returns the duration of a step of a zone's return: at least a heartbeat interval,
+// since there is no new evidence before that.
 func (z *ZoneRecovery) StepDuration(w WorkerTimings) time.Duration {
 	return max(w.Leases(z.StepLeases), w.HeartbeatInterval)
 }
--- a/internal/kvstore/client_test.go
+++ b/internal/kvstore/client_test.go
@@ -27,8 +27,8 @@
 	return New(strings.TrimPrefix(server.URL, "http://"), 100, 100, 8, time.Second)
 }
 
-// Each status of the store is translated to its error and to no other, an unknown status to none: its
-// outcome is unknown.
+// Each status of the store is translated to its error and to no other, an unknown status to none:
+// its outcome is unknown.
 func TestErrorByStatus(t *testing.T) {
 	sentinels := []error{ErrRejected, ErrThrottled, ErrNotFound, ErrRevisionCompacted, ErrLeaseNotFound, ErrInvalidRequest}
 	for _, test := range []struct {
--- a/internal/placement/replica_move.go
+++ b/internal/placement/replica_move.go
@@ -21,8 +21,8 @@
 
 func (m *replicaMove) task() *RunningTask { return &m.node.Tasks[m.index] }
 
-// MayMoveReplicasFor reports whether replicas may be moved to make room for a job: only for a service
-// whose zones are constrained.
+// MayMoveReplicasFor reports whether replicas may be moved to make room for a job: only for a
+// service whose zones are constrained.
 func MayMoveReplicasFor(job *wire.Job) bool {
 	return job.IsService() && (job.Zone != "" || job.SpreadZones || job.SingleZone)
 }
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -57,7 +57,8 @@
 		{Demand{Job: testJob(4, false), Count: 3, DeadlineSeconds: 10, RuntimeSeconds: 25}, nil, ScaleOutRequest{resources.Pool{MachineType: "l", Zone: "a", Spot: false}, 1, 0.75, 4}},
 		{Demand{Job: testJob(4, true), Count: 2, DeadlineSeconds: 10, RuntimeSeconds: 25},
 			func(in *Input) { in.Exhausted = func(p resources.Pool) bool { return p.Spot } }, ScaleOutRequest{resources.Pool{MachineType: "l", Zone: "a", Spot: false}, 1, 0.5, 4}},
-		// Cheap pools exhausted: expensive ones are used only for demands that ignore the price limit.
+		// Cheap pools exhausted: expensive ones are used only for demands that ignore the price
+		// limit.
 		{Demand{Job: testJob(4, true), Count: 2, DeadlineSeconds: 10, RuntimeSeconds: 25},
 			func(in *Input) { in.MaxPriceMultiple = 2; in.Exhausted = func(p resources.Pool) bool { return p.Spot } }, ScaleOutRequest{}},
 		{Demand{Job: testJob(4, true), Count: 2, DeadlineSeconds: 10, RuntimeSeconds: 25, IgnorePriceLimit: true},
--- a/internal/scheduler/completions.go
+++ b/internal/scheduler/completions.go
@@ -105,10 +105,10 @@
 	}
 }
 
-// completionChunkFor returns the chunk to which a task's completion is added. Until the upcoming store
-// limits are known to be in force that is a whole chunk, because a software version that does not
-// know parts of chunks may be running. After that it is a whole chunk only if the chunk then fits
-// the limit of a value, otherwise a part.
+// completionChunkFor returns the chunk to which a task's completion is added. Until the upcoming
+// store limits are known to be in force that is a whole chunk, because a software version that does
+// not know parts of chunks may be running. After that it is a whole chunk only if the chunk then
+// fits the limit of a value, otherwise a part.
 func (c *cycle) completionChunkFor(job wire.JobID, task int) statecache.CompletionChunkID {
 	chunk, bit := c.view.CompletionChunkOf(task)
 	id := statecache.CompletionChunkID{Chunk: chunk, FirstTask: statecache.WholeChunk}
