--- a/cmd/lynxledge/controller.go
+++ b/cmd/lynxledge/controller.go
@@ -99,11 +99,11 @@
 // controllers, the receiver those of workers.
 func (c *controller) startHeartbeatHandling(ctx context.Context) {
 	c.transport = peer.Start(ctx, peer.Options{Config: c.config, Dial: c.clients.dialPeer, FreshAsOf: c.cache.FreshAsOf})
-	c.receiver = heartbeat.Start(ctx, heartbeat.Options{Config: c.config, Cache: c.cache, Routes: heartbeat.Routes{
+	c.receiver = heartbeat.Start(ctx, heartbeat.Options{Config: c.config, Cache: c.cache, Callbacks: heartbeat.Callbacks{
 		FreshPeer:    c.transport.FreshPeer,
 		Isolated:     c.transport.Isolated,
 		SendEvidence: c.transport.SendEvidence,
-		ApplyEvidence: func(evidence reconcile.Evidence, wait time.Duration) {
+		HandleEvidence: func(evidence reconcile.Evidence, wait time.Duration) {
 			c.scheduler.HandleEvidence(evidence, wait) // set after the receiver starts, before the first heartbeat
 		},
 	}})
@@ -164,7 +164,7 @@
 
 // startCatalog starts the actor that polls the cloud's machine types, and subscribes their users.
 func (c *controller) startCatalog(ctx context.Context) {
-	c.catalog = cloud.NewCatalog(ctx, c.clients.cloud)
+	c.catalog = cloud.StartCatalog(ctx, c.clients.cloud)
 	c.catalog.Subscribe(c.apiServer.SetMachineTypes)
 	c.catalog.Subscribe(c.scheduler.SetMachineTypes)
 	c.catalog.Subscribe(c.autoscaler.SetMachineTypes)
@@ -210,9 +210,9 @@
 	}
 	if c.standby != nil {
 		handlers.FailureDetection = &peer.FailureDetection{
-			Incarnation: c.incarnation,
-			Interval:    c.config.Operator.Standby.HeartbeatInterval(c.config.Params.Workers),
-			Observer:    c.standby,
+			Incarnation:       c.incarnation,
+			HeartbeatInterval: c.config.Operator.Standby.HeartbeatInterval(c.config.Params.Workers),
+			Observer:          c.standby,
 		}
 	}
 	return handlers
--- a/cmd/lynxledge/sim_zones_test.go
+++ b/cmd/lynxledge/sim_zones_test.go
@@ -134,8 +134,8 @@
 	for range seconds {
 		c.elapsedSeconds++
 		if c.elapsedSeconds%3 == 0 {
-			tasks, runTime := c.workload.arrayTasks+c.elapsedSeconds%5, time.Duration(8+c.elapsedSeconds%9)*time.Second
-			c.submitArray(c.nextJobID(), "blue", tasks, runTime, func(j *wire.Job) { j.Priority = wire.Priority(1 + c.elapsedSeconds%2) })
+			tasks, runtime := c.workload.arrayTasks+c.elapsedSeconds%5, time.Duration(8+c.elapsedSeconds%9)*time.Second
+			c.submitArray(c.nextJobID(), "blue", tasks, runtime, func(j *wire.Job) { j.Priority = wire.Priority(1 + c.elapsedSeconds%2) })
 		}
 		c.advance(time.Second)
 		c.extendPartitions()
@@ -233,7 +233,8 @@
 // recordedPhase returns a zone's recovery phase as recorded in the store.
 func (c *zoneCluster) recordedPhase(zone wire.Zone) string { return c.orderChecker.Phase(zone) }
 
-// advanceUntil lets up to so many seconds pass until a condition holds, and tells whether it does.
+// advanceUntil lets up to so many seconds pass until a condition holds, and reports whether it
+// does.
 func (c *zoneCluster) advanceUntil(seconds int, condition func() bool) bool {
 	for range seconds {
 		if condition() {
@@ -245,7 +246,7 @@
 }
 
 // advanceIdleUntil lets up to three minutes pass without new arrays until a condition holds, and
-// tells whether it does.
+// reports whether it does.
 func (c *zoneCluster) advanceIdleUntil(condition func() bool) bool {
 	for range 180 {
 		if condition() {
--- a/cmd/lynxledge/zone_measure_test.go
+++ b/cmd/lynxledge/zone_measure_test.go
@@ -27,7 +27,7 @@
 	machinesLost   int
 }
 
-// restoreTimes tells when services that lost replicas had all of them again.
+// restoreTimes holds the times after which services that lost replicas had all of them again.
 type restoreTimes struct {
 	restored           []time.Duration // time from the loss, of each restored service
 	unrestored         int             // number of services that were not restored
@@ -63,7 +63,7 @@
 }
 
 func (m *zoneMeasurement) String() string {
-	return fmt.Sprintf("%d machines lost; spread services: %v; pinned: %v; %d tasks started, price %.2f; %.1f s of processor, %d MB allocated; %d violations",
+	return fmt.Sprintf("%d machines lost; spread services: %v; pinned: %v; %d tasks started, price %.2f; %.1f s of CPU time, %d MB allocated; %d violations",
 		m.machinesLost, &m.spread, &m.pinned, m.tasksStarted, m.cost, m.cpuTime.Seconds(), m.allocated>>20, len(m.violations))
 }
 
@@ -86,7 +86,7 @@
 func fastStore(p *config.Params) {
 	p.Store = config.StoreLimits{RequestRate: 600, WriteRate: 180, MaxValueKB: 8, MaxTxnOps: 24}
 	p.Cloud = config.CloudLimits{RequestRate: 10, ListLag: 10 * time.Second}
-	p.Resources = config.ControllerResources{CPUCores: 0.34, MemoryMB: 220, FileDescriptorLimit: 9000}
+	p.Resources = config.ControllerResources{CPUs: 0.34, MemoryMB: 220, FileDescriptorLimit: 9000}
 }
 
 // zoneLoss describes one measured loss of a zone.
--- a/internal/autoscaler/cycle.go
+++ b/internal/autoscaler/cycle.go
@@ -8,14 +8,14 @@
 	"lynxledge/internal/planner"
 )
 
-// maxSkippedCycles is the maximum time, in planning cycles, that planning is put off while processor
-// time is short.
+// maxSkippedCycles is the maximum time, in planning cycles, that planning is put off while CPU time
+// is short.
 const maxSkippedCycles = 4
 
 // runCycle runs one planning cycle: it lists the cloud's instances, calls the cloud for stored
 // intents, and plans.
 func (a *Autoscaler) runCycle() {
-	if !a.isLeader() || len(a.machineTypes.types) == 0 {
+	if !a.isConfirmedLeader() || len(a.machineTypes.types) == 0 {
 		return
 	}
 	a.listInstances()
@@ -27,7 +27,7 @@
 
 // planAndApply computes a plan and carries it out.
 func (a *Autoscaler) planAndApply() {
-	if !a.isLeader() || len(a.machineTypes.types) == 0 || a.deferPlanning() {
+	if !a.isConfirmedLeader() || len(a.machineTypes.types) == 0 || a.deferPlanning() {
 		return
 	}
 	now := time.Now()
@@ -44,8 +44,8 @@
 	a.scaleInDrained()
 }
 
-// deferPlanning reports whether to put planning off, because processor time is short and other
-// work is more urgent.
+// deferPlanning reports whether to put planning off, because CPU time is short and other work is
+// more urgent.
 func (a *Autoscaler) deferPlanning() bool {
 	maxDelay := a.config.Operator.PlanningIntervals(maxSkippedCycles)
 	return a.overload.Level() >= overload.Behind && time.Since(a.lastPlanned) < maxDelay
--- a/internal/config/warnings.go
+++ b/internal/config/warnings.go
@@ -8,7 +8,7 @@
 // Minimum resources with which a controller serves a deployment of a few hundred machines.
 // docs/performance.md has the measurements.
 const (
-	minRecommendedCPU             = 0.02 // of a core
+	minRecommendedCPU             = 0.02 // in CPUs
 	minRecommendedMemoryMB        = 40.0
 	minRecommendedFileDescriptors = 100 // for sockets; with fewer, commands and heartbeats have to wait for one
 )
@@ -45,7 +45,7 @@
 // Warnings lists resources that are probably too small.
 func (r ControllerResources) Warnings() []string {
 	var warnings []string
-	if r.CPUCores < minRecommendedCPU {
+	if r.CPUs < minRecommendedCPU {
 		warnings = append(warnings, fmt.Sprintf("params.resources.cpu<%v", minRecommendedCPU))
 	}
 	if r.MemoryMB < minRecommendedMemoryMB {
--- a/internal/election/handover.go
+++ b/internal/election/handover.go
@@ -7,13 +7,13 @@
 	"lynxledge/wire"
 )
 
-// ClaimLeadership campaigns although the leader's lease has not expired. This is safe because the
-// claim is conditional on the revision of the leader record. Once it is committed, every write of
-// the former leader fails, and its launches carry older fencing tokens. A former leader that is
+// ClaimLeadership campaigns even though the leader's lease has not expired. This is safe because
+// the claim is conditional on the revision of the leader record. Once it is committed, every write
+// of the former leader fails, and its launches carry older fencing tokens. A former leader that is
 // still alive loses its leadership but nothing else.
-func (e *Election) ClaimLeadership(revision uint64) {
-	e.Post(func() {
-		if e.requestBlocked() || e.lease.id == 0 || e.view.Leader == nil || e.view.Leader.ModRevision != revision {
+func (e *Election) ClaimLeadership(modRevision uint64) {
+	e.TrySend(func() {
+		if e.requestBlocked() || e.lease.id == 0 || e.view.Leader == nil || e.view.Leader.ModRevision != modRevision {
 			return
 		}
 		e.campaign()
@@ -25,7 +25,7 @@
 // incarnation, conditional on that record's revision. A member that is still alive registers
 // again, and may be assigned teams again.
 func (e *Election) EvictMember(name string, incarnation uint64) {
-	e.Post(func() {
+	e.TrySend(func() {
 		member := e.view.Members[name]
 		if e.requestBlocked() || !e.isLeader() || member == nil || member.Incarnation != incarnation {
 			return
--- a/internal/heartbeat/receiver.go
+++ b/internal/heartbeat/receiver.go
@@ -11,32 +11,32 @@
 	"lynxledge/wire"
 )
 
-// Routes are the functions through which a Receiver uses the other actors of its controller.
-type Routes struct {
+// Callbacks are the functions through which a Receiver uses the other actors of its controller.
+type Callbacks struct {
 	// FreshPeer returns the name of a controller with a fresh view; empty if there is none.
 	FreshPeer func() string
 	// Isolated reports whether there are other controllers but none is reachable.
 	Isolated func() bool
-	// ApplyEvidence passes evidence to this controller's scheduler, which writes it after wait
-	// unless another controller has done so.
-	ApplyEvidence func(evidence reconcile.Evidence, wait time.Duration)
-	// SendEvidence sends evidence to another controller; false if it can't be reached.
+	// HandleEvidence passes evidence to this controller's scheduler, which writes it after wait
+	// unless another controller has written it.
+	HandleEvidence func(evidence reconcile.Evidence, wait time.Duration)
+	// SendEvidence sends evidence to another controller. It returns false if that can't be reached.
 	SendEvidence func(member string, evidence reconcile.Evidence) bool
 }
 
 // Options configures a Receiver.
 type Options struct {
-	Config *config.Config
-	Cache  *statecache.Cache
-	Routes Routes
+	Config    *config.Config
+	Cache     *statecache.Cache
+	Callbacks Callbacks
 }
 
 // Receiver is the actor that receives and answers the workers' heartbeats.
 type Receiver struct {
 	*actor.Actor
-	config *config.Config
-	cache  *statecache.Cache
-	routes Routes
+	config    *config.Config
+	cache     *statecache.Cache
+	callbacks Callbacks
 
 	view                 *statecache.View
 	freshAsOf            time.Time
@@ -53,7 +53,7 @@
 		Actor:                actor.Start(ctx, "heartbeat", 512),
 		config:               o.Config,
 		cache:                o.Cache,
-		routes:               o.Routes,
+		callbacks:            o.Callbacks,
 		view:                 statecache.NewUnfinishedView(statecache.ChunkTasks(o.Config.Params.Store.MaxValueKB)),
 		machineStates:        map[wire.MachineID]*machineState{},
 		refusedWhileIsolated: map[wire.MachineID]bool{},
@@ -70,7 +70,7 @@
 	r.onReachable = append(r.onReachable, f)
 }
 
-// apply applies an update of the cache.
+// apply applies an update of the cache to the view and to what is derived from it.
 func (r *Receiver) apply(update statecache.Update) {
 	if update.FreshAsOf.After(r.freshAsOf) {
 		r.freshAsOf = update.FreshAsOf
--- a/internal/heartbeat/respond.go
+++ b/internal/heartbeat/respond.go
@@ -19,7 +19,7 @@
 // is forwarded, but it gets no response. It doesn't mark the machine as reachable, since it doesn't
 // show that the machine's own heartbeats, which alone renew its lease, reach any controller.
 func (r *Receiver) HandleCommandResponse(heartbeat *wire.Heartbeat) {
-	r.Post(func() {
+	r.TrySend(func() {
 		machine := r.view.Machines[heartbeat.Machine]
 		if machine == nil {
 			return
@@ -38,7 +38,7 @@
 	switch {
 	case r.shouldRefuse(heartbeat.Machine, now.Sub(r.freshAsOf)):
 		r.observeRefused(heartbeat, machine, now)
-		reply(redirected(r.routes.FreshPeer()))
+		reply(redirected(r.callbacks.FreshPeer()))
 	case mayRefresh && recordOutdated(machine, heartbeat):
 		r.refreshAndRespond(heartbeat, reply)
 	case machine == nil:
@@ -74,7 +74,7 @@
 	r.cache.Refresh(func(err error) {
 		r.Send(func() {
 			if err != nil {
-				reply(redirected(r.routes.FreshPeer()))
+				reply(redirected(r.callbacks.FreshPeer()))
 				return
 			}
 			r.respond(heartbeat, reply, false)
--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -17,25 +17,26 @@
 // idleConns is the number of idle connections to the store that are kept open.
 const idleConns = 8
 
-// Client is a client for the key-value store.
+// Client is a client of the key-value store.
 type Client struct {
-	service      *httpjson.Service
+	client       *httpjson.Client
 	writeLimiter *rate.Limiter
 	timeout      time.Duration
 }
 
-// New returns a client that never exceeds the given rates of requests and writes. Callers must
-// see to it that all controllers together stay within the store's rates.
+// New returns a client of the store at addr that never exceeds the given request rate and write
+// rate, per second. Callers must see to it that all controllers together stay within the store's
+// rates.
 func New(addr string, requestRate, writeRate float64, maxTxnOps int, timeout time.Duration) *Client {
 	return &Client{
-		service:      httpjson.NewService(addr, requestRate, timeout, idleConns),
+		client:       httpjson.NewClient(addr, requestRate, timeout, idleConns),
 		writeLimiter: rate.NewLimiter(rate.Limit(writeRate), max(maxTxnOps, int(writeRate))),
 		timeout:      timeout,
 	}
 }
 
 func (c *Client) call(ctx context.Context, timeout time.Duration, method, path string, in, out any) error {
-	return translate(c.service.Call(ctx, timeout, method, path, in, out))
+	return translateError(c.client.Call(ctx, timeout, method, path, in, out))
 }
 
 // List returns a page of the keys with a prefix, in order: up to limit of those that follow the
@@ -54,7 +55,7 @@
 func (c *Client) Commit(ctx context.Context, txn *wire.Txn) (uint64, error) {
 	if n := len(txn.Writes); n > 0 {
 		if err := httpjson.Wait(ctx, c.writeLimiter, min(n, c.writeLimiter.Burst())); err != nil {
-			return 0, translate(err)
+			return 0, translateError(err)
 		}
 	}
 	if txn.Preconditions == nil {
--- a/internal/peer/transport.go
+++ b/internal/peer/transport.go
@@ -33,11 +33,13 @@
 
 // Handlers handle the messages of other controllers. They must not wait for the transport.
 type Handlers struct {
-	// Reachable is called with the machines that another controller had heartbeats from; may be nil.
+	// Reachable is called with the machines that another controller has received heartbeats from;
+	// nil: they are ignored.
 	Reachable func(member string, machines []wire.MachineID)
-	// Evidence is called with the evidence that another controller forwards; may be nil.
+	// Evidence is called with the evidence that another controller forwards; nil: it is ignored.
 	Evidence func(reconcile.Evidence)
-	// FailureDetection is nil if early failover is off.
+	// FailureDetection configures the heartbeats for failure detection; nil: early failover is
+	// disabled.
 	FailureDetection *FailureDetection
 }
 
@@ -45,9 +47,9 @@
 // additional ones every Interval, announces the Incarnation of its process in all of them, and
 // passes the heartbeats and connections of other controllers to Observer.
 type FailureDetection struct {
-	Incarnation uint64
-	Interval    time.Duration
-	Observer    Observer
+	Incarnation       uint64
+	HeartbeatInterval time.Duration
+	Observer          Observer
 }
 
 // Observer is notified of the heartbeats and connections of other controllers. It must not wait
@@ -109,7 +111,7 @@
 		t.peers.selectFreshest()
 	})
 	if detection != nil {
-		t.Every(detection.Interval, func() { t.AnnounceReachable(nil) })
+		t.Every(detection.HeartbeatInterval, func() { t.AnnounceReachable(nil) })
 	}
 }
 
@@ -124,7 +126,8 @@
 	return ""
 }
 
-// AnnounceReachable tells the other controllers which machines this one had heartbeats from.
+// AnnounceReachable tells the other controllers which machines this one has received heartbeats
+// from.
 func (t *Transport) AnnounceReachable(machines []wire.MachineID) {
 	heartbeat := t.newHeartbeat()
 	heartbeat.Reachable = machines
--- a/internal/placement/node.go
+++ b/internal/placement/node.go
@@ -9,14 +9,14 @@
 
 // RunningTask is a task bound to a node, with the facts that preemption considers.
 type RunningTask struct {
-	Job             *wire.Job // nil if its job is unknown
-	TaskIndex       int
-	Stopping        bool          // a stop has been decided
-	WithinGuarantee bool          // its job and the team's earlier ones fit the team's guarantee
-	LastOfJob       bool          // its job has no pending task, so stopping this one delays the job
-	BoundSince      time.Time     // when it was first observed to be bound
-	RuntimeSoFar    time.Duration // since BoundSince
-	Service         *ReplicaSet   // of a replica: the state of its service; nil if unknown
+	Job                  *wire.Job // nil if its job is unknown
+	TaskIndex            int
+	Stopping             bool          // a stop has been decided
+	WithinGuarantee      bool          // its job and the team's earlier ones fit the team's guarantee
+	JobHasNoPendingTasks bool          // stopping this task delays its job
+	BoundSince           time.Time     // when it was first observed to be bound
+	RuntimeSoFar         time.Duration // since BoundSince
+	Service              *ReplicaSet   // of a replica: the state of its service; nil if unknown
 }
 
 // ReplicaSet is the state of a service that the choice of victims considers. All replicas of the
@@ -25,7 +25,7 @@
 	Zones ZoneCounts // bound replicas by zone, including those that are stopping
 	// Running is the number of bound replicas that are to stay.
 	Running int
-	// Immovable is set if no replica may be stopped to be moved: for example, because another
+	// Immovable reports whether no replica may be stopped to be moved: for example, because another
 	// one is pending, stopping, or on a machine that is about to be removed.
 	Immovable bool
 }
@@ -44,7 +44,7 @@
 	Zone        wire.Zone
 	Spot        bool
 	Schedulable bool             // tasks may be bound to it
-	Used        resources.Vector // by the tasks that are to stay
+	Used        resources.Vector // by the tasks, except those stopped without a grace period
 	Tasks       []RunningTask
 	HasImage    func(image string) bool
 	// Reserved is capacity for replicas that may soon have to be placed again. Arrays below
@@ -53,8 +53,8 @@
 	// Claims reserve capacity for replicas that are being moved to the node. Tasks of other jobs
 	// must not use it.
 	Claims []Claim
-	// NeedsOwnWrite is set if the scheduling cycle does not write the node's group otherwise. Such
-	// nodes are worse candidates, since a transaction can write only a few groups.
+	// NeedsOwnWrite reports whether the scheduling cycle does not write the node's group otherwise.
+	// Such nodes are worse candidates, since a transaction can write only a few groups.
 	NeedsOwnWrite bool
 	// Ordinal is the node's position among all nodes. Candidates are sorted by it, whichever index
 	// they come from, so that ties between scores are resolved deterministically. It is a field of
@@ -88,9 +88,9 @@
 func (n *Node) HasCapacityFor(job *wire.Job, need resources.Vector) bool {
 	used := n.usedWithClaims(job)
 	if !job.IsService() && job.Priority < wire.PriorityHigh {
-		used = used.Plus(n.Reserved, 1)
+		used = used.AddScaled(n.Reserved, 1)
 	}
-	return used.Plus(need, 1).Fits(n.capacity())
+	return used.AddScaled(need, 1).Fits(n.capacity())
 }
 
 // usedWithClaims returns what is used of the node, plus what is claimed for jobs other than job.
@@ -98,7 +98,7 @@
 	used := n.Used
 	for _, claim := range n.Claims {
 		if claim.Service != job.ID {
-			used = used.Plus(claim.Need, 1)
+			used = used.AddScaled(claim.Need, 1)
 		}
 	}
 	return used
--- a/internal/placement/obstacles.go
+++ b/internal/placement/obstacles.go
@@ -8,14 +8,14 @@
 // Obstacles counts nodes by the reason why they cannot take a task.
 type Obstacles struct {
 	NotAllowed      int // excluded by the job's machine types, zone or lack of AllowSpot
-	Unavailable     int // unschedulable, avoided after failures, or withheld while zones recover
+	Unavailable     int // unschedulable, avoided after failures, or not admitted while zones recover
 	ZoneExcluded    int // excluded by the zones of the job's other tasks
 	Full            int // without capacity for the task
 	Free            int // none: the node can take the task now
 	MovableReplicas int // replicas on full nodes that would make room if they were moved
 }
 
-// FindObstacles classifies the nodes by what keeps a task of a job from them. isAvailable reports
+// FindObstacles classifies the nodes by why they cannot take a task of a job. isAvailable reports
 // whether a node currently takes tasks of the job at all.
 func FindObstacles(job *wire.Job, zones ZoneCounts, nodes []*Node, isAvailable func(*Node) bool) Obstacles {
 	var found Obstacles
--- a/internal/placement/victims.go
+++ b/internal/placement/victims.go
@@ -21,8 +21,8 @@
 
 // Quotas holds the usage and the quotas of teams.
 type Quotas struct {
-	Usage resources.Usage
-	Of    func(team wire.TeamName) config.TeamQuota
+	Usage     resources.Usage
+	TeamQuota func(team wire.TeamName) config.TeamQuota
 }
 
 // FindVictims returns the cheapest victims on one of the nodes that make room for a task of a job,
@@ -33,7 +33,7 @@
 	var best *Victims
 	bestScore := 0.0
 	search := victimSearch{job: job, need: resources.OfTask(job), quotas: quotas}
-	search.guaranteed = quotas.Usage.WithinGuarantee(quotas.Of(job.Team), search.need)
+	search.guaranteed = quotas.Usage.WithinGuarantee(quotas.TeamQuota(job.Team), search.need)
 	for _, n := range nodes {
 		if !n.AllowedFor(job) || !zones.Allows(job, n.Zone) {
 			continue
@@ -70,18 +70,18 @@
 	used, limit := n.usedWithClaims(s.job), n.capacity()
 	remainingUsage := resources.Usage{}
 	for _, c := range s.candidates(n) {
-		if used.Plus(s.need, 1).Fits(limit) {
+		if used.AddScaled(s.need, 1).Fits(limit) {
 			break
 		}
 		victim := n.Tasks[c.index].Job
 		if victim.Priority >= s.job.Priority && !s.reclaimAboveGuarantee(remainingUsage, victim) {
 			continue
 		}
-		used = used.Plus(resources.OfTask(victim), -1)
+		used = used.AddScaled(resources.OfTask(victim), -1)
 		victims.Tasks = append(victims.Tasks, c.index)
 		victims.Cost += c.cost
 	}
-	if len(victims.Tasks) == 0 || !used.Plus(s.need, 1).Fits(limit) {
+	if len(victims.Tasks) == 0 || !used.AddScaled(s.need, 1).Fits(limit) {
 		return nil
 	}
 	return victims
@@ -113,7 +113,7 @@
 // could: not if that usage is already within the guarantee. remainingUsage holds the usage of the
 // teams that victims have been chosen from.
 func (s *victimSearch) reclaimAboveGuarantee(remainingUsage resources.Usage, victim *wire.Job) bool {
-	quota := s.quotas.Of(victim.Team)
+	quota := s.quotas.TeamQuota(victim.Team)
 	usage, ok := remainingUsage[quota.Name]
 	if !ok {
 		usage = s.quotas.Usage[quota.Name]
@@ -121,7 +121,7 @@
 	if usage.CPUs <= quota.GuaranteedCPUs+resources.RoundingTolerance && usage.GPUs <= quota.GuaranteedGPUs+resources.RoundingTolerance {
 		return false
 	}
-	remainingUsage[quota.Name] = usage.Plus(resources.OfTask(victim), -1)
+	remainingUsage[quota.Name] = usage.AddScaled(resources.OfTask(victim), -1)
 	return true
 }
 
@@ -147,7 +147,7 @@
 	}
 	if t.Job.IsService() {
 		lostSeconds += replicaLossSeconds * t.Service.lossFactor(t.Job)
-	} else if t.LastOfJob {
+	} else if t.JobHasNoPendingTasks {
 		lostSeconds += float64(t.Job.EstimatedRuntime)
 	}
 	return (1 + lostSeconds) * t.Job.CPUs * float64(1+3*t.Job.Priority)
--- a/internal/scheduler/job_placement.go
+++ b/internal/scheduler/job_placement.go
@@ -117,10 +117,10 @@
 	}
 	p.forgetShortageOnCommit()
 	p.placedSinceSample++
-	node.Used = node.Used.Plus(p.need, 1)
+	node.Used = node.Used.AddScaled(p.need, 1)
 	// Stopping keeps the task from being preempted in this cycle.
 	node.Tasks = append(node.Tasks, placement.RunningTask{Job: p.spec, TaskIndex: task, Stopping: true, BoundSince: p.now})
-	p.usage[p.quota.Name] = p.usage[p.quota.Name].Plus(p.need, 1)
+	p.usage[p.quota.Name] = p.usage[p.quota.Name].AddScaled(p.need, 1)
 	p.zones[node.Zone]++
 	return true
 }
@@ -209,9 +209,9 @@
 		if node != nil { // preemption helps only on nodes that have the image
 			nodes = slices.DeleteFunc(slices.Clone(nodes), func(n *placement.Node) bool { return !n.HasImage(p.spec.Image) })
 		}
-		victims = placement.FindVictims(p.spec, p.zones, p.nodes.offers, nodes, placement.Quotas{Usage: p.usage, Of: p.teamQuota})
+		victims = placement.FindVictims(p.spec, p.zones, p.nodes.offers, nodes, placement.Quotas{Usage: p.usage, TeamQuota: p.teamQuota})
 	}
-	if node == nil && victims == nil && placement.CanBeMadeRoomFor(p.spec) {
+	if node == nil && victims == nil && placement.MayMoveReplicasFor(p.spec) {
 		victims = p.findReplicaToMove()
 	}
 	return victims
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -56,7 +56,7 @@
 			job := c.jobs.active[t.Job.ID]
 			t.Stopping = t.Stopping || job == nil
 			t.WithinGuarantee = c.victims.guaranteed[t.Job.ID]
-			t.LastOfJob = job != nil && c.view.PendingTasks(t.Job.ID, job) <= 0
+			t.JobHasNoPendingTasks = job != nil && c.view.PendingTasks(t.Job.ID, job) <= 0
 			t.RuntimeSoFar = c.now.Sub(t.BoundSince)
 			if job != nil && t.Job.IsService() {
 				t.Service = c.replicaSet(job)
@@ -94,7 +94,7 @@
 	for _, i := range victims.Tasks {
 		task := &victims.Node.Tasks[i]
 		task.Stopping = true
-		victims.Node.Used = victims.Node.Used.Plus(resources.OfTask(task.Job), -1)
+		victims.Node.Used = victims.Node.Used.AddScaled(resources.OfTask(task.Job), -1)
 		binding := rec.FindBinding(task.Job.ID, task.TaskIndex)
 		if binding == nil {
 			continue
--- a/internal/storelimits/tracker.go
+++ b/internal/storelimits/tracker.go
@@ -50,22 +50,22 @@
 	}
 }
 
-// ObserveLowerSizeLimit records that the store rejected a value whose size is within the present
-// limits.
-func (t *Tracker) ObserveLowerSizeLimit() {
+// ObserveSizeRejected records that the store rejected a value whose size is within the present
+// limits, which proves that the upcoming ones are in force.
+func (t *Tracker) ObserveSizeRejected() {
 	if t == nil {
 		return
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if !t.upcomingProven {
-		slog.Info("lower store limits in force")
+		slog.Info("upcoming store limits in force")
 	}
 	t.upcomingProven = true
 }
 
-// LowerLimitsInForce reports whether the upcoming limits are proven to be in force.
-func (t *Tracker) LowerLimitsInForce() bool {
+// UpcomingLimitsInForce reports whether the upcoming limits are proven to be in force.
+func (t *Tracker) UpcomingLimitsInForce() bool {
 	if t == nil {
 		return false
 	}
--- a/internal/zonecontrol/controller.go
+++ b/internal/zonecontrol/controller.go
@@ -1,5 +1,6 @@
-// Package zonecontrol has the actor that controls the recovery of zones: every controller collects
-// evidence, and the leader evaluates it and writes the state of each zone to the recovery record.
+// Package zonecontrol contains the actor that controls the recovery of zones: every controller
+// collects evidence, and the leader evaluates it and writes the state of each zone to the recovery
+// record.
 package zonecontrol
 
 import (
@@ -45,12 +46,12 @@
 
 // ClusterStateProvider gives read access to the scheduler's state.
 type ClusterStateProvider interface {
-	// WithClusterState has f called with the state, possibly later. It returns false, without
-	// calling f, if the provider is too busy.
+	// WithClusterState calls f with the state, possibly after it has returned itself. It returns
+	// false, without calling f, if the provider is too busy.
 	WithClusterState(f func(placement.ClusterState)) bool
 }
 
-// Options are the configuration and dependencies of a Controller.
+// Options configures a Controller.
 type Options struct {
 	Config      *config.Config
 	Incarnation uint64 // of this process
@@ -59,13 +60,14 @@
 	Policy      zonehealth.Policy
 }
 
-// mailboxSize is the number of queued messages at which Send blocks and Post drops its message.
+// mailboxSize is the number of messages that the actor's mailbox holds. While it is full, Send
+// blocks and TrySend drops the message.
 const mailboxSize = 256
 
 // checksPerHeartbeat is how many times per heartbeat interval the evidence is evaluated.
 const checksPerHeartbeat = 4
 
-// Start runs the actor until ctx ends.
+// Start starts a Controller that runs until ctx ends.
 func Start(ctx context.Context, o Options) *Controller {
 	now := time.Now()
 	c := &Controller{
@@ -94,13 +96,13 @@
 
 // MachinesReachable records that a controller has received heartbeats from machines.
 func (c *Controller) MachinesReachable(controller string, machines []wire.MachineID) {
-	c.Post(func() { c.reachability.MachinesReachable(controller, machines) })
+	c.TrySend(func() { c.reachability.MachinesReachable(controller, machines) })
 }
 
 // PoolExhausted records that the cloud has no machines in a pool; it is not asked again before
 // until.
 func (c *Controller) PoolExhausted(pool resources.Pool, until time.Time) {
-	c.Post(func() { c.exhaustedPools[pool] = until })
+	c.TrySend(func() { c.exhaustedPools[pool] = until })
 }
 
 // apply applies an update of the cache.
