--- a/internal/heartbeat/doc.go
+++ b/internal/heartbeat/doc.go
@@ -3,5 +3,5 @@
 // active scheduler, which writes it to the store.
 //
 // A lease is renewed only while the view is fresh enough to include every cancellation in time. A
-// worker that a controller with a fresher view can serve is redirected to that controller.
+// controller with an old view redirects workers to one that has a fresh view.
 package heartbeat
--- a/internal/heartbeat/evidence.go
+++ b/internal/heartbeat/evidence.go
@@ -15,8 +15,8 @@
 // forwardEvidence sends the evidence in a heartbeat to the active scheduler, and also gives it to
 // this controller's scheduler in case the active one fails. If the active scheduler can't be
 // reached, it returns the name of that controller, and the worker should be redirected there to
-// deliver the evidence. Writes of evidence by every controller would be many, small and in
-// conflict with each other.
+// deliver the evidence. If each controller wrote the evidence that it receives, there would be
+// many small writes that conflict with each other.
 func (r *Receiver) forwardEvidence(heartbeat *wire.Heartbeat, state *machineState, result *reconcile.Result) (unreachableScheduler string) {
 	if !result.RequiresUpdate() {
 		return ""
--- a/internal/heartbeat/machine_state.go
+++ b/internal/heartbeat/machine_state.go
@@ -65,12 +65,14 @@
 }
 
 // inboundPartitionHeartbeats is the number of heartbeat intervals for which a machine may leave a
-// fencing token unacknowledged before it counts as partitioned inbound.
+// fencing token unacknowledged before it counts as partitioned inbound. Two heartbeats should
+// have acknowledged it by then.
 const inboundPartitionHeartbeats = 2.5
 
 // inboundPartitioned updates and reports whether a machine's heartbeats arrive but responses don't
-// reach it: two heartbeats after it was sent a fencing token, its heartbeats still have a lower
-// one. Such a machine doesn't count as reachable, so the leader suspects and then terminates it.
+// reach it: its heartbeats still have a lower fencing token than it was sent more than
+// inboundPartitionHeartbeats ago. Such a machine doesn't count as reachable, so the leader suspects
+// and then terminates it.
 func (r *Receiver) inboundPartitioned(heartbeat *wire.Heartbeat, state *machineState, now time.Time) bool {
 	before := state.inboundPartitioned
 	state.inboundPartitioned = state.unacknowledgedToken > 0 && now.Sub(state.unacknowledgedSince) > r.config.Params.Workers.Heartbeats(inboundPartitionHeartbeats)
--- a/internal/heartbeat/receiver.go
+++ b/internal/heartbeat/receiver.go
@@ -20,7 +20,8 @@
 	// HandleEvidence passes evidence to this controller's scheduler, which writes it after wait
 	// unless another controller has written it.
 	HandleEvidence func(evidence reconcile.Evidence, wait time.Duration)
-	// SendEvidence sends evidence to another controller. It returns false if that can't be reached.
+	// SendEvidence sends evidence to another controller. It returns false if that one can't be
+	// reached.
 	SendEvidence func(member string, evidence reconcile.Evidence) bool
 }
 
@@ -43,7 +44,7 @@
 	machineStates        map[wire.MachineID]*machineState
 	refusedWhileIsolated map[wire.MachineID]bool // machines refused since freshAsOf last advanced
 
-	reachable   map[wire.MachineID]bool // since the last announcement
+	reachable   map[wire.MachineID]bool // machines marked reachable since the last announcement
 	onReachable []func(machines []wire.MachineID)
 }
 
--- a/internal/heartbeat/receiver_test.go
+++ b/internal/heartbeat/receiver_test.go
@@ -123,9 +123,9 @@
 	})
 }
 
-// If evidence can't be forwarded to the active scheduler, the worker is redirected there, once.
-// Guards against controllers that can't reach each other and delay each other with conflicting
-// writes of evidence.
+// If evidence can't be forwarded to the active scheduler, the worker is redirected there, once. If
+// the worker returns, this controller writes the evidence after a while. Guards against controllers
+// that can't reach each other and delay each other with conflicting writes of evidence.
 func TestWorkerRedirectedToUnreachableScheduler(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
--- a/internal/heartbeat/respond.go
+++ b/internal/heartbeat/respond.go
@@ -50,9 +50,9 @@
 	}
 }
 
-// observeRefused records a heartbeat that is refused or redirected. Its machine counts as reachable
-// unless responses don't reach it. Otherwise the leader would consider every machine unreachable
-// after an outage of the store.
+// observeRefused records a heartbeat that is refused or redirected because of the age of the view.
+// Its machine still counts as reachable, except if it is partitioned inbound, so that the leader
+// doesn't consider every machine unreachable after an outage of the store.
 func (r *Receiver) observeRefused(heartbeat *wire.Heartbeat, machine *statecache.Machine, now time.Time) {
 	if machine == nil {
 		return
@@ -63,8 +63,8 @@
 }
 
 // recordOutdated reports whether a heartbeat suggests that its machine's record has changed since
-// it was read. A later incarnation counts unless the record has none yet, since another controller
-// may already have recorded it.
+// it was read. A higher incarnation than the recorded one does, since another controller may
+// already have recorded it; the first incarnation, of which the record has none yet, does not.
 func recordOutdated(machine *statecache.Machine, heartbeat *wire.Heartbeat) bool {
 	return machine == nil || heartbeat.FencingToken > machine.FencingToken ||
 		heartbeat.Incarnation > machine.Incarnation && machine.Incarnation > 0
--- a/internal/heartbeat/response.go
+++ b/internal/heartbeat/response.go
@@ -7,7 +7,7 @@
 
 // Outcomes of a heartbeat.
 const (
-	Refused    Outcome = iota // not accepted, and no other controller is known to accept it
+	Refused    Outcome = iota // the lease is not renewed and the worker is not redirected
 	Accepted                  // the lease is renewed
 	Redirected                // the worker should send its heartbeats to another controller
 )
