--- a/internal/peer/message.go
+++ b/internal/peer/message.go
@@ -7,11 +7,12 @@
 	"lynxledge/wire"
 )
 
-// PeerHeartbeat is a message between controllers; a stream is a sequence of them.
+// PeerHeartbeat is a message between controllers; a stream is a sequence of them. Each message
+// counts as a heartbeat of its sender, whatever else it contains.
 type PeerHeartbeat struct {
 	Member        string `json:"member"`
 	ViewAgeMillis int64  `json:"ageMs"` // age of the sender's view; negative: it has none
-	// Incarnation identifies the sender's process; 0: not announced.
+	// Incarnation distinguishes the sender's process from its earlier ones; 0: not announced.
 	Incarnation uint64           `json:"boot,omitempty"`
 	Reachable   []wire.MachineID `json:"heard,omitempty"` // machines that the sender has received heartbeats from
 	// Evidence is written to the store by the receiver if its scheduler is active; nil: none.
--- a/internal/peer/transport.go
+++ b/internal/peer/transport.go
@@ -44,8 +44,8 @@
 }
 
 // FailureDetection configures the heartbeats for failure detection: this controller sends
-// additional ones every Interval, announces the Incarnation of its process in all of them, and
-// passes the heartbeats and connections of other controllers to Observer.
+// additional ones every HeartbeatInterval, announces the Incarnation of its process in all its
+// messages, and notifies Observer of the heartbeats and connections of other controllers.
 type FailureDetection struct {
 	Incarnation       uint64
 	HeartbeatInterval time.Duration
@@ -127,7 +127,7 @@
 }
 
 // AnnounceReachable tells the other controllers which machines this one has received heartbeats
-// from.
+// from. Without machines, it only sends them a heartbeat of this controller.
 func (t *Transport) AnnounceReachable(machines []wire.MachineID) {
 	heartbeat := t.newHeartbeat()
 	heartbeat.Reachable = machines
@@ -136,8 +136,8 @@
 	}
 }
 
-// SendEvidence queues evidence for another controller. It returns false if that is unknown or not
-// connected, or if its queue is full. True does not mean that the evidence arrives.
+// SendEvidence queues evidence for another controller. It returns false if that one is unknown or
+// not connected, or if its queue is full. True does not mean that the evidence arrives.
 func (t *Transport) SendEvidence(member string, evidence reconcile.Evidence) bool {
 	p := t.peers.byName[member]
 	if p == nil || !p.connected.Load() {
