--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -184,7 +184,7 @@
 
 func TestOperatorsSettings(t *testing.T) {
 	if o, err := ParseOperatorSettings(operatorSettingsDefaults); err != nil || o != DefaultOperatorSettings() {
-		t.Fatalf("the embedded defaults don't conform to the schema or aren't the defaults: %v", err)
+		t.Fatalf("the embedded defaults don't conform to the schema or differ from DefaultOperatorSettings: %v", err)
 	}
 	for body, names := range map[string]string{
 		`{"pass_s": "5"}`: "/pass_s", `{"pass_s": 0}`: "/pass_s", `{"state_share": 2}`: "/state_share", `{"passs": 5}`: "passs",
--- a/internal/config/store_limits.go
+++ b/internal/config/store_limits.go
@@ -20,7 +20,8 @@
 }
 
 // ValueSizeLimit returns the largest value size in bytes that both the current and the upcoming
-// limits allow. All values are written within it, also before the upcoming limits are in force.
+// limits allow. All values except completion chunks are written within it, also before the upcoming
+// limits are in force.
 func (s *StoreLimits) ValueSizeLimit() int {
 	kb := s.MaxValueKB
 	if s.Upcoming != nil {
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// minTxnOps is the number of writes in the largest atomic change: a machine's record, the
-	// record of a task's completion and the job's record; plus one spare.
+	// minTxnOps is the number of writes in the largest atomic change, plus one spare. That change
+	// writes a machine's record, a completion chunk and the job's record.
 	minTxnOps = 4
 
 	// minValueKB is enough for the record of a group of one machine with a few tasks, and for a
--- a/internal/config/warnings.go
+++ b/internal/config/warnings.go
@@ -23,8 +23,8 @@
 	leaseRenewalRateShare = 0.25
 )
 
-// Warnings lists settings that are probably inadequate, each as the condition that it meets. They
-// are not errors: the controller starts nevertheless.
+// Warnings lists settings that are probably inadequate, each as a comparison with the bound that it
+// violates, such as "params.state.rps<4". They are not errors: the controller starts nevertheless.
 func (c *Config) Warnings() []string {
 	warnings := c.Params.Resources.Warnings()
 	if needed := c.leaseRenewalRate() / leaseRenewalRateShare; c.Params.Store.RequestRateLimit() < needed {
@@ -42,7 +42,7 @@
 	return float64(len(c.Peers)+1) * RenewalsPerLeaseTTL / leaseTTLSeconds
 }
 
-// Warnings lists resources that are probably too small.
+// Warnings lists resources that are probably too small, in the form of [Config.Warnings].
 func (r ControllerResources) Warnings() []string {
 	var warnings []string
 	if r.CPUs < minRecommendedCPU {
