--- a/internal/connlimit/connlimit.go
+++ b/internal/connlimit/connlimit.go
@@ -50,7 +50,7 @@
 }
 
 // track records a state change and returns the connection to close because of it, or nil.
-// That stays counted as open until the server reports it as closed.
+// A connection to close counts as open until the server reports it as closed.
 func (l *Limiter) track(conn net.Conn, state http.ConnState) (surplus net.Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
