--- a/internal/heartbeat/evidence.go
+++ b/internal/heartbeat/evidence.go
@@ -8,8 +8,8 @@
 )
 
 // evidenceWaitHeartbeats is the number of heartbeat intervals for which this controller leaves
-// evidence to the active scheduler before it writes the evidence itself. A worker is redirected to
-// deliver evidence at most once in that time.
+// evidence to the active scheduler before it may write the evidence itself. A worker is redirected
+// to deliver evidence at most once in that time.
 const evidenceWaitHeartbeats = 2
 
 // forwardEvidence sends the evidence in a heartbeat to the active scheduler, and also gives it to
--- a/internal/heartbeat/receiver.go
+++ b/internal/heartbeat/receiver.go
@@ -17,8 +17,9 @@
 	FreshPeer func() string
 	// Isolated reports whether there are other controllers but none is reachable.
 	Isolated func() bool
-	// HandleEvidence passes evidence to this controller's scheduler, which writes it after wait
-	// unless another controller has written it.
+	// HandleEvidence passes evidence to this controller's scheduler. While another scheduler is
+	// active, it writes the evidence after wait at the earliest, and only if no other controller
+	// has written it.
 	HandleEvidence func(evidence reconcile.Evidence, wait time.Duration)
 	// SendEvidence sends evidence to another controller. It returns false if that one can't be
 	// reached.
