--- a/internal/peer/message.go
+++ b/internal/peer/message.go
@@ -15,7 +15,8 @@
 	// Incarnation distinguishes the sender's process from its earlier ones; 0: not announced.
 	Incarnation uint64           `json:"boot,omitempty"`
 	Reachable   []wire.MachineID `json:"heard,omitempty"` // machines that the sender has received heartbeats from
-	// Evidence is written to the store by the receiver if its scheduler is active; nil: none.
+	// Evidence is to be written to the store by the receiver, whose scheduler is the active one
+	// in the sender's view; nil: none.
 	Evidence *reconcile.Evidence `json:"note,omitempty"`
 }
 
--- a/internal/peer/table.go
+++ b/internal/peer/table.go
@@ -8,8 +8,8 @@
 )
 
 // maxQueuedMessages is the capacity of the queue of messages for a stream. Further messages are
-// dropped. The queue holds the evidence of some thousand machines for a few seconds, for which a
-// stream may stall.
+// dropped. It is enough for the evidence of some thousand machines while a stream stalls for a few
+// seconds.
 const maxQueuedMessages = 256
 
 // peerState is the state that a controller keeps for another one.
