--- a/internal/httpjson/client.go
+++ b/internal/httpjson/client.go
@@ -32,7 +32,7 @@
 }
 
 // Call sends in as JSON, unless it is nil, and returns the response's status and body. The body is
-// truncated to maxResponseBytes. The error is ErrNotSent or one of the transport.
+// truncated to maxResponseBytes. The error wraps ErrNotSent or comes from the transport.
 func Call(ctx context.Context, client *http.Client, timeout time.Duration, method, url string, in any) (status int, body []byte, err error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
--- a/internal/httpjson/rate_limited_client.go
+++ b/internal/httpjson/rate_limited_client.go
@@ -41,7 +41,7 @@
 }
 
 // Call sends in as JSON, unless it is nil, and decodes the response into out, unless that is nil.
-// The request was certainly not executed if the error is ErrRateLimited or ErrNotSent. Other
+// The request was certainly not executed if the error wraps ErrRateLimited or ErrNotSent. Other
 // errors are *StatusError and those of the transport and of decoding the response.
 func (c *Client) Call(ctx context.Context, timeout time.Duration, method, path string, in, out any) error {
 	if err := Wait(ctx, c.limiter, 1); err != nil {
@@ -62,8 +62,8 @@
 	return nil
 }
 
-// Wait waits until a limiter permits n events. It returns ErrRateLimited if that would be after the
-// context ends.
+// Wait waits until a limiter permits n events. If that would be after the context ends, or if the
+// context ends meanwhile, the error wraps ErrRateLimited.
 func Wait(ctx context.Context, limiter *rate.Limiter, n int) error {
 	if err := limiter.WaitN(ctx, n); err != nil {
 		return fmt.Errorf("%w: %w", ErrRateLimited, err)
