--- a/internal/apiserver/submit.go
+++ b/internal/apiserver/submit.go
@@ -50,9 +50,9 @@
 	}
 }
 
-// rejectUnlessRepeat rejects a submission, unless it repeats that of an accepted job, which only a
-// read of the store can tell: an accepted job is never rejected later, whatever a repeated
-// submission says. An error with Retry-After is not final, and is sent without a read.
+// rejectUnlessRepeat rejects a submission unless it repeats that of an accepted job, which must
+// never be rejected later, whatever the repeated submission says. Only a read of the store can tell
+// whether it does. An error with Retry-After is not final, and is sent without a read.
 func (s *Server) rejectUnlessRepeat(ctx context.Context, w http.ResponseWriter, r *http.Request, id wire.JobID, body []byte, httpErr *httpError) {
 	if httpErr.retryAfter > 0 {
 		writeError(w, httpErr)
--- a/internal/config/standby.go
+++ b/internal/config/standby.go
@@ -37,7 +37,7 @@
 // FailoverTimeTarget is the time that a failover should take at most.
 const FailoverTimeTarget = 5 * time.Second
 
-// HeartbeatInterval returns the interval of a controller's heartbeats to its peers.
+// HeartbeatInterval returns the interval of a controller's heartbeats for failure detection.
 func (s *Standby) HeartbeatInterval(w WorkerTimings) time.Duration {
 	return w.Heartbeats(s.HeartbeatIntervalMultiple)
 }
