--- a/internal/scheduler/backoff.go
+++ b/internal/scheduler/backoff.go
@@ -25,11 +25,11 @@
 	avoidedUntil   map[wire.MachineID]time.Time // machines get no tasks before this time
 }
 
-// jobFailures records a job's failures since its last success.
+// jobFailures records a job's failures and refusals since its last success.
 type jobFailures struct {
-	count    int       // without refusals
-	until    time.Time // the job is not placed before this time
-	machines map[wire.MachineID]bool
+	count    int                     // number of failures, not counting refusals
+	until    time.Time               // the job is not placed before this time
+	machines map[wire.MachineID]bool // on which it failed or was refused
 }
 
 func newBackoff(workers config.WorkerTimings) *backoff {
@@ -75,9 +75,9 @@
 	slog.Info("task failed", "job", job, "machine", machine, "reason", reason, "failures", f.count, "backoff_seconds", wait.Seconds())
 }
 
-// recordEarlyPreemption delays an array with a task that was preempted right after placement. It
-// would take the next free capacity and be preempted again, each time wasting two writes and a
-// launch.
+// recordEarlyPreemption delays an array by one heartbeat interval, because one of its tasks was
+// preempted right after placement. It would take the next free capacity and be preempted again,
+// each time wasting two writes and a launch.
 func (b *backoff) recordEarlyPreemption(job wire.JobID, now time.Time) {
 	b.preemptedUntil[job] = now.Add(b.workers.Heartbeats(1))
 }
@@ -96,10 +96,11 @@
 	return f != nil && f.count >= probeAfter
 }
 
-// hasFailed reports whether a job has failed since its last success.
+// hasFailed reports whether a job has failed or was refused since its last success.
 func (b *backoff) hasFailed(job wire.JobID) bool { return b.failures[job] != nil }
 
-// withoutFailed returns the nodes on which the job has not failed, or all if it failed on each.
+// withoutFailed returns the nodes on which the job has neither failed nor been refused since its
+// last success, or all if there are none.
 func (b *backoff) withoutFailed(job wire.JobID, nodes []*placement.Node) []*placement.Node {
 	f := b.failures[job]
 	if f == nil {
--- a/internal/scheduler/candidates.go
+++ b/internal/scheduler/candidates.go
@@ -104,8 +104,8 @@
 	return list
 }
 
-// fallbackNodes returns a sample of the nodes that the advice allows for a task that finds no
-// capacity elsewhere.
+// fallbackNodes returns a sample of the nodes with capacity that the advice allows for a replica
+// that finds none elsewhere; nil if the job is not a service or there is no advice.
 func (c *cycle) fallbackNodes(job *wire.Job) []*placement.Node {
 	if !c.advice.appliesTo(job) {
 		return nil
@@ -131,8 +131,9 @@
 	return list
 }
 
-// preemptionCandidates returns a sample of the nodes that a job may use, to preempt tasks on or to
-// move replicas from. If the transaction is full, only groups that are already in it count.
+// preemptionCandidates returns nodes to preempt tasks on or to move replicas from for a job: those
+// of a sample that are schedulable, not avoided, and admitted for the job by the advice. If the
+// transaction is full, the sample is of the nodes in groups that are already in it.
 func (c *cycle) preemptionCandidates(job *wire.Job) []*placement.Node {
 	from := c.nodes.all
 	if c.isFull() {
--- a/internal/scheduler/commands.go
+++ b/internal/scheduler/commands.go
@@ -48,9 +48,9 @@
 
 // launch sends the commands of a committed cycle, with the fencing tokens of the records that the
 // cycle wrote, since a later record may already have stopped a task again. Lost or refused commands
-// are repeated in the response to the worker's next heartbeat. So are all of them if the commit
-// took too long or this process was paused since: a job may have been cancelled after its
-// precondition was checked.
+// are repeated in the response to the worker's next heartbeat. If the commit took too long or this
+// process was paused since, no commands are sent and all are left to these responses: a job may have
+// been cancelled after its precondition was checked.
 func (s *Scheduler) launch(c *cycle) {
 	if time.Since(c.now) > s.config.Params.Workers.MaxLaunchViewAge() {
 		return
--- a/internal/scheduler/completions.go
+++ b/internal/scheduler/completions.go
@@ -21,8 +21,9 @@
 }
 
 // storeDependencyCancellations stores the cancellation of jobs that are cancelled because a
-// dependency was, a few per cycle. It isn't urgent, since every process derives the cancellation
-// itself, but a job whose end is stored need not be tracked any more.
+// dependency was, in at most half of a cycle's writes and only in a process with assigned teams. It
+// isn't urgent, since every process derives the cancellation itself, but a job whose end is stored
+// need not be tracked any more.
 func (c *cycle) storeDependencyCancellations(hasAssignments bool) {
 	for id, job := range c.cancelledDependents {
 		if !hasAssignments || c.ops() >= c.limit/2 || !c.canAddPrecondition() {
--- a/internal/scheduler/cycle.go
+++ b/internal/scheduler/cycle.go
@@ -90,8 +90,8 @@
 }
 
 // openGroup adds a group's next record to the transaction, if it isn't part of it yet, and returns
-// it. It returns nil if the group is unknown, the transaction is full, or the group's record is
-// too large to be written without a split.
+// it. It returns nil if the group is unknown, the transaction is full or has no room for the
+// record, or the record is too large to be written without a split.
 func (c *cycle) openGroup(group string) *groupUpdate {
 	if update := c.groupUpdates[group]; update != nil {
 		return update
--- a/internal/scheduler/evidence_application.go
+++ b/internal/scheduler/evidence_application.go
@@ -13,8 +13,9 @@
 // applyPendingEvidence applies the evidence from heartbeats, as far as the write limit allows, in
 // the order of evidenceQueue.due. That order is by the total idle time of freed capacity, so when
 // writes are scarce a group of one machine is seldom written for a single task, and one in which
-// many tasks end is written often. Evidence that has waited for more than a heartbeat interval comes
-// first. When jobs are queued, a quarter of the writes is left for groups that have capacity.
+// many tasks end is written often. Groups with evidence that has been due for more than a heartbeat
+// interval come first. When jobs are queued, a quarter of the writes is left for groups that have
+// capacity.
 func (c *cycle) applyPendingEvidence(hasAssignments, queued bool) {
 	groups := c.evidence.due(c.now, hasAssignments)
 	limit := c.limit
--- a/internal/scheduler/evidence_queue.go
+++ b/internal/scheduler/evidence_queue.go
@@ -91,7 +91,7 @@
 	return result.RequiresUpdate()
 }
 
-// put sets the evidence of a machine.
+// put adds or replaces the evidence of a machine.
 func (q *evidenceQueue) put(group string, machine wire.MachineID, e *pendingEvidence) {
 	if q.byGroup[group] == nil {
 		q.byGroup[group] = map[wire.MachineID]*pendingEvidence{}
@@ -114,16 +114,17 @@
 type dueGroup struct {
 	name        string
 	late        bool    // some of it has been due for more than a heartbeat interval
-	idleSeconds float64 // sum of the times for which the capacity of exited tasks has been idle
+	idleSeconds float64 // sum over the machines of the time since applyAt, times the exited tasks (at least 1)
 }
 
 // due returns the groups with evidence to write now, the most urgent first: late ones, then by
-// descending idle time. A process with assigned teams writes all evidence, any other only evidence
-// whose applyAt has passed.
+// descending idle time. A process with assigned teams doesn't wait for other writers, but evidence
+// whose applyAt has not passed counts as negative idle time, which can leave its group out. In any
+// other process only evidence whose applyAt has passed counts.
 func (q *evidenceQueue) due(now time.Time, hasAssignments bool) []dueGroup {
-	// A process without assignments waits while some process still writes terminations, for at
-	// most a lease: a slow writer is still alive, and writes by others made its preconditions fail
-	// and slowed it further.
+	// A process without assignments waits while some process still writes terminations, until at
+	// most a lease after applyAt: a slow writer is still alive, and writes by others made its
+	// preconditions fail and slowed it further.
 	noWriter := now.Sub(q.lastTermination) > q.workers.Heartbeats(1)
 	groups := make([]dueGroup, 0, len(q.byGroup))
 	for name, machines := range q.byGroup {
--- a/internal/scheduler/job_placement.go
+++ b/internal/scheduler/job_placement.go
@@ -23,7 +23,7 @@
 
 	sample            []*placement.Node // nodes with capacity; drawn again when no node in it fits
 	placedSinceSample int               // number of tasks placed since the sample was drawn
-	occupied          []*placement.Node // nodes to search for victims; drawn when first needed
+	victimNodes       []*placement.Node // nodes to search for victims; drawn when first needed
 }
 
 // placeJob places as many of a job's pending tasks as it can, using the quota held for the job's
@@ -53,7 +53,7 @@
 	p.drawSample()
 	for task := c.jobs.firstIncomplete[p.id]; task < p.job.TaskCount && c.placed[p.id] < p.maxTasks; task++ {
 		if c.backoff.probes(p.id) && len(c.view.Bindings[p.id])+c.placed[p.id] > 0 {
-			return // at most one running task until one succeeds
+			return // at most one bound task until one succeeds
 		}
 		if p.isCompletedOrBound(task) {
 			continue
@@ -66,9 +66,9 @@
 
 // mayPreemptNow reports whether other tasks may be preempted for the job. Capacity is freed all the
 // time, so a job may preempt only when its latest start for its deadline is near, or after about
-// half the time within which its objectives have it start. Production jobs need not wait. A job
-// whose priority is inherited from the last job of its pipeline may preempt only when its own share
-// of that job's deadline is near.
+// half of its start objective. Production jobs need not wait. A job whose priority is inherited
+// from the last job of its pipeline may preempt only when its latest start is near, which follows
+// from its share of that job's deadline (estimate.Deadlines).
 func (p *jobPlacement) mayPreemptNow() bool {
 	if p.candidate.mustStartSoon(p.deadlineIndex) {
 		return true
@@ -205,7 +205,7 @@
 	var victims *placement.Victims
 	entitled := p.spec.Priority >= wire.PriorityHigh || p.usage.WithinGuarantee(p.quota, p.need)
 	if p.mayPreempt && entitled && (node == nil || p.spec.Priority >= wire.PriorityHigh && p.fetchesTooLong(p.spec, node)) {
-		nodes := p.occupiedNodes()
+		nodes := p.victimSearchNodes()
 		if node != nil { // preemption helps only on nodes that have the image
 			nodes = slices.DeleteFunc(slices.Clone(nodes), func(n *placement.Node) bool { return !n.HasImage(p.spec.Image) })
 		}
@@ -217,10 +217,10 @@
 	return victims
 }
 
-// occupiedNodes returns the nodes to search for victims.
-func (p *jobPlacement) occupiedNodes() []*placement.Node {
-	if p.occupied == nil {
-		p.occupied = p.withoutFailed(p.preemptionCandidates(p.spec))
+// victimSearchNodes returns the nodes to search for victims.
+func (p *jobPlacement) victimSearchNodes() []*placement.Node {
+	if p.victimNodes == nil {
+		p.victimNodes = p.withoutFailed(p.preemptionCandidates(p.spec))
 	}
-	return p.occupied
+	return p.victimNodes
 }
--- a/internal/scheduler/job_queue.go
+++ b/internal/scheduler/job_queue.go
@@ -139,8 +139,8 @@
 	}
 }
 
-// busySeconds estimates how long the cluster is busy with the running tasks of arrays. On average
-// half of their runtime is left.
+// busySeconds estimates how long the cluster is busy with the running tasks of arrays. It assumes
+// that on average half of their runtime is left.
 func (q *jobQueue) busySeconds() float64 {
 	seconds := 0.0
 	for id, job := range q.active {
@@ -152,7 +152,8 @@
 }
 
 // assignDeadlinesOfPriority sets the deadline that each queued job of one priority is to meet.
-// freeSeconds is when the jobs of higher priority leave the cluster free; it returns when these do.
+// freeSeconds is when the cluster is free of the jobs of higher priority. It returns when the jobs
+// of this priority that can meet a deadline are finished as well.
 func assignDeadlinesOfPriority(queue []queuedJob, freeSeconds float64, now time.Time) float64 {
 	var candidates []deadlineCandidate
 	var positions []int
--- a/internal/scheduler/node_index.go
+++ b/internal/scheduler/node_index.go
@@ -219,8 +219,8 @@
 	for pool, capacity := range x.pools {
 		if capacity.schedulableNodes > 0 && placement.Allowed(job, pool.MachineType, pool.Zone, pool.Spot) {
 			limit := resources.OfMachineType(x.machineTypes[pool.MachineType])
-			whole := float64(capacity.schedulableNodes) * math.Floor(1/resources.OfTask(job).Share(limit)+resources.RoundingTolerance)
-			slots += whole * max(0, 1-capacity.serviceUsage.Share(limit)/float64(capacity.schedulableNodes))
+			slotsIfEmpty := float64(capacity.schedulableNodes) * math.Floor(1/resources.OfTask(job).Share(limit)+resources.RoundingTolerance)
+			slots += slotsIfEmpty * max(0, 1-capacity.serviceUsage.Share(limit)/float64(capacity.schedulableNodes))
 		}
 	}
 	return slots
--- a/internal/scheduler/replica_moves.go
+++ b/internal/scheduler/replica_moves.go
@@ -98,7 +98,7 @@
 // moveNodes returns the nodes to move a replica from or to so that the job gets capacity: the nodes
 // to search for victims and a sample of those with capacity.
 func (p *jobPlacement) moveNodes() []*placement.Node {
-	list := slices.Clone(p.occupiedNodes())
+	list := slices.Clone(p.victimSearchNodes())
 	listed := make(map[*placement.Node]bool, len(list))
 	for _, n := range list {
 		listed[n] = true
@@ -121,7 +121,7 @@
 
 // findReplicaToMove returns a replica whose move to another node frees capacity for a task of the
 // job. It returns nil if there is none, if a node has capacity without a move, or if the job has
-// waited for less time than the replica's target takes to fetch its image.
+// been short of a node for less time than the target takes to fetch the replica's image.
 func (p *jobPlacement) findReplicaToMove() *placement.Victims {
 	victims := placement.FindReplicaToMove(p.spec, p.zones, p.moveNodes())
 	if victims == nil {
--- a/internal/scheduler/replica_moves_test.go
+++ b/internal/scheduler/replica_moves_test.go
@@ -26,8 +26,8 @@
 	revision uint64
 }
 
-// newMoveFixture returns a fixture with the given team quotas. The first team owns the blocking
-// service, by default team red, which owns all other jobs.
+// newMoveFixture returns a fixture with the given team quotas. The first of these teams owns the
+// blocking service, and team red the blocked one; without quotas, team red owns both.
 func newMoveFixture(teams ...config.TeamQuota) *moveFixture {
 	teams = append(teams, config.TeamQuota{Name: "red"}) // of equal names the first quota counts
 	cfg := &config.Config{Operator: config.DefaultOperatorSettings()}
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -81,9 +81,10 @@
 // SetAdvisor sets the advisor. It must be called before the cache runs.
 func (s *Scheduler) SetAdvisor(a Advisor) { s.advice.advisor = a }
 
-// HandleEvidence queues the evidence from a heartbeat. It is written without delay if teams
-// are assigned to this process, otherwise after wait unless another process has written it.
-// Evidence is dropped while the scheduler's mailbox is full.
+// HandleEvidence queues the evidence from a heartbeat, to be written after wait unless another
+// process has written it by then. wait is 0 unless another process is taken for the active scheduler.
+// A process without assigned teams also waits for other writers (see evidenceQueue.due). Evidence is
+// dropped while the scheduler's mailbox is full.
 func (s *Scheduler) HandleEvidence(evidence reconcile.Evidence, wait time.Duration) {
 	s.TrySend(func() {
 		if s.evidence.add(evidence, time.Now().Add(wait)) {
--- a/internal/scheduler/shortages.go
+++ b/internal/scheduler/shortages.go
@@ -17,7 +17,7 @@
 
 // shortage is one service's lack of a node.
 type shortage struct {
-	since    time.Time // when the service first found no node since it last found one
+	since    time.Time // when the service first found no node after it had last found one
 	reportAt time.Time // when the next log line is due
 }
 
--- a/internal/scheduler/state.go
+++ b/internal/scheduler/state.go
@@ -94,8 +94,8 @@
 	}
 }
 
-// applyMachineChange updates the node index, the image cache and the pending evidence of a
-// machine after a change of its record.
+// applyMachineChange updates the node index, the image caches, the pending evidence and the backoff
+// after a change of a machine's record.
 func (s *schedulingState) applyMachineChange(change statecache.MachineChange, now time.Time) {
 	s.nodes.refresh(change.Machine, change.New)
 	if change.New == nil {
@@ -117,8 +117,8 @@
 	}
 }
 
-// applyGroupChange updates the group layout, backoff, runtime estimates and completed jobs from a
-// group's new record; nil if it was deleted.
+// applyGroupChange updates the group layout, the evidence queue, the backoff, the runtime estimates
+// and the completed jobs from a group's new record; nil if it was deleted.
 func (s *schedulingState) applyGroupChange(name string, group *statecache.MachineGroup, now time.Time) {
 	s.layout.observe(name, group)
 	if group == nil {
--- a/internal/scheduler/write_budget.go
+++ b/internal/scheduler/write_budget.go
@@ -58,7 +58,7 @@
 	return min(b.config.Params.Store.TxnOpsLimit(), int(b.limiter.TokensAt(now)))
 }
 
-// refillTime returns how long it takes until that many more writes are available.
+// refillTime returns how long it takes until the given number of further writes is available.
 func (b *writeBudget) refillTime(writes int) time.Duration {
 	return time.Duration(float64(writes) / float64(b.limiter.Limit()) * float64(time.Second))
 }
