--- a/internal/placement/node.go
+++ b/internal/placement/node.go
@@ -23,7 +23,8 @@
 // service share it.
 type ReplicaSet struct {
 	Zones ZoneCounts // bound replicas by zone, including those that are stopping
-	// Running is the number of bound replicas that are to stay.
+	// Running is the number of replicas on schedulable machines that are not being stopped or
+	// terminated.
 	Running int
 	// Immovable reports whether no replica may be stopped to be moved: for example, because another
 	// one is pending, stopping, or on a machine that is about to be removed.
--- a/internal/placement/victims.go
+++ b/internal/placement/victims.go
@@ -25,10 +25,11 @@
 	TeamQuota func(team wire.TeamName) config.TeamQuota
 }
 
-// FindVictims returns the cheapest victims on one of the nodes that make room for a task of a job,
-// or nil; a node whose score is better by more than 1 is preferred at any cost. Tasks of lower
-// priority may be preempted. If the job's team is within its guarantee with the task, so may tasks
-// of any priority that other teams run beyond their guarantees. No others may.
+// FindVictims returns the cheapest victims on any one of the nodes that make room for a task of a
+// job, or nil if there are none. A node whose score is better by more than 1 is preferred at any
+// cost. Tasks of lower priority may be preempted. If the job's team is within its guarantee with
+// the task, so may tasks of any priority that other teams run beyond their guarantees. No others
+// may.
 func FindVictims(job *wire.Job, zones ZoneCounts, offers ZoneOffers, nodes []*Node, quotas Quotas) *Victims {
 	var best *Victims
 	bestScore := 0.0
@@ -125,12 +126,12 @@
 	return true
 }
 
-// replicaLossSeconds is the cost of stopping a replica of a service that has all of them, in
-// seconds of lost work: its users notice.
+// replicaLossSeconds is the cost of stopping a replica of a service that has all its replicas, in
+// seconds of lost work, since the service's users notice it.
 const replicaLossSeconds = 60
 
-// lossFactor returns how many times replicaLossSeconds stopping one more replica costs a service:
-// the fewer of its replicas run, the more.
+// lossFactor returns the cost of stopping one more replica of a service as a multiple of
+// replicaLossSeconds. The fewer of its replicas run, the larger it is.
 func (s *ReplicaSet) lossFactor(service *wire.Job) float64 {
 	if s == nil || s.Running <= 0 {
 		return 1
--- a/internal/planner/existing.go
+++ b/internal/planner/existing.go
@@ -38,10 +38,11 @@
 }
 
 // coverByExisting assigns up to count tasks to existing machines, those that are free earliest
-// first, and returns how many it assigns. A task must start before a new machine could be up, after
-// the boot lag, or early enough to meet its deadline: it then adds no load on new machines. A
-// machine that takes longer than the lag to boot is counted as soon as it is provisioned: another
-// one would not be up sooner, and every planning cycle would provision it again.
+// first, and returns how many it assigns. A task is assigned only if it can start within the boot
+// lag, before a new machine could be up, or early enough to meet its deadline; it then adds no load
+// on new machines. A machine whose type takes longer than the lag to boot is used as soon as it is
+// being provisioned: a further one would not be up sooner, and otherwise every planning cycle would
+// provision one.
 func (c *cycle) coverByExisting(d *pendingDemand, count int) (covered int) {
 	fits, latestStartSeconds := c.poolFits(d)
 	queue := c.queueFor(shapeOf(d), fits)
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -31,7 +31,7 @@
 }
 
 // compareDemands orders demands by priority, the highest first, then those that can still meet a
-// deadline before late ones, then by deadline.
+// deadline before late ones, then by deadline, then by job ID.
 func compareDemands(a, b Demand) int {
 	if order := cmp.Compare(b.Job.Priority, a.Job.Priority); order != 0 {
 		return order
