--- a/internal/placement/last_replica_test.go
+++ b/internal/placement/last_replica_test.go
@@ -18,11 +18,11 @@
 			Used: resources.OfTask(job), Tasks: []RunningTask{{Job: job, Service: set}},
 		}
 	}
-	last, whole := replica("req-000001", &ReplicaSet{Running: 1}), replica("req-000002", &ReplicaSet{Running: 2})
+	last, complete := replica("req-000001", &ReplicaSet{Running: 1}), replica("req-000002", &ReplicaSet{Running: 2})
 	urgent := &wire.Job{ID: "req-000003", Kind: wire.KindArray, Priority: wire.PriorityHigh, TaskCount: 1, CPUs: 4}
 	quotas := Quotas{Usage: resources.Usage{}, TeamQuota: func(name wire.TeamName) config.TeamQuota { return config.TeamQuota{Name: name} }}
-	for _, nodes := range [][]*Node{{last, whole}, {whole, last}} {
-		if victims := FindVictims(urgent, ZoneCounts{}, ZoneOffers{}, nodes, quotas); victims == nil || victims.Node != whole {
+	for _, nodes := range [][]*Node{{last, complete}, {complete, last}} {
+		if victims := FindVictims(urgent, ZoneCounts{}, ZoneOffers{}, nodes, quotas); victims == nil || victims.Node != complete {
 			t.Errorf("preempted %+v", victims)
 		}
 	}
--- a/internal/scheduler/job_queue_test.go
+++ b/internal/scheduler/job_queue_test.go
@@ -47,6 +47,6 @@
 	}
 	s.jobs.remove("req-000004")
 	if queue = s.jobs.pending(map[wire.TeamName]*statecache.Assignment{"red": {}}, nil, now); len(queue) != 3 {
-		t.Errorf("%d jobs queued after one is over", len(queue))
+		t.Errorf("%d jobs queued after one was removed", len(queue))
 	}
 }
--- a/internal/scheduler/replica_moves_test.go
+++ b/internal/scheduler/replica_moves_test.go
@@ -95,7 +95,7 @@
 	t.Helper()
 	var txn statecache.Commit
 	if !c.addTo(&txn) {
-		t.Fatal("nothing may be written")
+		t.Fatal("a group's record can't be written")
 	}
 	for _, put := range txn.Puts {
 		kind, name, _ := strings.Cut(strings.TrimPrefix(put.Key, statecache.KeyPrefix), "/")
