--- a/internal/autoscaler/autoscaler_test.go
+++ b/internal/autoscaler/autoscaler_test.go
@@ -37,8 +37,8 @@
 		conn := &simulation.StoreConn{Store: simulation.NewStore(), Network: net, Member: "n0", Timeout: time.Second}
 		chunk := statecache.ChunkTasks(8)
 		cache := statecache.Start(ctx, conn, statecache.Options{ChunkTasks: chunk, WatchHold: time.Second, MaxViewAge: time.Second, Backoff: 100 * time.Millisecond})
-		cloud := simulation.NewCloud(1, types, limit, 10*time.Second, func(h wire.Instance) *simulation.Worker {
-			return simulation.NewWorker(ctx, h, simulation.WorkerOptions{
+		cloud := simulation.NewCloud(1, types, limit, 10*time.Second, func(instance wire.Instance) *simulation.Worker {
+			return simulation.NewWorker(ctx, instance, simulation.WorkerOptions{
 				HeartbeatInterval: 3 * time.Second, LeaseDuration: 34 * time.Second, Members: []string{"n0"}, Network: net, Checker: simulation.NewInvariantChecker(cfg.Params),
 				PostHeartbeat: func(string) simulation.HeartbeatPoster { return nil },
 			}, 0)
--- a/internal/autoscaler/deadline_risk.go
+++ b/internal/autoscaler/deadline_risk.go
@@ -23,8 +23,8 @@
 // forget drops a job that has ended.
 func (d *deadlineRisks) forget(id wire.JobID) { delete(d.blockedBy, id) }
 
-// check updates the prediction for the pipeline that ends with a blocked job, and logs it if it has
-// changed. runtimeSeconds is the expected runtime of the job.
+// check updates the prediction for the pipeline that ends with a blocked job, if the job has a
+// deadline, and logs it if it has changed. runtimeSeconds is the expected runtime of the job.
 func (d *deadlineRisks) check(id wire.JobID, job *statecache.Job, wait estimate.DependencyWait, runtimeSeconds float64, now time.Time) {
 	if job.Spec.Deadline == nil {
 		return
--- a/internal/autoscaler/liveness.go
+++ b/internal/autoscaler/liveness.go
@@ -12,9 +12,9 @@
 type machineLiveness struct {
 	lastReachable       time.Time           // last heartbeat that reached any controller, or last response to a probe; zero: none
 	suspectedAt         time.Time           // when it was recorded as suspected
-	lastFailedProbe     time.Time           // when a probe last failed
+	lastFailedProbe     time.Time           // when a probe last failed, or got a response that doesn't count
 	probing             bool                // a probe is in flight
-	outboundPartitioned bool                // it responds to probes, but its heartbeats reach no controller
+	outboundPartitioned bool                // it responds to probes, but its heartbeats reach no controller and its lease has expired
 	failedJobs          map[wire.JobID]bool // jobs with tasks that failed on it since a task last completed
 }
 
--- a/internal/autoscaler/liveness_survey.go
+++ b/internal/autoscaler/liveness_survey.go
@@ -16,7 +16,7 @@
 	startedByZone         map[wire.Zone]int // the same by zone
 	missedHeartbeatByZone map[wire.Zone]int // of them, those that missed a heartbeat
 	toSuspect             []wire.MachineID  // machines to be recorded as suspected
-	unreachable           []wire.MachineID  // machines whose heartbeats reach no controller and that respond to no probe
+	unreachable           []wire.MachineID  // machines not reachable for UnreachableHeartbeats, with a failed probe since
 }
 
 // zonePartitioned reports whether a zone looks partitioned: most of its machines, and at least
--- a/internal/autoscaler/planning_demands.go
+++ b/internal/autoscaler/planning_demands.go
@@ -71,8 +71,8 @@
 	}, true
 }
 
-// firstFeasible returns the time, from a job's age on, until the first of its deadlines that a
-// machine provisioned now can meet, or until the last deadline if there is none.
+// firstFeasible returns the time that a job of the given age has left until the first of its
+// deadlines that a machine provisioned now can meet, or until the last one if it can meet none.
 func firstFeasible(deadlines []time.Duration, age, leadTime time.Duration) (untilDeadline time.Duration) {
 	for _, deadline := range deadlines {
 		untilDeadline = deadline - age
--- a/internal/autoscaler/provisioned_batch.go
+++ b/internal/autoscaler/provisioned_batch.go
@@ -19,7 +19,7 @@
 	intentName string
 	intent     *statecache.ProvisioningIntent
 	remaining  int  // machines of the intent to be requested in further batches
-	shortfall  bool // the cloud had fewer machines than were requested
+	shortfall  bool // the cloud provisioned fewer machines than were requested
 }
 
 // intentKey returns the intent's key in the store.
@@ -68,9 +68,9 @@
 
 // recordMachines stores the machines of a batch, in as many groups as the size of their records
 // requires. The commit of the last ones moves the intent on to the next batch, or deletes it. Every
-// such commit has the intent as a precondition and rewrites it: a group may have been merged into
-// another since, and a delayed duplicate of the commit that created it would restore its machines
-// with nothing bound to them.
+// such commit has the intent as a precondition and rewrites or deletes it, so that a delayed
+// duplicate of the commit fails. The groups that it created may have been merged into others since;
+// the duplicate would restore their machines with nothing bound to them.
 func (a *Autoscaler) recordMachines(batch *provisionedBatch, machines []wire.MachineID) {
 	machines = slices.DeleteFunc(machines, a.isKnownOrInvalid)
 	stored := a.view.ProvisioningIntents[batch.intentName]
--- a/internal/autoscaler/provisioning.go
+++ b/internal/autoscaler/provisioning.go
@@ -14,8 +14,8 @@
 	intentsRecorded int                          // in this term
 	inFlight        map[string]resources.Pool    // pools of the intents that are being stored, called or recorded, by intent name
 	exhaustedUntil  map[resources.Pool]time.Time // pools that the cloud had too few machines of
-	// replanWhenDone is set when a plan requests machines of a busy pool: planning runs again as
-	// soon as an intent is done.
+	// replanWhenDone is set when a plan requests machines of a busy pool: planning runs again once
+	// the next batch of any pool has been recorded, or its commit has failed.
 	replanWhenDone bool
 }
 
--- a/internal/autoscaler/scale_out.go
+++ b/internal/autoscaler/scale_out.go
@@ -122,8 +122,8 @@
 	a.recordMachines(batch, machines)
 }
 
-// handleShortfall marks the pool of a batch as exhausted for a while, since the cloud had fewer
-// machines than were requested.
+// handleShortfall marks the pool of a batch as exhausted for a while, since the cloud provisioned
+// fewer machines than were requested, and scales in the pool's machines whose boots are overdue.
 func (a *Autoscaler) handleShortfall(batch *provisionedBatch, provisioned int) {
 	intent, pool := batch.intent, intentPool(batch.intent)
 	until := time.Now().Add(a.config.Operator.PlanningIntervals(exhaustionCycles))
