--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -20,8 +20,8 @@
 	timeout time.Duration
 }
 
-// New returns a client of the cloud at addr that never exceeds the given share of the cloud's
-// requestRate, per second.
+// New returns a client of the cloud at addr that never exceeds the given share of requestRate, the
+// number of requests per second that the cloud allows.
 func New(addr string, requestRate, share float64, timeout time.Duration) *Client {
 	return &Client{client: httpjson.NewClient(addr, requestRate*share, timeout, idleConns), timeout: timeout}
 }
--- a/internal/cloud/errors.go
+++ b/internal/cloud/errors.go
@@ -11,8 +11,8 @@
 )
 
 // Errors that callers distinguish. Each of them means that the call was certainly not executed;
-// after any other error it may have been, or may still be. Retrying can succeed after ErrRejected,
-// and later after ErrNoCapacity, but not after ErrInvalidRequest.
+// after any other error, callers must assume that it may have been, or may still be. Retrying can
+// succeed after ErrRejected, and later after ErrNoCapacity, but not after ErrInvalidRequest.
 var (
 	ErrNoCapacity     = errors.New("no capacity")
 	ErrRejected       = errors.New("cloud rejected the call")
