--- a/internal/recovery/bin_packer.go
+++ b/internal/recovery/bin_packer.go
@@ -61,8 +61,8 @@
 	}
 }
 
-// packReplicas places count replicas of a service; zones counts its other replicas by zone. After
-// the first that can't be placed, the remaining ones are a shortfall of the same cause.
+// packReplicas places count replicas of a service; zones counts its other replicas by zone. It
+// stops at the first that can't be placed: that one and the rest are a shortfall of one cause.
 func (p *binPacker) packReplicas(service *Service, count int, zones placement.ZoneCounts, atRisk bool) {
 	r := replicaSpec{
 		service: service,
--- a/internal/recovery/plan.go
+++ b/internal/recovery/plan.go
@@ -23,8 +23,8 @@
 type Placement struct {
 	Service *Service
 	Node    *placement.Node
-	// AtRisk reports whether the replica is still bound to another machine, as Service.AtRisk says;
-	// the capacity is for its replacement, once it is proved terminated.
+	// AtRisk reports whether the replica is at risk (see Service.AtRisk), and so still bound to
+	// another machine. The node's capacity is needed once the replica is proved terminated.
 	AtRisk bool
 }
 
--- a/internal/recovery/plan_test.go
+++ b/internal/recovery/plan_test.go
@@ -172,7 +172,7 @@
 
 // First-fit in recovery order gives the only node of zone b to a service that may run in any
 // zone, which leaves none for one restricted to b. The solver must place both.
-func TestSolverLeavesOnlyAllowedZone(t *testing.T) {
+func TestSolverPlacesServiceRestrictedToOneZone(t *testing.T) {
 	node := func(name wire.MachineID, zone wire.Zone) *placement.Node {
 		return &placement.Node{Name: name, MachineType: testTypes[0], Zone: zone, Schedulable: true}
 	}
