--- a/internal/zonehealth/reachability.go
+++ b/internal/zonehealth/reachability.go
@@ -34,7 +34,8 @@
 }
 
 // NewReachabilityTracker returns a tracker that starts at now. A machine counts as unreachable
-// once no controller has received a heartbeat from it for unreachableAfter.
+// once no controller has received a heartbeat from it for unreachableAfter, or up to a third
+// longer, since heartbeats expire a bucket at a time.
 func NewReachabilityTracker(now time.Time, unreachableAfter time.Duration) *ReachabilityTracker {
 	return &ReachabilityTracker{
 		unreachableAfter: unreachableAfter,
