--- a/internal/zonecontrol/controller.go
+++ b/internal/zonecontrol/controller.go
@@ -46,8 +46,8 @@
 
 // ClusterStateProvider gives read access to the scheduler's state.
 type ClusterStateProvider interface {
-	// WithClusterState calls f with the state, possibly after it has returned itself. It returns
-	// false, without calling f, if the provider is too busy.
+	// WithClusterState calls f with the state, possibly only after WithClusterState has returned.
+	// It returns false, without calling f, if the provider is too busy.
 	WithClusterState(f func(placement.ClusterState)) bool
 }
 
@@ -113,8 +113,8 @@
 		case statecache.KindJob, statecache.KindCompletionChunk:
 			continue // not needed for zone recovery
 		}
-		for _, machine := range c.view.Apply(change) {
-			c.applyMachineChange(machine)
+		for _, machineChange := range c.view.Apply(change) {
+			c.applyMachineChange(machineChange)
 		}
 		if change.Kind == statecache.KindZoneRecovery {
 			c.applyRecord()
@@ -159,8 +159,8 @@
 	c.phases.Restore(time.Now(), statusesOf(c.view.ZoneRecoveries))
 }
 
-// check evaluates the evidence if this process is the leader, and records the result. Without
-// complete evidence it resets the timers instead.
+// check evaluates the evidence if this process is the leader, and records the result. If the
+// evidence is incomplete, or no machine of any zone is reachable, it resets the timers instead.
 func (c *Controller) check() {
 	now := time.Now()
 	c.reachability.Advance(now, c.checkInterval, now.Sub(c.lastCheck))
--- a/internal/zonecontrol/controller_test.go
+++ b/internal/zonecontrol/controller_test.go
@@ -29,7 +29,7 @@
 	name        string
 	incarnation uint64
 	cache       *statecache.Cache
-	zones       *Controller
+	controller  *Controller
 }
 
 // cluster is a simulated key-value store with members.
@@ -56,7 +56,7 @@
 	m.cache = statecache.Start(c.ctx, conn, statecache.Options{ChunkTasks: 8, WatchHold: time.Second, MaxViewAge: time.Second, Backoff: 100 * time.Millisecond})
 	cfg := c.config
 	cfg.MemberName, cfg.Zone = name, "a"
-	m.zones = Start(c.ctx, Options{Config: &cfg, Incarnation: incarnation, Cache: m.cache, Scheduler: emptyCluster{}, Policy: zonehealth.PolicyOf(&cfg)})
+	m.controller = Start(c.ctx, Options{Config: &cfg, Incarnation: incarnation, Cache: m.cache, Scheduler: emptyCluster{}, Policy: zonehealth.PolicyOf(&cfg)})
 	m.cache.Run()
 	time.Sleep(time.Second)
 	return m
@@ -91,7 +91,7 @@
 // seconds.
 func receiveHeartbeats(seconds int, m *member, reachable []wire.MachineID) {
 	for range seconds {
-		m.zones.MachinesReachable(m.name, reachable)
+		m.controller.MachinesReachable(m.name, reachable)
 		time.Sleep(time.Second)
 	}
 }
@@ -174,7 +174,7 @@
 		if got, _ := json.Marshal(later); string(c.store.Value(statecache.ZoneRecoveryKey)) != string(got) {
 			t.Errorf("record overwritten: %s", c.store.Value(statecache.ZoneRecoveryKey))
 		}
-		status, err := m.zones.Status(c.ctx)
+		status, err := m.controller.Status(c.ctx)
 		if err != nil || status.RecordSupported {
 			t.Errorf("%+v %v", status, err)
 		}
@@ -191,7 +191,7 @@
 		first.makeLeader(1)
 		receiveOnBoth := func(seconds int, reachable []wire.MachineID) {
 			for range seconds {
-				first.zones.MachinesReachable("n0", reachable)
+				first.controller.MachinesReachable("n0", reachable)
 				receiveHeartbeats(1, second, reachable)
 			}
 		}
--- a/internal/zonecontrol/service_status.go
+++ b/internal/zonecontrol/service_status.go
@@ -5,8 +5,8 @@
 	"lynxledge/internal/recovery"
 )
 
-// reasonNotTerminated is what a service waits for whose replicas are still bound to unreachable
-// machines of a lost zone.
+// reasonNotTerminated is the PendingReason of a service if there is capacity for all its replicas,
+// but some are still bound to unreachable machines of a lost zone.
 const reasonNotTerminated = "proof that its replicas in the lost zone are gone"
 
 // serviceStatuses returns the status of each service with pending or at-risk replicas.
--- a/internal/zonecontrol/status.go
+++ b/internal/zonecontrol/status.go
@@ -88,16 +88,16 @@
 		return nil, ErrBusy
 	}
 	var status *Status
-	var pending []ServiceStatus
-	for status == nil || pending == nil {
+	var affected []ServiceStatus
+	for status == nil || affected == nil {
 		select {
 		case status = <-zones:
-		case pending = <-services:
+		case affected = <-services:
 		case <-ctx.Done():
 			return nil, ErrBusy
 		}
 	}
-	status.Services = pending
+	status.Services = affected
 	return status, nil
 }
 
