--- a/internal/statecache/cache.go
+++ b/internal/statecache/cache.go
@@ -35,9 +35,9 @@
 	Backoff                 time.Duration   // first delay of the exponential backoff after failures
 	WriteInterval           time.Duration   // average time for one write at the store's write rate
 	MaxValueBytes           int             // larger values are never sent; 0: no limit
-	MaxCompletionChunkBytes int             // the same for completion chunks, which shrink to MaxValueBytes once the store rejects the size
-	OnThrottled             func(time.Time) // called after a commit was rejected because the write rate was exceeded
-	OnSizeRejected          func()          // called after the store rejected a commit as invalid, as it does for its size
+	MaxCompletionChunkBytes int             // the same for completion chunks; once the store rejects the size, parts within MaxValueBytes are written instead
+	OnThrottled             func(time.Time) // called with the current time after the store throttled an attempt to commit
+	OnSizeRejected          func()          // called after the store rejected a commit as invalid, as it does when a value is too large
 	JobCountWarning         int             // number of known jobs above which a warning is logged, once; 0: never
 }
 
@@ -112,8 +112,8 @@
 	})
 }
 
-// backOff pauses after a failure. The pause doubles with each failure before it, up to 32 times
-// Options.Backoff.
+// backOff pauses after a failure for a random time from d to 2d, where d is Options.Backoff doubled
+// with each earlier failure, up to 32 times Options.Backoff.
 func (c *Cache) backOff(failures int) { c.sleep(c.options.Backoff << min(failures, 5)) }
 
 // sleep waits for a random time from d to 2d, or until the context ends.
--- a/internal/statecache/commit.go
+++ b/internal/statecache/commit.go
@@ -13,11 +13,14 @@
 // Outcome is the result of a commit.
 type Outcome int
 
-// Outcomes of a commit.
+// Outcomes of a commit. An attempt that got no response may have been executed, and a retry
+// may then conflict with it. A retry that is rejected as invalid or for a missing lease is final,
+// too. So if an attempt got no response, neither Conflicted nor Rejected means that it was not
+// executed.
 const (
 	Committed      Outcome = iota // it was executed, and the view includes it
 	Conflicted                    // a precondition failed; the view includes the conflicting change if the store could be read
-	Rejected                      // it was certainly not executed
+	Rejected                      // it was certainly not executed, unless an attempt got no response
 	OutcomeUnknown                // it may have been executed, or may still be
 )
 
@@ -37,7 +40,8 @@
 }
 
 // Commit executes a commit. reply is called in the cache's actor, after the subscribers have
-// received the changes. A commit that exceeds the store's limits is rejected without being sent.
+// received the changes, unless the cache's context ends before that. A commit that exceeds the
+// store's limits is rejected without being sent.
 func (c *Cache) Commit(commit Commit, reply func(Outcome)) {
 	txn, err := c.options.encodeTxn(&commit)
 	if err != nil {
@@ -48,8 +52,8 @@
 	go c.commitWithRetries(commit, txn, reply)
 }
 
-// commitWithRetries sends a transaction until its outcome is final or the commit's time for
-// retries has passed.
+// commitWithRetries sends a transaction until its outcome is final, or until RetryFor has passed
+// and RetryUntilCertain does not require another attempt.
 func (c *Cache) commitWithRetries(commit Commit, txn *wire.Txn, reply func(Outcome)) {
 	deadline := time.Now().Add(commit.RetryFor)
 	timeoutOutcome := Rejected
--- a/internal/statecache/completion_chunk.go
+++ b/internal/statecache/completion_chunk.go
@@ -18,7 +18,7 @@
 
 // CompletionChunkID identifies a whole chunk, whose bits start at its first task, or a part of
 // one, whose bits start at the task FirstTask within the chunk. The size of a whole chunk follows
-// from the limit of values with which the cluster began, so that all versions number chunks
+// from the size limit of values with which the cluster began, so that all versions number chunks
 // alike. Parts are used where a whole chunk exceeds a later limit; versions that don't support
 // them leave them alone.
 type CompletionChunkID struct{ Chunk, FirstTask int }
--- a/internal/statecache/dependencies.go
+++ b/internal/statecache/dependencies.go
@@ -9,8 +9,9 @@
 // are final, so no record seen later can revert them, and a cancelled dependency is never done:
 // no task of its dependents can have started.
 //
-// An edge is visited only when one of its jobs is accepted or ends; the graph is never scanned as
-// a whole. Propagation uses a worklist instead of recursion, since chains may be of any length.
+// When a job is accepted or ends, only that job and the jobs that change because of it are visited,
+// with their neighbours; the graph is never scanned as a whole. Propagation uses a worklist instead
+// of recursion, since chains may be of any length.
 type dependencyGraph struct {
 	jobs       map[wire.JobID]*Job         // of the cache's view
 	dependents map[wire.JobID][]wire.JobID // the active jobs that depend on a job, until it has ended
--- a/internal/statecache/group_size.go
+++ b/internal/statecache/group_size.go
@@ -52,8 +52,8 @@
 	return len(job) + completionOverheadBytes + len(encodeCompletions(tasks))
 }
 
-// MachinesPerGroup returns how many machines a new group may have so that its record stays within
-// limit bytes when each machine holds tasksPerMachine tasks.
+// MachinesPerGroup returns how many machines a new group may have so that its record typically
+// stays within limit bytes when each machine holds tasksPerMachine tasks.
 func MachinesPerGroup(limit int, tasksPerMachine float64) int {
 	each := machineOverheadBytes + tasksPerMachine*(float64(len(jobPrefix))+6+bindingOverheadBytes)
 	return max(1, int(float64(limit-groupOverheadBytes)/each))
--- a/internal/statecache/group_split.go
+++ b/internal/statecache/group_split.go
@@ -85,7 +85,7 @@
 // groupSplit distributes the contents of a group among itself and new groups.
 type groupSplit struct {
 	group        *GroupUpdate
-	firstMachine string // name of a machine that only this group had
+	firstMachine string // name of a machine that only this group had; the group's name if it had none
 	maxBytes     int    // of a record
 	emptyBytes   int    // of a record without machines and completions
 	parts        []*GroupUpdate
--- a/internal/statecache/group_update.go
+++ b/internal/statecache/group_update.go
@@ -56,8 +56,8 @@
 
 // AdoptedGroupName returns the name of the group of an adopted machine, one that was found running
 // without a record. Such a group must not be merged into another: a delayed copy of the commit
-// that created it must fail because the key still exists. The commit that creates a group of
-// provisioned machines is conditional on their provisioning intent as well.
+// that created it must fail because the key still exists. A group of provisioned machines may be
+// merged, since the commit that creates it is also conditional on their provisioning intent.
 func AdoptedGroupName(machine wire.MachineID) string { return adoptedGroupPrefix + string(machine) }
 
 // MustKeepKey reports whether the group must keep its key while it has machines.
--- a/internal/statecache/job.go
+++ b/internal/statecache/job.go
@@ -35,7 +35,7 @@
 }
 
 // AsCancelled returns the record of the cancelled job. It omits the fields that only the start of
-// tasks needs, so that the record fits even if the limit of values has fallen since.
+// tasks needs, so that the record fits even if the size limit was lowered since.
 func (j *Job) AsCancelled(at Timestamp) *Job {
 	next := &Job{State: wire.JobCancelled, TaskCount: j.TaskCount, SubmittedAt: j.SubmittedAt, FinishedAt: at}
 	if j.Spec != nil {
--- a/internal/statecache/keys.go
+++ b/internal/statecache/keys.go
@@ -5,7 +5,8 @@
 // KeyPrefix is the prefix of every key that the controllers use.
 const KeyPrefix = "lx/"
 
-// Kind is the kind of a record: the part of its key that follows [KeyPrefix].
+// Kind is the kind of a record: the part of its key after [KeyPrefix], up to the next slash if
+// there is one.
 type Kind string
 
 // Kinds of records.
--- a/internal/statecache/load.go
+++ b/internal/statecache/load.go
@@ -100,7 +100,8 @@
 	return nil
 }
 
-// applySnapshot makes the view equal to the snapshot, except for records that are newer in it.
+// applySnapshot makes the view equal to the snapshot, except for records that are newer in the
+// view.
 func (c *Cache) applySnapshot(snap *snapshot, startedAt time.Time) {
 	var jobs, others []Change
 	for _, item := range snap.items {
--- a/internal/statecache/machine_group.go
+++ b/internal/statecache/machine_group.go
@@ -2,16 +2,16 @@
 
 import "lynxledge/wire"
 
-// MachineGroup is the record of machines that were provisioned together. One write covers all
-// tasks that start or end on them at about the same time, so that the write rate does not grow
-// with the number of tasks.
+// MachineGroup is the record of machines of one pool: those that were provisioned together, until
+// groups are merged or split. One write covers all tasks that start or end on them at about the
+// same time, so that the write rate does not grow with the number of tasks.
 type MachineGroup struct {
 	Name          string
 	MachineType   string
 	Zone          wire.Zone
 	Spot          bool
 	ProvisionedAt Timestamp
-	Machines      []*Machine // by name
+	Machines      []*Machine // sorted by name
 	// Completions are the completed tasks of active jobs, until they are compacted into
 	// completion chunks.
 	Completions  map[wire.JobID][]int
--- a/internal/statecache/watch.go
+++ b/internal/statecache/watch.go
@@ -71,8 +71,8 @@
 	return nil
 }
 
-// applyWatchResponse applies the events of a watch. A response has every change from the requested
-// revision to its own, so the view already includes events at or below the view's revision.
+// applyWatchResponse applies the events of a watch. A response has every change after the requested
+// revision up to its own, so the view already includes events at or below the view's revision.
 func (c *Cache) applyWatchResponse(response *wire.WatchResponse, startedAt time.Time) {
 	var changes []Change
 	for _, event := range response.Events {
@@ -93,9 +93,9 @@
 		c.progress.freshAsOf = startedAt
 	}
 	c.publish(changes)
-	// Not before publish, which skips older records of keys that own commits deleted. Applying
-	// such a record would briefly bind its tasks to the old machine, and hide the machines to
-	// which they have been bound since.
+	// Own deletions must not be forgotten before publish, which needs them to skip older records of
+	// the deleted keys. Applying such a record would briefly bind its tasks to the old machine, and
+	// hide the machines to which they have been bound since.
 	c.ownDeletions.forget(c.progress.revision)
 }
 
