--- a/internal/election/assignment.go
+++ b/internal/election/assignment.go
@@ -24,8 +24,8 @@
 
 func (e *Election) addAssignment(c *statecache.Commit, team wire.TeamName, member string) {
 	var revision uint64
-	if former := e.view.Assignments[team]; former != nil {
-		revision = former.ModRevision
+	if previous := e.view.Assignments[team]; previous != nil {
+		revision = previous.ModRevision
 	}
 	key := statecache.Key(statecache.KindAssignment, string(team))
 	c.Preconditions = append(c.Preconditions, wire.Precondition{Key: key, ModRevision: revision})
--- a/internal/election/lease.go
+++ b/internal/election/lease.go
@@ -31,7 +31,8 @@
 }
 
 // maintainLease requests or renews the lease when that is due. A renewal waits neither for other
-// requests nor for earlier renewals, since a request that gets no response takes long to fail.
+// requests nor for earlier renewals, since a request that gets no response takes long to fail. If
+// nothing is due, it reconciles, so that requests that failed are retried.
 func (e *Election) maintainLease() {
 	switch {
 	case e.resigned:
--- a/internal/failuredetector/level.go
+++ b/internal/failuredetector/level.go
@@ -6,7 +6,7 @@
 type Level int
 
 // Levels of a controller. One that misses heartbeats or has lost all connections is suspect. It is
-// failed only if both hold for long enough.
+// failed only if both hold for long enough, and only if a heartbeat of it was ever received.
 const (
 	Alive Level = iota
 	Suspect
--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -25,8 +25,8 @@
 }
 
 // New returns a client of the store at addr that never exceeds the given request rate and write
-// rate, per second. Callers must see to it that all controllers together stay within the store's
-// rates.
+// rate, per second. Callers must choose them so that all controllers together stay within the
+// store's rates.
 func New(addr string, requestRate, writeRate float64, maxTxnOps int, timeout time.Duration) *Client {
 	return &Client{
 		client:       httpjson.NewClient(addr, requestRate, timeout, idleConns),
--- a/internal/kvstore/errors.go
+++ b/internal/kvstore/errors.go
@@ -36,8 +36,8 @@
 	return fmt.Sprintf("preconditions failed at revision %d: %v", c.Revision, c.FailedKeys)
 }
 
-// errorByStatus maps status codes of the store to errors. translateStatus handles the cases in which
-// the body decides.
+// errorByStatus maps status codes of the store to errors. translateStatus handles the cases in
+// which the body decides.
 var errorByStatus = map[int]error{
 	http.StatusBadRequest:         ErrInvalidRequest,
 	http.StatusNotFound:           ErrNotFound,
@@ -49,9 +49,9 @@
 // leaseNotFoundMessage is part of the response to a transaction whose lease does not exist.
 var leaseNotFoundMessage = []byte("no such lease")
 
-// translateError adds to the error of a call the one of ErrRejected, ErrThrottled, ErrNotFound,
-// ErrRevisionCompacted, ErrLeaseNotFound and ErrInvalidRequest that it stands for, if any, and
-// converts the response to a failed precondition to a [ConflictError].
+// translateError wraps the error of a call together with the matching one of ErrRejected,
+// ErrThrottled, ErrNotFound, ErrRevisionCompacted, ErrLeaseNotFound and ErrInvalidRequest, if any.
+// It converts the response to a failed precondition to a [ConflictError].
 func translateError(err error) error {
 	var status *httpjson.StatusError
 	switch {
--- a/internal/standby/failover.go
+++ b/internal/standby/failover.go
@@ -64,7 +64,8 @@
 
 // mayActOn reports whether to act on the record of a process that is considered failed. A record
 // that the process wrote after an earlier one was acted on refutes the verdict. Otherwise two
-// controllers that consider each other failed would take leadership from each other repeatedly.
+// controllers that consider each other failed would take leadership from each other repeatedly. If
+// it returns true, it has stored the record's revision in actedOn.
 func (s *Standby) mayActOn(now time.Time, verdict failuredetector.Verdict, actedOn *uint64, modRevision uint64) bool {
 	if *actedOn != 0 && *actedOn != modRevision {
 		s.refuteVerdict(now, verdict.Member)
--- a/internal/standby/standby.go
+++ b/internal/standby/standby.go
@@ -161,7 +161,7 @@
 	now := time.Now()
 	verdicts := s.detector.Check(now)
 	if now.Sub(s.freshAsOf) > s.config.Params.Workers.HeartbeatInterval {
-		return // the store is unreachable, so no takeover could be committed
+		return // the store is probably unreachable, so no takeover could be committed
 	}
 	current := map[processID]bool{}
 	for _, verdict := range verdicts {
