--- a/internal/simulation/connections.go
+++ b/internal/simulation/connections.go
@@ -155,7 +155,7 @@
 	case c.queue <- bytes.Clone(b):
 		return len(b), nil
 	default:
-		c.abort() // the queue is full: the other end has not read for long
+		c.abort() // the queue is full: the other end has not read for long, or a partition holds the data
 		return 0, errNoResponse
 	}
 }
--- a/internal/simulation/idle_capacity.go
+++ b/internal/simulation/idle_capacity.go
@@ -12,7 +12,7 @@
 const maxIdleWait = 90 * time.Second
 
 // CheckIdleCapacity checks that no task of an accepted job waits for longer than maxIdleWait while
-// one machine that is up has free capacity for it all the time and its team is below its limit.
+// one machine that is up has free capacity for it all the time and its team's limit allows it.
 //
 // The capacity must be that of a single machine: even when all machines are in use, at any moment
 // some machine has just finished a task and not yet started the next.
@@ -132,7 +132,7 @@
 	*s = append(samples, sample{now, value})
 }
 
-// minSince returns the least value sampled at a time or later.
+// minSince returns the least value sampled at a time or later, the latest if there is none.
 func (s slidingMinimum) minSince(at time.Time) float64 {
 	i, _ := slices.BinarySearchFunc(s, at, func(x sample, at time.Time) int { return x.at.Compare(at) })
 	return s[min(i, len(s)-1)].value
--- a/internal/simulation/idle_capacity_test.go
+++ b/internal/simulation/idle_capacity_test.go
@@ -33,7 +33,7 @@
 
 // A job that waits while one machine stays free is a violation; while two machines are free in
 // turn, it is none.
-func TestOnlyCapacityOfOneMachineIsIdle(t *testing.T) {
+func TestIdleCapacityMustBeOnOneMachine(t *testing.T) {
 	types := []wire.MachineType{{Name: "s", CPUs: 4, MemoryGB: 16}}
 	up := []wire.Instance{{ID: "i-1", MachineType: "s", Zone: "a"}, {ID: "i-2", MachineType: "s", Zone: "a"}}
 	for _, test := range []struct {
--- a/internal/simulation/invariants.go
+++ b/internal/simulation/invariants.go
@@ -196,7 +196,8 @@
 	return requested, cancelledAt
 }
 
-// awaitsDependencies reports whether a job waits for jobs that it depends on.
+// awaitsDependencies reports whether a job waits for jobs that it depends on. One of them counts as
+// done only once a user was told so.
 func (c *InvariantChecker) awaitsDependencies(record *jobRecord) bool {
 	return slices.ContainsFunc(record.job.Dependencies, func(id wire.JobID) bool {
 		dependency := c.jobs[id]
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -24,8 +24,8 @@
 	rng                 *rand.Rand
 	loss                float64                  // probability, for a request and for a response
 	duplication         float64                  // probability that a request is delivered a second time, later
-	hostPartitions      map[string]*partition    // by host: from all others
-	linkPartitions      map[[2]string]*partition // by pair of hosts
+	hostPartitions      map[string]*partition    // by host, which is separated from all others
+	linkPartitions      map[[2]string]*partition // by pair of hosts, in the order given to Partition
 	inboundPartitioned  map[string]bool          // hosts that receive neither requests nor responses
 	outboundPartitioned map[string]bool          // hosts whose own requests are lost, while their responses arrive
 	maxExtraLatency     map[string]time.Duration // by host, of some of the requests to it
@@ -198,8 +198,9 @@
 	}
 }
 
-// send sends a request from one host to another, where f handles it: never, late or twice, as
-// the network decides. The caller gets errNoResponse unless the response arrives within timeout.
+// send sends a request from one host to another, where f handles it; the network may lose, delay or
+// duplicate it. A duplicate is delivered even if a partition separates the hosts. The caller gets
+// errNoResponse unless the response arrives within timeout.
 func send[T any](ctx context.Context, n *Network, from, to string, timeout time.Duration, f func() (T, error)) (T, error) {
 	var zero T
 	type result struct {
--- a/internal/simulation/store_faults.go
+++ b/internal/simulation/store_faults.go
@@ -26,7 +26,7 @@
 func (s *Store) unavailable(member string) bool { return s.outage || s.unavailableFor[member] }
 
 // SetDelayedCommits leaves a fraction of the transactions unanswered; they are committed 2 to
-// 12 s later, after newer ones.
+// 12 s later, perhaps after newer ones.
 func (s *Store) SetDelayedCommits(fraction float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/simulation/store_limits.go
+++ b/internal/simulation/store_limits.go
@@ -12,13 +12,13 @@
 	"lynxledge/wire"
 )
 
-// StoreLimits are the limits that the store enforces on transactions. It rejects those that exceed
-// one, and records a violation unless the limit is WriteRate.
+// StoreLimits are the limits that the store enforces, along with wire.MaxBodyBytes. It rejects
+// transactions that exceed one, and records a violation unless the limit is WriteRate.
 type StoreLimits struct {
 	WriteRate      float64 // writes per second
 	MaxValueKB     float64
 	MaxTxnOps      int // writes in a transaction; preconditions may be four times as many
-	MaxWatchEvents int // events kept for watches; 0: all
+	MaxWatchEvents int // a watch that is more events behind gets ErrRevisionCompacted; 0: no limit
 }
 
 // SetLimits makes the store enforce limits; without a call it enforces none.
--- a/internal/simulation/store_sent_times.go
+++ b/internal/simulation/store_sent_times.go
@@ -25,7 +25,7 @@
 	}
 }
 
-// recordCommitted files the sent time of a transaction under its revision, the current one; the
+// recordCommitted records the sent time of a transaction by its revision, the current one; the
 // caller holds the lock.
 func (s *Store) recordCommitted(txn *wire.Txn) {
 	if sent, known := s.sentTimes.byTxn[txn]; known {
