--- a/cmd/lynxledge/cluster_test.go
+++ b/cmd/lynxledge/cluster_test.go
@@ -22,7 +22,7 @@
 func TestLargestJobStarts(t *testing.T) {
 	withCluster(t, 1, smallCluster, nil, func(t *testing.T, c *cluster) {
 		c.advance(5 * time.Second)
-		array := func(id wire.JobID, tasks int) {
+		submitArray := func(id wire.JobID, tasks int) {
 			deadline := wire.Seconds(30)
 			j := &wire.Job{
 				ID: id, Class: "c", Team: "blue", Kind: wire.KindArray, Priority: wire.PriorityNormal, TaskCount: tasks, CPUs: 4, MemoryGB: 1,
@@ -34,9 +34,9 @@
 		}
 		submittedAt := time.Now()
 		for n := range 240 { // four times the cluster's capacity
-			array(wire.JobID(fmt.Sprintf("req-1%05d", n)), 4)
+			submitArray(wire.JobID(fmt.Sprintf("req-1%05d", n)), 4)
 			if n == 60 {
-				array("req-900000", 400)
+				submitArray("req-900000", 400)
 				submittedAt = time.Now()
 			}
 			c.advance(time.Second)
@@ -129,8 +129,8 @@
 // time, no invariant is violated, all work finishes, and nothing too large is sent.
 func TestLimitsFallAfterAnUpgrade(t *testing.T) {
 	for seed := range uint64(6) {
-		withoutLimits := func(p *config.Params) { p.Teams = []config.TeamQuota{{Name: "red"}, {Name: "blue"}} }
-		withCluster(t, seed, smallCluster, withoutLimits, func(t *testing.T, c *cluster) {
+		withoutTeamLimits := func(p *config.Params) { p.Teams = []config.TeamQuota{{Name: "red"}, {Name: "blue"}} }
+		withCluster(t, seed, smallCluster, withoutTeamLimits, func(t *testing.T, c *cluster) {
 			c.setStoreLimits()
 			c.advance(5 * time.Second)
 			for i := range 12 {
--- a/cmd/lynxledge/controller.go
+++ b/cmd/lynxledge/controller.go
@@ -104,7 +104,7 @@
 		Isolated:     c.transport.Isolated,
 		SendEvidence: c.transport.SendEvidence,
 		HandleEvidence: func(evidence reconcile.Evidence, wait time.Duration) {
-			c.scheduler.HandleEvidence(evidence, wait) // set after the receiver starts, before the first heartbeat
+			c.scheduler.HandleEvidence(evidence, wait) // c.scheduler is set after the receiver starts, before the first heartbeat
 		},
 	}})
 }
--- a/cmd/lynxledge/failover_measure_test.go
+++ b/cmd/lynxledge/failover_measure_test.go
@@ -28,7 +28,7 @@
 	leaderElected      time.Duration // another member became leader
 	teamsAssigned      time.Duration // its teams were assigned to another member
 	machineProvisioned time.Duration // the first provisioning intent after the crash was written
-	taskBound          time.Duration // the first task of a job submitted after the crash was bound
+	taskBound          time.Duration // after teamsAssigned: the first task of a job submitted after the crash was bound
 }
 
 // phases names the durations that failover.durations returns.
--- a/cmd/lynxledge/fleet_test.go
+++ b/cmd/lynxledge/fleet_test.go
@@ -197,8 +197,8 @@
 	}
 }
 
-// crashMostMembers crashes more than half of the controllers, the scheduling one among them, and
-// restarts them after 500 ms.
+// crashMostMembers crashes more than half of the controllers, and restarts them after 500 ms. They
+// are the first by name, so normally the scheduling one is among them: the first that doesn't lead.
 func (r *fleetRun) crashMostMembers() {
 	for _, member := range r.members[:len(r.members)/2+1] {
 		r.crash(member)
--- a/cmd/lynxledge/sim_check_test.go
+++ b/cmd/lynxledge/sim_check_test.go
@@ -85,7 +85,7 @@
 // outcome is the result of a run with injected faults.
 type outcome struct {
 	violations []string     // of invariants
-	unfinished []wire.JobID // accepted arrays that never ended, and services with less than half of their replicas
+	unfinished []wire.JobID // accepted arrays that never ended, and services with fewer than half of their replicas
 	dump       string       // content of the store if jobs are unfinished
 }
 
--- a/cmd/lynxledge/sim_processes_test.go
+++ b/cmd/lynxledge/sim_processes_test.go
@@ -234,8 +234,8 @@
 
 // submit submits a job to the controllers in turn until one accepts it, in up to 60 rounds a second
 // apart.
-func (c *processCluster) submit(j *wire.Job, run time.Duration) {
-	c.invariants.Submitted(j, run)
+func (c *processCluster) submit(j *wire.Job, runtime time.Duration) {
+	c.invariants.Submitted(j, runtime)
 	body, err := json.Marshal(j)
 	if err != nil {
 		c.t.Fatal(err)
@@ -271,16 +271,16 @@
 	c.submit(j, 0)
 }
 
-func (c *processCluster) submitArray(tasks int, run time.Duration) {
+func (c *processCluster) submitArray(tasks int, runtime time.Duration) {
 	c.jobCount++
 	c.submit(&wire.Job{
 		ID: wire.JobID(fmt.Sprintf("req-%06d", c.jobCount)), Class: "batch", Team: "blue", Kind: wire.KindArray, Priority: wire.PriorityHigh, TaskCount: tasks,
-		CPUs: 1, MemoryGB: 1, Image: "img", ImageGB: 1, AllowSpot: true, EstimatedRuntime: wire.Seconds(run.Seconds()),
-	}, run)
+		CPUs: 1, MemoryGB: 1, Image: "img", ImageGB: 1, AllowSpot: true, EstimatedRuntime: wire.Seconds(runtime.Seconds()),
+	}, runtime)
 }
 
-// allReplicasRun reports whether every service runs all its replicas. Services that are pinned to
-// the zone except are left out, if it is not empty.
+// allReplicasRun reports whether every service runs all its replicas. If except is not empty, it
+// ignores services that are pinned to that zone.
 func (c *processCluster) allReplicasRun(except wire.Zone) bool {
 	for _, j := range c.services {
 		if (except == "" || j.Zone != except) && c.invariants.RunningTasks(j.ID) != j.TaskCount {
@@ -358,7 +358,8 @@
 }
 
 // peersConnected reports whether each controller sees every other as alive, with connections open
-// in both directions. A process that ends before that is replaced only when its lease expires.
+// in both directions. The roles of a process that ends before that are taken over only when its
+// lease expires.
 func (c *processCluster) peersConnected() bool {
 	for _, p := range c.processes {
 		status := &standby.Status{}
--- a/cmd/lynxledge/sim_workload_test.go
+++ b/cmd/lynxledge/sim_workload_test.go
@@ -106,7 +106,7 @@
 	}
 }
 
-// submitMalformed submits a job that is invalid or can't run anywhere to a random controller.
+// submitMalformed submits, to a random controller, a job that is invalid or can't run anywhere.
 func (c *cluster) submitMalformed(which int) {
 	job := map[string]any{
 		"id": c.nextJobID(), "lane": "c", "crew": "red", "shape": "array", "rank": "normal", "legs": 2, "cores": 1, "gpus": 0,
--- a/cmd/lynxledge/sim_zones_test.go
+++ b/cmd/lynxledge/sim_zones_test.go
@@ -159,7 +159,8 @@
 	return c.invariants.RunningTasks(j.ID) == j.TaskCount
 }
 
-// recordRestored records when each service runs all replicas again, until it loses one.
+// recordRestored records when each service runs all replicas again after a loss, and drops the
+// record of one that lacks replicas again.
 func (c *zoneCluster) recordRestored() {
 	for _, j := range c.services {
 		_, recorded := c.restored[j.ID]
@@ -233,8 +234,8 @@
 // recordedPhase returns a zone's recovery phase as recorded in the store.
 func (c *zoneCluster) recordedPhase(zone wire.Zone) string { return c.orderChecker.Phase(zone) }
 
-// advanceUntil lets up to so many seconds pass until a condition holds, and reports whether it
-// does.
+// advanceUntil lets time pass until a condition holds, up to the given number of seconds, and
+// reports whether it holds.
 func (c *zoneCluster) advanceUntil(seconds int, condition func() bool) bool {
 	for range seconds {
 		if condition() {
--- a/cmd/lynxledge/sockets_test.go
+++ b/cmd/lynxledge/sockets_test.go
@@ -71,7 +71,7 @@
 // lets them. Every heartbeat and health check is still answered, and inbound connections stay
 // within their share of the sockets.
 func TestMoreMachinesThanSockets(t *testing.T) {
-	const machines, rounds, idleConnections = 1400, 3, 100 // machines: more than a third of 4,000
+	const machines, rounds, idleConnections = 1400, 3, 100 // machines: more than a third of 4,000, the share of one of three controllers
 	resources := config.ControllerResources{FileDescriptorLimit: 800}
 	synctest.Test(t, func(t *testing.T) {
 		connections := simulation.NewConnections(simulation.NewNetwork(1, 0))
--- a/cmd/lynxledge/standby_test.go
+++ b/cmd/lynxledge/standby_test.go
@@ -182,8 +182,8 @@
 	return status
 }
 
-// Controllers that pause, lose their links to one another or lose messages are not considered
-// failed, and keep their roles.
+// Controllers that pause, lose messages, or lose their links to one another or the store are not
+// considered failed, and keep their roles.
 func TestNoFailoverWithoutCrash(t *testing.T) {
 	for name, fault := range harmlessFaults {
 		for seed := range uint64(3) {
