--- a/internal/simulation/history/recovery_order.go
+++ b/internal/simulation/history/recovery_order.go
@@ -168,8 +168,9 @@
 	return earliest
 }
 
-// checkMachine records a violation for each service that had been waiting for longer than maxViewAge
-// when arrays were placed on a machine, although a replica would have fitted there without them.
+// checkMachine records a violation for each service that had been waiting for longer than
+// maxViewAge when arrays were placed on a machine, although a replica would have fitted there
+// without them.
 func (c *RecoveryOrderChecker) checkMachine(m *statecache.Machine, arrays []*wire.Job, decidedAt time.Time) {
 	if m == nil || c.types[m.MachineType] == nil {
 		return
--- a/internal/simulation/invariant_queries.go
+++ b/internal/simulation/invariant_queries.go
@@ -78,9 +78,9 @@
 }
 
 // UnservedWork returns the groups of jobs of which fewer than half started within the given time of
-// their submission. The groups are each class, each team and, of each class, the largest jobs: those
-// with more than half as many tasks as its largest. It counts the accepted jobs that were submitted
-// that long ago and whose cancellation was not requested.
+// their submission. The groups are each class, each team and, of each class, the largest jobs:
+// those with more than half as many tasks as its largest. It counts the accepted jobs that were
+// submitted that long ago and whose cancellation was not requested.
 func (c *InvariantChecker) UnservedWork(within time.Duration) []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/simulation/invariant_rules.go
+++ b/internal/simulation/invariant_rules.go
@@ -126,8 +126,8 @@
 	}
 }
 
-// checkForgotten checks forgotten: no request about an accepted job, a repeated submission included,
-// gets 400, 404 or 422.
+// checkForgotten checks forgotten: no request about an accepted job, a repeated submission
+// included, gets 400, 404 or 422.
 func (c *InvariantChecker) checkForgotten(record *jobRecord, status int) {
 	if record.accepted && (status == http.StatusNotFound || status == http.StatusBadRequest || status == http.StatusUnprocessableEntity) {
 		c.violation("forgotten: %s gets %d", record.job.ID, status)
