--- a/internal/estimate/deadlines.go
+++ b/internal/estimate/deadlines.go
@@ -11,8 +11,8 @@
 // Deadlines returns the times by which a job must finish, in ascending order. They are measured
 // from job.RunnableSince, like now and start, the time at which the job can start at the earliest.
 // A job whose dependents have a deadline is a stage of a pipeline: of the time left until that
-// deadline it gets the share that its runtime has of all the runtimes on the path there, as the
-// paper splits a workflow's deadline over its stages.
+// deadline it gets the share that its runtime has of all the runtimes on the path there. This is how
+// Mao and Humphrey split a workflow's deadline over its stages (SC11; see docs/design.md).
 func Deadlines(cfg *config.Config, job *statecache.Job, runtime, now, start time.Duration) []time.Duration {
 	spec := job.Spec
 	deadlines := ownDeadlines(cfg, job, runtime, start)
