--- a/internal/apiserver/admission.go
+++ b/internal/apiserver/admission.go
@@ -13,10 +13,10 @@
 	"lynxledge/wire"
 )
 
-// jobRecordMarginBytes is what a job's record may grow by, in bytes, when it ends.
+// jobRecordMarginBytes is reserved for the growth of a job's record when the job ends.
 const jobRecordMarginBytes = 128
 
-// checkAdmission tells, as a *refusal, why a job can never run or can't be judged yet. Any other
+// checkAdmission returns an *httpError if a job can never run or can't be checked yet. Any other
 // error means that the store could not be read.
 func (s *Server) checkAdmission(ctx context.Context, job *wire.Job) error {
 	if err := s.checkRequirements(job); err != nil {
@@ -25,8 +25,8 @@
 	return s.checkDependencies(ctx, job)
 }
 
-// checkRequirements tells why a job can never run on the machines and within the quotas of the
-// settings.
+// checkRequirements returns an *httpError if a job can never run on the known machine types or
+// within its team's quota, or if the machine types are not known yet.
 func (s *Server) checkRequirements(job *wire.Job) error {
 	team, ok := s.config.Params.TeamQuota(job.Team)
 	if !ok {
@@ -48,7 +48,7 @@
 	return nil
 }
 
-// FitsAnyMachineType tells whether a task of the job fits a type it may use.
+// FitsAnyMachineType reports whether a task of the job fits a machine type that the job allows.
 func FitsAnyMachineType(job *wire.Job, types []wire.MachineType) bool {
 	for i := range types {
 		machineType := &types[i]
@@ -61,23 +61,25 @@
 	return false
 }
 
-// fitsRecord tells whether a job's record, also once it has ended, fits a value of the store.
+// fitsRecord reports whether a job's record stays within the store's value size limit, also after
+// the job has ended.
 func (s *Server) fitsRecord(job *wire.Job) bool {
 	record, err := json.Marshal(&statecache.Job{Spec: job})
 	return err == nil && len(record)+jobRecordMarginBytes <= s.config.Params.Store.ValueSizeLimit()
 }
 
-// checkDependencies tells why a job can't wait for those that it names. That a job was accepted
-// is final: only if one is not known here the store has to be read, once.
+// checkDependencies returns an *httpError if a job can't depend on the jobs that it names. An
+// accepted job stays accepted, so the store is read only for jobs unknown to the view, and only
+// once.
 func (s *Server) checkDependencies(ctx context.Context, job *wire.Job) error {
-	read := false
+	refreshed := false
 	for _, id := range job.Dependencies {
 		snapshot, ok := s.snapshot(id)
-		if ok && !snapshot.known && !read {
+		if ok && !snapshot.known && !refreshed {
 			if err := s.linearizableRead(ctx); err != nil {
 				return err
 			}
-			read = true
+			refreshed = true
 			snapshot, ok = s.snapshot(id)
 		}
 		switch {
@@ -94,8 +96,8 @@
 	return nil
 }
 
-// fitsQuota tells whether a team's quota has room for a job that runs alone: for one task of an
-// array, and for all tasks of a service.
+// fitsQuota reports whether a job fits its team's quota when no other job of the team runs: one
+// task of an array, or all tasks of a service.
 func fitsQuota(job *wire.Job, team config.TeamQuota) bool {
 	tasks := 1.0
 	if job.IsService() {
--- a/internal/apiserver/admission_limiter.go
+++ b/internal/apiserver/admission_limiter.go
@@ -9,13 +9,13 @@
 	"lynxledge/internal/storelimits"
 )
 
-// admissionRateFactor is what all controllers together may use for new jobs, as a multiple of
-// the store's write rate. Jobs come seldom but for the first seconds; to know all the work early
-// is then worth more than to provision for a part of it some seconds sooner. More than the rate
-// would only be refused.
+// admissionRateFactor is the rate at which all controllers together admit jobs, as a multiple of
+// the store's write rate. Jobs are rare except in the first seconds, when learning of all the work
+// early is worth more than writes that provision for part of it a few seconds sooner. A higher
+// rate would only be throttled by the store.
 const admissionRateFactor = 1.2
 
-// admissionRate is this controller's part.
+// admissionRate returns this controller's share of the admission rate, in jobs per second.
 func admissionRate(cfg *config.Config, limits *storelimits.Tracker) rate.Limit {
 	return rate.Limit(limits.WriteRate(&cfg.Params.Store) * admissionRateFactor / float64(len(cfg.Peers)+1))
 }
@@ -25,18 +25,18 @@
 	return rate.NewLimiter(perSecond, 1+int(2*perSecond))
 }
 
-// admissionRate is the rate in force now.
+// admissionRate returns this controller's share under the store limits in force now.
 func (s *Server) admissionRate() rate.Limit { return admissionRate(s.config, s.storeLimits) }
 
-// allowAdmission tells whether a job may be written now: a crowd of users must not take all the
-// writes.
+// allowAdmission reports whether a job may be written now. It keeps a burst of submissions from
+// taking all of the store's writes.
 func (s *Server) allowAdmission() bool {
 	s.admissionLimiter.SetLimit(s.admissionRate())
 	return s.admissionLimiter.Allow()
 }
 
-// queued refuses a submission that can't be served now, and gives its user a place in the
-// admission queue.
-func (s *Server) queued(status int, text string) *refusal {
-	return &refusal{status: status, text: text, retryAfter: s.admissionQueue.next(time.Now(), float64(s.admissionRate()))}
+// retryLater returns the error for a submission that can't be served now, with a Retry-After
+// from the retry schedule.
+func (s *Server) retryLater(status int, text string) *httpError {
+	return &httpError{status: status, text: text, retryAfter: s.retrySchedule.nextDelay(time.Now(), float64(s.admissionRate()))}
 }
--- a/internal/apiserver/bench_test.go
+++ b/internal/apiserver/bench_test.go
@@ -20,8 +20,8 @@
 	"lynxledge/wire"
 )
 
-// heartbeatSender is a machine with four running tasks that sends heartbeats to a controller's
-// server on loopback.
+// heartbeatSender sends the heartbeats of a machine with four running tasks to a server, which
+// also listens on loopback.
 type heartbeatSender struct {
 	listener  *httptest.Server
 	server    *Server
@@ -73,7 +73,7 @@
 	return &heartbeatSender{listener: listener, server: server, heartbeat: sent}
 }
 
-// body is the next heartbeat.
+// body returns the JSON of the next heartbeat.
 func (m *heartbeatSender) body() []byte {
 	m.heartbeat.Sequence++
 	raw, err := json.Marshal(&m.heartbeat)
@@ -83,7 +83,7 @@
 	return raw
 }
 
-// benchmark answers heartbeats, without their connection.
+// benchmark measures the handling of heartbeats, without a connection.
 func (m *heartbeatSender) benchmark(b *testing.B) {
 	handler := m.server.Handler()
 	b.ReportAllocs()
@@ -99,14 +99,14 @@
 	}
 }
 
-// BenchmarkHeartbeat is a heartbeat that says nothing new, without its connection.
+// BenchmarkHeartbeat measures heartbeats that report no change, without a connection.
 func BenchmarkHeartbeat(b *testing.B) {
 	m := newHeartbeatSender(b, b.Context())
 	m.benchmark(b)
 }
 
-// BenchmarkHeartbeatWithTerminations is a heartbeat whose four tasks have all exited, and what it
-// proves.
+// BenchmarkHeartbeatWithTerminations measures heartbeats whose four tasks have all exited,
+// including the evidence derived from them.
 func BenchmarkHeartbeatWithTerminations(b *testing.B) {
 	m := newHeartbeatSender(b, b.Context())
 	for i := range m.heartbeat.Tasks {
@@ -115,7 +115,8 @@
 	m.benchmark(b)
 }
 
-// BenchmarkHeartbeatOverTCP is the same with its connection, the client's part included.
+// BenchmarkHeartbeatOverTCP measures heartbeats that report no change over a loopback connection,
+// the client's work included.
 func BenchmarkHeartbeatOverTCP(b *testing.B) {
 	m := newHeartbeatSender(b, b.Context())
 	b.ReportAllocs()
@@ -132,7 +133,7 @@
 	}
 }
 
-// BenchmarkPoll is a user's poll of a running job, with its linearizable read.
+// BenchmarkPoll measures polls of a running job, with their linearizable reads.
 func BenchmarkPoll(b *testing.B) {
 	m := newHeartbeatSender(b, b.Context())
 	handler := m.server.Handler()
@@ -146,7 +147,7 @@
 	}
 }
 
-// BenchmarkSubmission is an accepted job.
+// BenchmarkSubmission measures submissions that are accepted.
 func BenchmarkSubmission(b *testing.B) {
 	m := newHeartbeatSender(b, b.Context())
 	handler := m.server.Handler()
@@ -163,10 +164,11 @@
 	}
 }
 
-// maxHeartbeatAllocations is a fifth above what was measured, the test's own part included.
+// maxHeartbeatAllocations is 20% above the measured number, which includes the test's own
+// allocations.
 const maxHeartbeatAllocations = 90
 
-// A heartbeat that says nothing new is what a controller answers most often.
+// Heartbeats that report no change are the most frequent requests of a controller.
 func TestAllocationsOfHeartbeat(t *testing.T) {
 	m := newHeartbeatSender(t, t.Context())
 	handler := m.server.Handler()
--- a/internal/apiserver/cancel.go
+++ b/internal/apiserver/cancel.go
@@ -11,16 +11,16 @@
 	"lynxledge/wire"
 )
 
-// maxCancelAttempts bounds the commits for one cancellation. A job's record changes only when it
-// ends, so conflicts are rare.
+// maxCancelAttempts bounds the commits for one cancellation. A job's record changes only when the
+// job ends, so conflicts are rare.
 const maxCancelAttempts = 4
 
-// errRecordChanged says that a job's record changed while its cancellation was committed.
+// errRecordChanged means that a job's record was changed concurrently with its cancellation.
 var errRecordChanged = errors.New("job record changed")
 
-// cancel cancels a job, and answers only once that is committed.
+// cancel cancels a job, and responds with success only after the cancellation is committed.
 func (s *Server) cancel(w http.ResponseWriter, r *http.Request) {
-	id, ok := jobIDFrom(w, r)
+	id, ok := jobIDFromPath(w, r)
 	if !ok {
 		return
 	}
@@ -34,14 +34,14 @@
 	case err == nil:
 		writeJSON(w, http.StatusOK, status)
 	case errors.Is(err, errNoSuchJob):
-		writeRefusal(w, errNoSuchJob)
+		writeError(w, errNoSuchJob)
 	default:
 		s.forwardToPeer(ctx, w, r, nil)
 	}
 }
 
-// tryCancel commits a job's cancellation, unless it has ended already, and returns its state
-// then.
+// tryCancel commits a job's cancellation, unless the job has ended already, and returns the
+// resulting status.
 func (s *Server) tryCancel(ctx context.Context, id wire.JobID) (wire.JobStatus, error) {
 	snapshot, ok := s.snapshot(id)
 	if !ok {
--- a/internal/apiserver/forward.go
+++ b/internal/apiserver/forward.go
@@ -8,15 +8,15 @@
 	"lynxledge/internal/peer"
 )
 
-// Forwarder passes requests on to the controller with the freshest view.
+// Forwarder forwards requests to the controller with the freshest view.
 type Forwarder interface {
 	Forward(ctx context.Context, method, path string, body []byte) (status int, response []byte, err error)
-	FreshPeer() string // the name of that controller, or ""
+	FreshPeer() string // the name of that controller; empty: no other has a fresh view
 }
 
-// forwardToPeer passes a request on when this controller can't answer because the store is
-// unreachable; without a controller that can, the user is told at once to come back. A request
-// that was forwarded before is not forwarded again, or it could go in circles.
+// forwardToPeer forwards a request that this controller can't serve because the store is
+// unreachable. If no other controller can serve it, the response is 503 with Retry-After. A
+// forwarded request is not forwarded again, to avoid loops.
 func (s *Server) forwardToPeer(ctx context.Context, w http.ResponseWriter, r *http.Request, body []byte) {
 	if s.peers != nil && r.Header.Get(peer.ForwardedHeader) == "" {
 		status, response, err := s.peers.Forward(ctx, r.Method, r.URL.Path, body)
@@ -25,5 +25,5 @@
 			return
 		}
 	}
-	writeRefusal(w, unavailable(errStoreUnreachable.Error()))
+	writeError(w, unavailable(errStoreUnreachable.Error()))
 }
--- a/internal/apiserver/heartbeats.go
+++ b/internal/apiserver/heartbeats.go
@@ -9,7 +9,7 @@
 	"lynxledge/wire"
 )
 
-// handleHeartbeat has a worker's heartbeat answered.
+// handleHeartbeat passes a worker's heartbeat to the heartbeat receiver and writes its response.
 func (s *Server) handleHeartbeat(w http.ResponseWriter, r *http.Request) {
 	body, ok := readBody(w, r)
 	if !ok {
@@ -18,7 +18,7 @@
 	received, err := parseHeartbeat(body)
 	if err != nil {
 		slog.Warn("heartbeat rejected", "error", err)
-		writeRefusal(w, badRequest(err))
+		writeError(w, badRequest(err))
 		return
 	}
 	response, ok := actor.Ask(s.heartbeats.Actor, func(reply func(heartbeat.Response)) { s.heartbeats.HandleHeartbeat(received, reply) })
@@ -28,11 +28,11 @@
 	case ok && response.Outcome == heartbeat.Redirected:
 		writeJSON(w, http.StatusMisdirectedRequest, wire.RedirectResponse{RedirectTo: response.RedirectTo})
 	default:
-		writeRefusal(w, unavailable("not entitled to answer"))
+		writeError(w, unavailable("not entitled to answer"))
 	}
 }
 
-// parseHeartbeat decodes and checks a heartbeat.
+// parseHeartbeat decodes and validates a heartbeat.
 func parseHeartbeat(body []byte) (*wire.Heartbeat, error) {
 	received := &wire.Heartbeat{}
 	if err := wire.Decode(body, received); err != nil {
--- a/internal/apiserver/poll.go
+++ b/internal/apiserver/poll.go
@@ -9,22 +9,23 @@
 	"lynxledge/wire"
 )
 
-// errNoSuchJob refuses requests about jobs that were never accepted.
-var errNoSuchJob = &refusal{status: http.StatusNotFound, text: "no such job"}
+// errNoSuchJob is the error for a job that was never accepted.
+var errNoSuchJob = &httpError{status: http.StatusNotFound, text: "no such job"}
 
-// jobIDFrom is the id of the job that a request names; false if it was answered already.
-func jobIDFrom(w http.ResponseWriter, r *http.Request) (id wire.JobID, ok bool) {
+// jobIDFromPath returns the job id in a request's path. If it is invalid, jobIDFromPath writes the
+// error response and ok is false.
+func jobIDFromPath(w http.ResponseWriter, r *http.Request) (id wire.JobID, ok bool) {
 	id = wire.JobID(chi.URLParam(r, "id"))
 	if !wire.ValidJobID(string(id)) {
-		writeRefusal(w, errNoSuchJob)
+		writeError(w, errNoSuchJob)
 		return "", false
 	}
 	return id, true
 }
 
-// poll answers with a job's current state.
+// poll responds with a job's current status.
 func (s *Server) poll(w http.ResponseWriter, r *http.Request) {
-	id, ok := jobIDFrom(w, r)
+	id, ok := jobIDFromPath(w, r)
 	if !ok {
 		return
 	}
@@ -35,7 +36,7 @@
 	case err != nil:
 		s.forwardToPeer(ctx, w, r, nil)
 	case !snapshot.known:
-		writeRefusal(w, errNoSuchJob)
+		writeError(w, errNoSuchJob)
 	default:
 		writeJSON(w, http.StatusOK, snapshot.status)
 	}
--- a/internal/apiserver/ready.go
+++ b/internal/apiserver/ready.go
@@ -8,29 +8,29 @@
 	"lynxledge/internal/actor"
 )
 
-// isolationTimeoutLeases is for how long, in workers' leases, a controller whose view is old
-// stays ready when no other is known to be better off.
+// isolationTimeoutLeases is the view age, in worker leases, above which a controller is not ready
+// even if no peer is known to have a fresh view.
 const isolationTimeoutLeases = 0.75
 
-// ready answers 200 while this controller can serve users.
+// ready responds with 200 while this controller should get users' requests, and with 503 otherwise.
 func (s *Server) ready(w http.ResponseWriter, _ *http.Request) {
 	if !s.isReady() {
-		writeRefusal(w, unavailable("not ready"))
+		writeError(w, unavailable("not ready"))
 		return
 	}
 	writeJSON(w, http.StatusOK, struct{}{})
 }
 
-// isReady tells whether the view is fresh enough to serve users. In an outage that every
-// controller sees, nobody serves better: users are then told at once when to come back, and are
-// served the moment it ends. But a controller that has lost its peers too can't tell that from
-// its own isolation, and users who stay connected to it would never be answered: it gives up in
-// time for them to find another.
+// isReady reports whether this controller should get users' requests. In a store outage that all
+// controllers see, none has a fresh view, so a stale one stays ready: it rejects requests at once
+// with Retry-After and serves users as soon as the outage ends. A controller that has lost its
+// peers too can't tell an outage from its own isolation, in which users who stay connected to it
+// would never be served, so isolationTimeoutLeases bounds this time.
 func (s *Server) isReady() bool {
-	const none = time.Duration(math.MaxInt64) // age of a view that isn't there
+	const noView = time.Duration(math.MaxInt64) // view age if the view or the machine types are not loaded yet
 	viewAge, ok := actor.Ask(s.Actor, func(reply func(time.Duration)) {
 		if len(s.machineTypes) == 0 || s.freshAsOf.IsZero() {
-			reply(none)
+			reply(noView)
 			return
 		}
 		reply(time.Since(s.freshAsOf))
@@ -38,6 +38,6 @@
 	if !ok || viewAge > s.config.Params.Workers.Leases(isolationTimeoutLeases) {
 		return false
 	}
-	othersServeBetter := s.peers != nil && s.peers.FreshPeer() != ""
-	return viewAge <= s.maxViewAge || !othersServeBetter
+	freshPeerKnown := s.peers != nil && s.peers.FreshPeer() != ""
+	return viewAge <= s.maxViewAge || !freshPeerKnown
 }
--- a/internal/apiserver/responses.go
+++ b/internal/apiserver/responses.go
@@ -11,35 +11,35 @@
 	"lynxledge/wire"
 )
 
-// refusal is the response to a request that is not served: an error whose text the client reads.
-type refusal struct {
+// httpError is an error response. Its text is sent to the client.
+type httpError struct {
 	status     int
 	text       string
-	retryAfter time.Duration // after which the client may come back; 0: it need not
+	retryAfter time.Duration // value of the Retry-After header; 0: none, retrying does not help
 }
 
-func (r *refusal) Error() string { return r.text }
+func (e *httpError) Error() string { return e.text }
 
-// unavailable refuses what can't be served now, but may be the next moment.
-func unavailable(text string) *refusal {
-	return &refusal{status: http.StatusServiceUnavailable, text: text, retryAfter: minRetryAfter}
+// unavailable returns the error for a request that can't be served now, but may be on a retry.
+func unavailable(text string) *httpError {
+	return &httpError{status: http.StatusServiceUnavailable, text: text, retryAfter: minRetryAfter}
 }
 
-// badRequest refuses what the client has to mend.
-func badRequest(err error) *refusal {
-	return &refusal{status: http.StatusBadRequest, text: err.Error()}
+// badRequest returns the error for a malformed request.
+func badRequest(err error) *httpError {
+	return &httpError{status: http.StatusBadRequest, text: err.Error()}
 }
 
-// unprocessable refuses what is well-formed, but can never be served.
-func unprocessable(text string) *refusal {
-	return &refusal{status: http.StatusUnprocessableEntity, text: text}
+// unprocessable returns the error for a well-formed request that can never be served.
+func unprocessable(text string) *httpError {
+	return &httpError{status: http.StatusUnprocessableEntity, text: text}
 }
 
-func writeRefusal(w http.ResponseWriter, r *refusal) {
-	if r.retryAfter > 0 {
-		w.Header().Set("Retry-After", strconv.Itoa(int(math.Ceil(r.retryAfter.Seconds()))))
+func writeError(w http.ResponseWriter, e *httpError) {
+	if e.retryAfter > 0 {
+		w.Header().Set("Retry-After", strconv.Itoa(int(math.Ceil(e.retryAfter.Seconds()))))
 	}
-	writeJSON(w, r.status, wire.ErrorResponse{Message: r.text})
+	writeJSON(w, e.status, wire.ErrorResponse{Message: e.text})
 }
 
 func writeJSON(w http.ResponseWriter, status int, v any) {
@@ -54,11 +54,12 @@
 	_, _ = w.Write(body)
 }
 
-// readBody reads a request's body; false when it was answered already.
+// readBody reads a request's body. If that fails, readBody writes the error response and returns
+// false.
 func readBody(w http.ResponseWriter, r *http.Request) ([]byte, bool) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, wire.MaxBodyBytes))
 	if err != nil {
-		writeRefusal(w, &refusal{status: http.StatusBadRequest, text: "body unreadable or over 64 KiB"})
+		writeError(w, &httpError{status: http.StatusBadRequest, text: "body unreadable or over 64 KiB"})
 		return nil, false
 	}
 	return body, true
--- a/internal/apiserver/server.go
+++ b/internal/apiserver/server.go
@@ -1,9 +1,8 @@
-// Package apiserver answers users, health checks and workers over HTTP.
+// Package apiserver serves the HTTP requests of users, health checks and workers.
 //
-// Submissions and cancellations are compare-and-swap commits to the store. Questions about jobs
-// are answered by linearizable reads, except where a job's state is final. A controller that
-// can't reach the store forwards users' requests to one that can, or refuses them at once with
-// Retry-After.
+// Submissions and cancellations are compare-and-swap commits to the store. Polls of a job are
+// linearizable reads, unless the job's state is final. A controller that can't reach the store
+// forwards users' requests to one that can, or rejects them at once with Retry-After.
 package apiserver
 
 import (
@@ -23,13 +22,13 @@
 	"lynxledge/wire"
 )
 
-// Times that bound a response. The protocol gives submissions 5 s and polls 2.
+// Timeouts of a request. The protocol allows 5 s for submissions and 2 s for polls.
 const (
 	responseTimeout = 1500 * time.Millisecond
-	commitRetryTime = 400 * time.Millisecond // for which a commit that the store refused is retried
+	commitRetryTime = 400 * time.Millisecond // how long a commit that the store rejected is retried
 )
 
-// Options are what a Server works with.
+// Options configure a Server.
 type Options struct {
 	Config      *config.Config
 	Cache       *statecache.Cache
@@ -39,7 +38,7 @@
 	Overload    *overload.Gauge      // nil: this process is never overloaded
 }
 
-// Server is the actor that knows the jobs as users see them.
+// Server is the actor that keeps the view from which users' requests are served.
 type Server struct {
 	*actor.Actor
 	config           *config.Config
@@ -48,11 +47,11 @@
 	peers            Forwarder
 	storeLimits      *storelimits.Tracker
 	overload         *overload.Gauge
-	admissionLimiter *rate.Limiter  // of accepted jobs
-	admissionQueue   admissionQueue // of users whose submissions were refused
-	maxViewAge       time.Duration  // a view older than this is not worth a commit
+	admissionLimiter *rate.Limiter // of job writes
+	retrySchedule    retrySchedule // of rejected submissions
+	maxViewAge       time.Duration // if the view is older, the store counts as unreachable
 
-	// Of the actor alone.
+	// Accessed only by the actor's goroutine.
 	view         *statecache.View
 	freshAsOf    time.Time
 	machineTypes []wire.MachineType
@@ -76,7 +75,7 @@
 	return s
 }
 
-// apply takes a change of the store over.
+// apply applies changes of the store to the view.
 func (s *Server) apply(update statecache.Update) {
 	s.freshAsOf = update.FreshAsOf
 	for _, change := range update.Changes {
@@ -84,10 +83,10 @@
 	}
 }
 
-// SetMachineTypes replaces the machine types that submissions are checked against.
+// SetMachineTypes sets the machine types that submissions are checked against.
 func (s *Server) SetMachineTypes(types []wire.MachineType) { s.Send(func() { s.machineTypes = types }) }
 
-// Handler routes requests.
+// Handler returns the handler of all HTTP requests of clients.
 func (s *Server) Handler() http.Handler {
 	r := chi.NewRouter()
 	r.Post("/work", s.submit)
--- a/internal/apiserver/snapshot.go
+++ b/internal/apiserver/snapshot.go
@@ -10,15 +10,14 @@
 	"lynxledge/wire"
 )
 
-// errStoreUnreachable says that the store can't be reached in time. Users read its text.
+// errStoreUnreachable means that the store can't be reached in time. Its text is sent to users.
 var errStoreUnreachable = errors.New("state service not reachable")
 
-// storeUnreachable tells whether this controller has had no response of the store for so long
-// that a call would only hang: the time that a user waits is better spent on another
-// controller.
+// storeUnreachable reports whether the store has not responded for so long that a call would
+// probably time out. The time that a user waits is better spent on forwarding the request.
 func (s *Server) storeUnreachable() bool { return time.Since(s.cache.FreshAsOf()) > s.maxViewAge }
 
-// linearizableRead waits until the view holds everything committed before the call.
+// linearizableRead waits until the view includes everything committed before the call.
 func (s *Server) linearizableRead(ctx context.Context) error {
 	if s.storeUnreachable() {
 		return errStoreUnreachable
@@ -29,7 +28,7 @@
 			refreshed <- err
 			return
 		}
-		if !s.Post(func() { refreshed <- nil }) { // behind the update in our mailbox
+		if !s.Post(func() { refreshed <- nil }) { // runs after the updates that the refresh sent to the mailbox
 			refreshed <- errStoreUnreachable
 		}
 	})
@@ -41,17 +40,18 @@
 	}
 }
 
-// jobSnapshot is what the view says of a job.
+// jobSnapshot is a job as of one state of the view.
 type jobSnapshot struct {
 	known  bool
 	status wire.JobStatus
 	job    *statecache.Job
 }
 
-// final tells whether nothing will change the job's state any more.
+// final reports whether the job's state can't change any more.
 func (j *jobSnapshot) final() bool { return j.known && !j.job.Active() }
 
-// snapshot is what the view says of a job now; ok is false if the actor is too busy.
+// snapshot returns a job as it is in the view now; ok is false if the actor's mailbox is full or
+// the actor has ended.
 func (s *Server) snapshot(id wire.JobID) (snapshot jobSnapshot, ok bool) {
 	return actor.Ask(s.Actor, func(reply func(jobSnapshot)) {
 		job := s.view.Jobs[id]
@@ -63,7 +63,7 @@
 	})
 }
 
-// jobStatus is a job's state as its user sees it.
+// jobStatus returns a job's status as reported to users.
 func (s *Server) jobStatus(id wire.JobID, job *statecache.Job) wire.JobStatus {
 	status := wire.JobStatus{ID: id, State: job.State}
 	switch job.State {
@@ -80,8 +80,8 @@
 	return status
 }
 
-// currentSnapshot is a job's state no older than the call: a final one from memory, any other
-// after a linearizable read.
+// currentSnapshot returns a job as of the call or later: from the view if its state is final, and
+// after a linearizable read otherwise.
 func (s *Server) currentSnapshot(ctx context.Context, id wire.JobID) (jobSnapshot, error) {
 	if snapshot, ok := s.snapshot(id); ok && snapshot.final() {
 		return snapshot, nil
@@ -96,7 +96,8 @@
 	return snapshot, nil
 }
 
-// commit makes a change on behalf of a waiting user; ok is false if its outcome came too late.
+// commit commits a change for a request; ok is false if there is no outcome within twice
+// commitRetryTime or before ctx ends.
 func (s *Server) commit(ctx context.Context, commit statecache.Commit) (outcome statecache.Outcome, ok bool) {
 	ctx, cancel := context.WithTimeout(ctx, 2*commitRetryTime)
 	defer cancel()
--- a/internal/apiserver/submit.go
+++ b/internal/apiserver/submit.go
@@ -12,11 +12,11 @@
 	"lynxledge/wire"
 )
 
-// submit answers a submission: a new job is admitted and committed, a repeated submission is
-// answered with the job's state, whatever else it says.
+// submit serves a submission. A new job is checked and committed. The repeated submission of an
+// accepted job gets the job's status, whatever the rest of its body says.
 func (s *Server) submit(w http.ResponseWriter, r *http.Request) {
 	if s.overload.Level() >= overload.Overloaded {
-		writeRefusal(w, s.queued(http.StatusServiceUnavailable, "overloaded"))
+		writeError(w, s.retryLater(http.StatusServiceUnavailable, "overloaded"))
 		return
 	}
 	body, ok := readBody(w, r)
@@ -28,7 +28,7 @@
 	job, parseErr := wire.ParseJob(body)
 	id, hasID := wire.PeekJobID(body)
 	if parseErr != nil && !hasID {
-		writeRefusal(w, badRequest(parseErr))
+		writeError(w, badRequest(parseErr))
 		return
 	}
 	if snapshot, ok := s.snapshot(id); ok && snapshot.known {
@@ -43,19 +43,19 @@
 	}
 	if err == nil {
 		s.accept(ctx, w, r, job, body)
-	} else if refused, ok := errors.AsType[*refusal](err); ok {
-		s.refuseUnlessRepeat(ctx, w, r, id, body, refused)
+	} else if httpErr, ok := errors.AsType[*httpError](err); ok {
+		s.rejectUnlessRepeat(ctx, w, r, id, body, httpErr)
 	} else {
 		s.forwardToPeer(ctx, w, r, body)
 	}
 }
 
-// refuseUnlessRepeat refuses a submission. A job that was accepted is never refused later,
-// whatever its repeat says, and only a read of the store can tell; a refusal that asks the user
-// to come back decides nothing and needs no read.
-func (s *Server) refuseUnlessRepeat(ctx context.Context, w http.ResponseWriter, r *http.Request, id wire.JobID, body []byte, refused *refusal) {
-	if refused.retryAfter > 0 {
-		writeRefusal(w, refused)
+// rejectUnlessRepeat rejects a submission, unless it repeats that of an accepted job, which only a
+// read of the store can tell: an accepted job is never rejected later, whatever a repeated
+// submission says. An error with Retry-After is not final, and is sent without a read.
+func (s *Server) rejectUnlessRepeat(ctx context.Context, w http.ResponseWriter, r *http.Request, id wire.JobID, body []byte, httpErr *httpError) {
+	if httpErr.retryAfter > 0 {
+		writeError(w, httpErr)
 		return
 	}
 	snapshot, err := s.currentSnapshot(ctx, id)
@@ -65,11 +65,11 @@
 	case snapshot.known:
 		writeJSON(w, http.StatusOK, snapshot.status)
 	default:
-		writeRefusal(w, refused)
+		writeError(w, httpErr)
 	}
 }
 
-// respondToRepeat answers the repeated submission of a job that was accepted before.
+// respondToRepeat responds to the repeated submission of an accepted job with the job's status.
 func (s *Server) respondToRepeat(ctx context.Context, w http.ResponseWriter, r *http.Request, id wire.JobID, body []byte) {
 	snapshot, err := s.currentSnapshot(ctx, id)
 	if err != nil || !snapshot.known {
@@ -79,14 +79,14 @@
 	writeJSON(w, http.StatusOK, snapshot.status)
 }
 
-// accept commits a job that was admitted.
+// accept commits a job that passed the checks, within the admission rate.
 func (s *Server) accept(ctx context.Context, w http.ResponseWriter, r *http.Request, job *wire.Job, body []byte) {
 	if s.storeUnreachable() {
 		s.forwardToPeer(ctx, w, r, body)
 		return
 	}
 	if !s.allowAdmission() {
-		writeRefusal(w, s.queued(http.StatusTooManyRequests, "too many submissions at once"))
+		writeError(w, s.retryLater(http.StatusTooManyRequests, "too many submissions at once"))
 		return
 	}
 	key := statecache.Key(statecache.KindJob, string(job.ID))
@@ -105,8 +105,8 @@
 	}
 }
 
-// acceptedStatus is the state of a job that was just committed: queued, unless it depends on one
-// that is cancelled.
+// acceptedStatus returns the status of a job that was just committed: queued, unless it depends on
+// a cancelled job.
 func (s *Server) acceptedStatus(id wire.JobID) wire.JobStatus {
 	if snapshot, ok := s.snapshot(id); ok && snapshot.known {
 		return snapshot.status
