--- a/wire/decode.go
+++ b/wire/decode.go
@@ -8,10 +8,10 @@
 	"io"
 )
 
-// MaxBodyBytes is the largest size of a request body, in bytes.
+// MaxBodyBytes is the maximum size of a request body.
 const MaxBodyBytes = 64 << 10
 
-// Decode reads exactly one JSON object from b into v. Its errors wrap ErrMalformed.
+// Decode decodes b, which must be exactly one JSON object, into v. Its errors wrap [ErrMalformed].
 func Decode(b []byte, v any) error {
 	if trimmed := bytes.TrimLeft(b, " \t\r\n"); len(trimmed) == 0 || trimmed[0] != '{' {
 		return fmt.Errorf("%w: not a JSON object", ErrMalformed)
--- a/wire/doc.go
+++ b/wire/doc.go
@@ -1,33 +1,33 @@
-// Package wire has the JSON formats that lynxledge exchanges with users, workers, the cloud
-// and the key-value store, and the checks on them. It depends on no other package of the
+// Package wire defines the JSON messages that lynxledge exchanges with users, workers, the cloud
+// and the key-value store, and validates them. It does not depend on other packages of the
 // project, so that clients can use it too.
 //
-// The formats are those of docs/PROTOCOL-lynxledge.md. The protocol has words of its own,
-// which appear in the struct tags and in the values of the named constants of this package
-// and nowhere else in the code. The code uses these terms for them:
+// docs/PROTOCOL-lynxledge.md specifies the messages. The protocol has its own terminology, which
+// appears in struct tags, values of named constants, error texts and HTTP paths. Everywhere else
+// the code uses these terms for it:
 //
 // Jobs and tasks:
 //
 //	work                 job
-//	lane                 class (of jobs with common objectives)
+//	lane                 class of jobs, which share objectives
 //	crew                 team
 //	shape                kind: array or service
 //	rank                 priority: idle, normal, high or prod (production)
-//	leg, legs            task, tasks or their count
+//	leg, legs            task, tasks or number of tasks
 //	cores                CPUs
 //	builds               machine types
 //	yard                 zone
 //	oneZone              single zone
-//	scatter              spread over zones
+//	scatter              spread across zones
 //	loaners              spot instances
 //	bundle, sizeGb       container image and its size
 //	expectS              estimated runtime
 //	waypointS            checkpoint interval
-//	stash, stashS        writing a checkpoint, and how long that takes
-//	dueS                 deadline, counted from submission
+//	stash, stashS        writing a checkpoint, and its duration
+//	dueS                 deadline, relative to the submission
 //	awaits               dependencies
 //	status               state
-//	done, running        (of a job's status) completed tasks, running tasks
+//	done, running        (in a job's status) numbers of completed and of running tasks
 //	abort, aborted       cancel, cancelled
 //
 // Heartbeats and commands:
@@ -37,19 +37,19 @@
 //	shift                incarnation of a worker
 //	tick                 sequence number
 //	baton                fencing token
-//	recallS              preemption notice: time until the cloud takes the machine back
+//	recallS              preemption notice: time until the cloud reclaims the machine
 //	try                  attempt
-//	fetching, saving     (of a task) fetching its image, checkpointing
+//	fetching, saving     (state of a task) fetching its image, checkpointing
 //	ended, cause         exited, exit reason
 //	halted               stopped by command
 //	no_room              insufficient capacity
-//	in_use               attempt conflict: the task is there with another attempt
+//	in_use               attempt conflict: the machine has another attempt of the task
 //	stored               checkpointed
-//	orders, do           commands, a batch of commands sent to a worker directly
+//	orders, do           commands, a batch of commands sent directly to a worker
 //	verb                 operation of a command
 //	clear                acknowledge: forget a task that has exited
 //	windS                grace period
-//	inspect              heartbeat on request
+//	inspect              request for a heartbeat
 //
 // Cloud:
 //
@@ -75,5 +75,5 @@
 //	touch                keep a lease alive
 //	follow, news         watch, events
 //
-// Durations on the wire are decimal numbers of seconds, which [Seconds] keeps exactly.
+// Durations are encoded as decimal numbers of seconds, which [Seconds] preserves exactly.
 package wire
--- a/wire/heartbeat.go
+++ b/wire/heartbeat.go
@@ -9,11 +9,11 @@
 const (
 	TaskFetchingImage TaskState = "fetching"
 	TaskRunning       TaskState = "running"
-	TaskCheckpointing TaskState = "saving" // was stopped and writes a checkpoint
-	TaskExited        TaskState = "ended"  // with an ExitReason
+	TaskCheckpointing TaskState = "saving" // stopping, while it writes a checkpoint
+	TaskExited        TaskState = "ended"  // exited or was not started; see ExitReason
 )
 
-// ExitReason is the reason for which a task exited or was not started.
+// ExitReason is the reason why a task exited or was not started.
 type ExitReason string
 
 // Reasons that workers give.
@@ -21,8 +21,8 @@
 	ReasonCompleted            ExitReason = "done"
 	ReasonStopped              ExitReason = "halted" // by command
 	ReasonError                ExitReason = "error"
-	ReasonInsufficientCapacity ExitReason = "no_room" // not started: the machine has too little left
-	ReasonAttemptConflict      ExitReason = "in_use"  // not started: the task is there with another attempt
+	ReasonInsufficientCapacity ExitReason = "no_room" // not started: too little free capacity on the machine
+	ReasonAttemptConflict      ExitReason = "in_use"  // not started: the machine has another attempt of the task
 	ReasonUnknown              ExitReason = "unknown" // not started: no such job or task
 )
 
@@ -32,25 +32,26 @@
 	Attempt      uint64     `json:"try"`
 	State        TaskState  `json:"status"`
 	ExitReason   ExitReason `json:"cause,omitempty"`
-	Checkpointed bool       `json:"stored,omitempty"` // stopped, and its progress was saved
+	Checkpointed bool       `json:"stored,omitempty"` // whether the task was stopped and wrote a checkpoint
 }
 
-// Heartbeat is what a worker tells the controllers about its machine. Of two heartbeats of
-// a machine, the one with the larger incarnation and sequence is the newer.
+// Heartbeat is a worker's report on its machine to a controller. Of two heartbeats of a machine,
+// the one with the higher incarnation is newer, and of the same incarnation the one with the
+// higher sequence number.
 type Heartbeat struct {
 	Machine          MachineID    `json:"nest"`
 	Address          string       `json:"address"` // host and port for direct commands
 	MachineType      string       `json:"build"`
 	Zone             Zone         `json:"yard"`
 	Spot             bool         `json:"loaners"`
-	Incarnation      uint64       `json:"shift"`   // from 1, higher each time the worker's lease expires
-	Sequence         uint64       `json:"tick"`    // higher with every message of the worker
+	Incarnation      uint64       `json:"shift"`   // starts at 1 and increases when the worker's lease expires
+	Sequence         uint64       `json:"tick"`    // increases with every message of the worker
 	FencingToken     uint64       `json:"baton"`   // the highest that the worker has seen
-	PreemptionNotice *Seconds     `json:"recallS"` // time until the cloud takes the machine back; nil: none
-	Tasks            []TaskStatus `json:"legs"`    // all on the machine, also exited ones that are not acknowledged
+	PreemptionNotice *Seconds     `json:"recallS"` // time until the cloud reclaims the machine; nil: no notice
+	Tasks            []TaskStatus `json:"legs"`    // all tasks on the machine, including exited ones that are not acknowledged yet
 }
 
-// Validate returns an error for a heartbeat that no correct worker sends.
+// Validate returns a *ValidationError if the heartbeat has a missing or invalid field.
 func (h *Heartbeat) Validate() error {
 	switch {
 	case !ValidMachineName(string(h.Machine)):
@@ -65,26 +66,26 @@
 	return nil
 }
 
-// HeartbeatResponse answers a heartbeat. It renews the worker's lease unless its fencing
-// token is lower than one the worker has seen.
+// HeartbeatResponse is the response to a heartbeat. It renews the worker's lease unless its
+// fencing token is lower than one that the worker has seen.
 type HeartbeatResponse struct {
 	FencingToken uint64    `json:"baton"`
 	Commands     []Command `json:"orders"`
 }
 
-// RedirectResponse sends a worker to another controller.
+// RedirectResponse tells a worker to send its heartbeats to another controller.
 type RedirectResponse struct {
-	RedirectTo string `json:"reportsTo,omitempty"` // the controller's member name; empty: any other
+	RedirectTo string `json:"reportsTo,omitempty"` // member name of the controller; empty: any other
 }
 
 // CommandOp is the operation of a command.
 type CommandOp string
 
-// Operations.
+// Operations of commands.
 const (
 	OpLaunch      CommandOp = "launch"
 	OpStop        CommandOp = "stop"
-	OpAcknowledge CommandOp = "clear" // removes an exited task from the heartbeats
+	OpAcknowledge CommandOp = "clear" // the worker forgets an exited task and no longer reports it
 )
 
 // Command is one command to a worker.
@@ -92,11 +93,11 @@
 	Op          CommandOp `json:"verb"`
 	Task        TaskID    `json:"leg"`
 	Attempt     uint64    `json:"try"`
-	GracePeriod *Seconds  `json:"windS,omitempty"` // of a stop: time to write a checkpoint
+	GracePeriod *Seconds  `json:"windS,omitempty"` // for OpStop: time to write a checkpoint
 }
 
-// CommandBatch is a batch of commands sent to a worker directly. The worker refuses it if
-// the fencing token is lower than one it has seen, or if the incarnation is another.
+// CommandBatch is a batch of commands sent directly to a worker. The worker rejects it if the
+// fencing token is lower than one that it has seen, or if the incarnation is not its current one.
 type CommandBatch struct {
 	FencingToken uint64    `json:"baton"`
 	Incarnation  uint64    `json:"shift"`
--- a/wire/ids.go
+++ b/wire/ids.go
@@ -5,38 +5,37 @@
 	"strings"
 )
 
-// maxNameBytes is the largest length of a name, in bytes. It keeps records that contain
-// names well below any limit of the store's values.
+// maxNameBytes is the maximum length of a name. It keeps records that contain names well below
+// the store's limits on value sizes.
 const maxNameBytes = 128
 
-// JobID is the id of a job, which its user chose: "req-" and 6 to 18 digits.
+// JobID is the id of a job, chosen by its user: "req-" and 6 to 18 digits.
 type JobID string
 
-// TaskID is the name by which workers know a task: its job's id, a slash and its index.
+// TaskID identifies a task in messages to and from workers: its job's id, a slash and its index.
 type TaskID string
 
-// MachineID is the name of a machine, which the cloud chose.
+// MachineID is the name of a machine, chosen by the cloud.
 type MachineID string
 
 // Zone is the name of an availability zone.
 type Zone string
 
-// TeamName is the name of a team, to which quotas apply.
+// TeamName is the name of a team. Quotas apply to teams.
 type TeamName string
 
-// ValidJobID reports whether s has the form of a job id.
+// ValidJobID reports whether s is a well-formed job id.
 func ValidJobID(s string) bool {
 	digits, ok := strings.CutPrefix(s, "req-")
 	return ok && len(digits) >= 6 && len(digits) <= 18 && onlyDigits(digits)
 }
 
-// NewTaskID returns the id of the task with an index, counted from 0, of a job.
+// NewTaskID returns the id of the task of a job with an index, which starts at 0.
 func NewTaskID(job JobID, index int) TaskID {
 	return TaskID(string(job) + "/" + strconv.Itoa(index))
 }
 
-// ParseTaskID returns the job and the index that NewTaskID made the id of; ok is false if it
-// can't have made it.
+// ParseTaskID splits a task's id into the job's id and the index; ok is false if id is not valid.
 func ParseTaskID(id TaskID) (job JobID, index int, ok bool) {
 	jobID, digits, found := strings.Cut(string(id), "/")
 	if !found || !ValidJobID(jobID) || digits == "" || len(digits) > 6 || (digits[0] == '0' && digits != "0") || !onlyDigits(digits) {
@@ -48,8 +47,8 @@
 	return JobID(jobID), index, index < MaxTasksPerJob
 }
 
-// ValidMachineName reports whether s can stand for a machine in a record or a key of the
-// store. It applies to addresses of machines too.
+// ValidMachineName reports whether s, the name or the address of a machine, can be part of a
+// record or a key in the store.
 func ValidMachineName(s string) bool {
 	if s == "" || len(s) > maxNameBytes {
 		return false
--- a/wire/job.go
+++ b/wire/job.go
@@ -5,22 +5,22 @@
 	"fmt"
 )
 
-// MaxTasksPerJob is the largest number of tasks of one job.
+// MaxTasksPerJob is the maximum number of tasks of a job.
 const MaxTasksPerJob = 100_000
 
-// JobKind says when a job's tasks are over.
+// JobKind determines whether a job's tasks run to completion or until the job is cancelled.
 type JobKind string
 
 // Kinds of jobs.
 const (
-	KindArray   JobKind = "array"   // independent tasks, each runs to completion
-	KindService JobKind = "service" // replicas, which run until the job is cancelled
+	KindArray   JobKind = "array"   // independent tasks, each of which runs to completion
+	KindService JobKind = "service" // replicas that run until the job is cancelled
 )
 
-// Priority is the priority of a job; a larger one is more urgent.
+// Priority is the priority of a job; a higher value is more urgent.
 type Priority int
 
-// Priorities, from the least urgent.
+// Priorities, in ascending order.
 const (
 	PriorityIdle Priority = iota
 	PriorityNormal
@@ -30,13 +30,13 @@
 
 var priorityNames = [...]string{"idle", "normal", "high", "prod"}
 
-// String returns the protocol's name of the priority.
+// String returns the priority's name in the protocol.
 func (p Priority) String() string { return priorityNames[p] }
 
-// MarshalJSON writes the protocol's name of the priority.
+// MarshalJSON encodes the priority as its name in the protocol.
 func (p Priority) MarshalJSON() ([]byte, error) { return json.Marshal(p.String()) }
 
-// UnmarshalJSON reads the protocol's name of a priority.
+// UnmarshalJSON decodes a priority from its name in the protocol.
 func (p *Priority) UnmarshalJSON(b []byte) error {
 	var s string
 	if err := json.Unmarshal(b, &s); err != nil {
@@ -51,7 +51,7 @@
 	return fmt.Errorf("unknown rank %q", s)
 }
 
-// Job is the specification of a job, as its user submits it. Resources are those of one task.
+// Job is the specification of a job as submitted by its user. Resources are per task.
 type Job struct {
 	ID                 JobID    `json:"id"`
 	Class              string   `json:"lane"`
@@ -71,27 +71,27 @@
 	AllowSpot          bool     `json:"loaners"`
 	EstimatedRuntime   Seconds  `json:"expectS"`   // of a task, without fetching its image; 0 for services
 	CheckpointInterval Seconds  `json:"waypointS"` // progress between two checkpoints; 0: the tasks write none
-	CheckpointDuration Seconds  `json:"stashS"`    // time to write a checkpoint when stopped
+	CheckpointDuration Seconds  `json:"stashS"`    // time that a stopped task takes to write a checkpoint
 	Deadline           *Seconds `json:"dueS,omitempty"`
-	// Dependencies are the jobs that have to be done before any task of this one starts.
+	// Dependencies are the jobs that must be done before any task of this job starts.
 	Dependencies []JobID `json:"awaits,omitempty"`
 }
 
 // IsService reports whether the job's tasks run until it is cancelled.
 func (j *Job) IsService() bool { return j.Kind == KindService }
 
-// JobState is the state of a job as users see it.
+// JobState is the state of a job as reported to users.
 type JobState string
 
 // States of a job.
 const (
-	JobQueued    JobState = "queued" // no task runs
+	JobQueued    JobState = "queued" // no task is running
 	JobRunning   JobState = "running"
 	JobDone      JobState = "done" // all tasks have completed; final
 	JobCancelled JobState = "aborted"
 )
 
-// JobStatus answers a submission, a query and a cancellation.
+// JobStatus is the response to a submission, a poll or a cancellation.
 type JobStatus struct {
 	ID             JobID    `json:"id"`
 	State          JobState `json:"status"`
--- a/wire/job_parse.go
+++ b/wire/job_parse.go
@@ -6,13 +6,13 @@
 )
 
 const (
-	maxAmount       = 1e9 // larger amounts and durations are mistakes
-	maxMachineTypes = 64  // that one job may name
+	maxAmount       = 1e9 // larger amounts and durations are rejected as mistakes
+	maxMachineTypes = 64  // maximum number of machine types that a job may name
 )
 
-// jobDocument is a Job in which every field can be absent: a field that is missing, or null
-// where null is not allowed, must be told from a zero. Its fields have plain types, because
-// the texts of decoding errors name them.
+// jobDocument is a Job that distinguishes a field that is missing, or null where null is not
+// allowed, from a zero value. Most fields have built-in types, because the texts of decoding errors
+// contain the type names.
 type jobDocument struct {
 	ID                 *JobID    `json:"id"`
 	Class              *string   `json:"lane"`
@@ -37,8 +37,8 @@
 	Dependencies       []string  `json:"awaits"`
 }
 
-// PeekJobID reads only the id of a submission, so that the repetition of a known job's
-// submission can be recognised whatever the rest of its body says.
+// PeekJobID decodes only the id of a submission. The repeated submission of a known job can thus be
+// recognised whatever the rest of its body says.
 func PeekJobID(b []byte) (id JobID, ok bool) {
 	var document struct {
 		ID *JobID `json:"id"`
@@ -49,7 +49,7 @@
 	return *document.ID, true
 }
 
-// ParseJob reads and checks a submission.
+// ParseJob decodes and validates a submission.
 func ParseJob(b []byte) (*Job, error) {
 	var document jobDocument
 	if err := Decode(b, &document); err != nil {
@@ -85,7 +85,7 @@
 	return ""
 }
 
-// job returns the job without its optional fields; no mandatory one may be missing.
+// job returns the job without its optional fields. No mandatory field may be missing.
 func (d *jobDocument) job() *Job {
 	return &Job{
 		ID: *d.ID, Class: *d.Class, Team: TeamName(*d.Team), Kind: JobKind(*d.Kind), Priority: *d.Priority,
@@ -96,7 +96,7 @@
 	}
 }
 
-// addOptionalFields adds the optional fields that are there, and each dependency once.
+// addOptionalFields adds the optional fields that are present to j, without duplicate dependencies.
 func (d *jobDocument) addOptionalFields(j *Job) error {
 	if d.MachineTypes != nil {
 		if len(*d.MachineTypes) == 0 || len(*d.MachineTypes) > maxMachineTypes {
--- a/wire/seconds.go
+++ b/wire/seconds.go
@@ -5,22 +5,23 @@
 	"time"
 )
 
-// Seconds is a duration as it stands on the wire: a decimal number of seconds. It is kept
-// as it was read, so that writing it again gives the same number.
+// Seconds is a duration as encoded on the wire: a decimal number of seconds. It is stored
+// unconverted, so that encoding it again gives the same number.
 type Seconds float64
 
-// MaxDuration is the longest duration that is converted to: longer ones, infinite ones included,
-// count as this. It is so far below the range of time.Duration that sums of two or three durations
-// do not overflow.
+// MaxDuration is the longest duration that conversions return: longer ones, infinite ones included,
+// are truncated to it. It is a quarter of the largest time.Duration, so that sums of two or three
+// durations do not overflow.
 const MaxDuration = time.Duration(math.MaxInt64 / 4)
 
-// Duration returns the duration, truncated to whole nanoseconds and to at most [MaxDuration],
-// 73 years, either way. NaN becomes 0.
+// Duration converts s, truncated to whole nanoseconds and limited to the range from -[MaxDuration]
+// to [MaxDuration], which is 73 years. NaN becomes 0.
 func (s Seconds) Duration() time.Duration {
 	return DurationOfNanoseconds(float64(s) * float64(time.Second))
 }
 
-// DurationOfNanoseconds returns a duration of so many nanoseconds, truncated like [Seconds.Duration].
+// DurationOfNanoseconds converts a number of nanoseconds, truncated and limited like
+// [Seconds.Duration].
 func DurationOfNanoseconds(nanoseconds float64) time.Duration {
 	switch {
 	case math.IsNaN(nanoseconds):
