--- a/internal/apiserver/poll.go
+++ b/internal/apiserver/poll.go
@@ -12,7 +12,7 @@
 // errNoSuchJob is the error for a job that was never accepted.
 var errNoSuchJob = &httpError{status: http.StatusNotFound, text: "no such job"}
 
-// jobIDFromPath returns the job id in a request's path. If it is invalid, jobIDFromPath writes the
+// jobIDFromPath returns the job ID in a request's path. If it is invalid, jobIDFromPath writes the
 // error response and ok is false.
 func jobIDFromPath(w http.ResponseWriter, r *http.Request) (id wire.JobID, ok bool) {
 	id = wire.JobID(chi.URLParam(r, "id"))
--- a/internal/apiserver/server_test.go
+++ b/internal/apiserver/server_test.go
@@ -96,7 +96,7 @@
 		s.request("POST", "/work", large, 422, "")
 		s.request("GET", "/work/req-000412", "", 404, "")
 		s.request("POST", "/work", job, 201, wire.JobQueued)
-		// A repeated submission is recognised by its id, whatever the rest of its body says.
+		// A repeated submission is recognized by its ID, whatever the rest of its body says.
 		s.request("POST", "/work", job, 200, wire.JobQueued)
 		s.request("POST", "/work", jobWith(`"crew":"red"`, `"crew":"green"`), 200, wire.JobQueued)
 		s.request("POST", "/work", `{"id":"req-000412","legs":"many"}`, 200, wire.JobQueued)
--- a/internal/autoscaler/write_budget.go
+++ b/internal/autoscaler/write_budget.go
@@ -9,8 +9,8 @@
 	"lynxledge/internal/storelimits"
 )
 
-// writeBudget keeps the leader's commits within its share of the store's write rate, which is what
-// the schedulers' share leaves.
+// writeBudget limits the leader's writes to its share of the store's write rate, which is what the
+// schedulers' share leaves.
 type writeBudget struct {
 	config      *config.Config
 	storeLimits *storelimits.Tracker
--- a/internal/election/assignment.go
+++ b/internal/election/assignment.go
@@ -34,9 +34,9 @@
 	}})
 }
 
-// Assign returns the teams that must move to another controller, with that controller. All teams
-// are assigned to the same controller, since the record of a machine group is best written by a
-// single controller. It keeps them as long as it is live.
+// Assign returns the teams whose assignment has to change, with the controller that each of them
+// gets. All teams are assigned to the same controller, since the record of a machine group is best
+// written by a single controller. They stay with it as long as it is live.
 func Assign(teams []wire.TeamName, assignments map[wire.TeamName]*statecache.Assignment, members map[string]*statecache.Member, leader string) map[wire.TeamName]string {
 	moves := map[wire.TeamName]string{}
 	if len(members) == 0 {
--- a/internal/election/handover.go
+++ b/internal/election/handover.go
@@ -7,9 +7,9 @@
 	"lynxledge/wire"
 )
 
-// ClaimLeadership campaigns although the leader's lease has not expired. This is safe because the
-// claim is conditional on the revision of the leader record. Once it is committed, every write of
-// the former leader fails, and its launches carry older fencing tokens. A former leader that is
+// ClaimLeadership campaigns even though the leader's lease has not expired. This is safe because
+// the claim is conditional on the revision of the leader record. Once it is committed, every write
+// of the former leader fails, and its launches carry older fencing tokens. A former leader that is
 // still alive loses its leadership but nothing else.
 func (e *Election) ClaimLeadership(revision uint64) {
 	e.TrySend(func() {
--- a/internal/estimate/deadlines.go
+++ b/internal/estimate/deadlines.go
@@ -8,11 +8,11 @@
 	"lynxledge/internal/statecache"
 )
 
-// Deadlines returns the times by which a job must finish, in ascending order, measured from
-// job.RunnableSince. So are now and the job's earliest start. A job whose dependents have a
-// deadline is a stage of a pipeline: it gets the share of the time left until that deadline that
-// its runtime has of all the runtimes on the path there, as the paper splits a workflow's deadline
-// over its stages.
+// Deadlines returns the times by which a job must finish, in ascending order. They are measured
+// from job.RunnableSince, like now and start, the time at which the job can start at the earliest.
+// A job whose dependents have a deadline is a stage of a pipeline: of the time left until that
+// deadline it gets the share that its runtime has of all the runtimes on the path there, as the
+// paper splits a workflow's deadline over its stages.
 func Deadlines(cfg *config.Config, job *statecache.Job, runtime, now, start time.Duration) []time.Duration {
 	spec := job.Spec
 	deadlines := ownDeadlines(cfg, job, runtime, start)
--- a/internal/heartbeat/receiver.go
+++ b/internal/heartbeat/receiver.go
@@ -18,9 +18,9 @@
 	// Isolated reports whether there are other controllers but none is reachable.
 	Isolated func() bool
 	// HandleEvidence passes evidence to this controller's scheduler, which writes it after wait
-	// unless another controller has done so.
+	// unless another controller has written it.
 	HandleEvidence func(evidence reconcile.Evidence, wait time.Duration)
-	// SendEvidence sends evidence to another controller; false if it can't be reached.
+	// SendEvidence sends evidence to another controller. It returns false if that can't be reached.
 	SendEvidence func(member string, evidence reconcile.Evidence) bool
 }
 
--- a/internal/peer/message.go
+++ b/internal/peer/message.go
@@ -13,7 +13,7 @@
 	ViewAgeMillis int64  `json:"ageMs"` // age of the sender's view; negative: it has none
 	// Incarnation identifies the sender's process; 0: not announced.
 	Incarnation uint64           `json:"boot,omitempty"`
-	Reachable   []wire.MachineID `json:"heard,omitempty"` // machines that the sender had heartbeats from
+	Reachable   []wire.MachineID `json:"heard,omitempty"` // machines that the sender has received heartbeats from
 	// Evidence is written to the store by the receiver if its scheduler is active; nil: none.
 	Evidence *reconcile.Evidence `json:"note,omitempty"`
 }
--- a/internal/peer/transport.go
+++ b/internal/peer/transport.go
@@ -33,8 +33,8 @@
 
 // Handlers handle the messages of other controllers. They must not wait for the transport.
 type Handlers struct {
-	// Reachable is called with the machines that another controller had heartbeats from; nil: they
-	// are ignored.
+	// Reachable is called with the machines that another controller has received heartbeats from;
+	// nil: they are ignored.
 	Reachable func(member string, machines []wire.MachineID)
 	// Evidence is called with the evidence that another controller forwards; nil: it is ignored.
 	Evidence func(reconcile.Evidence)
@@ -126,7 +126,8 @@
 	return ""
 }
 
-// AnnounceReachable tells the other controllers which machines this one had heartbeats from.
+// AnnounceReachable tells the other controllers which machines this one has received heartbeats
+// from.
 func (t *Transport) AnnounceReachable(machines []wire.MachineID) {
 	heartbeat := t.newHeartbeat()
 	heartbeat.Reachable = machines
--- a/internal/placement/node.go
+++ b/internal/placement/node.go
@@ -44,7 +44,7 @@
 	Zone        wire.Zone
 	Spot        bool
 	Schedulable bool             // tasks may be bound to it
-	Used        resources.Vector // by the tasks that are to stay
+	Used        resources.Vector // by the tasks, except those stopped without a grace period
 	Tasks       []RunningTask
 	HasImage    func(image string) bool
 	// Reserved is capacity for replicas that may soon have to be placed again. Arrays below
--- a/internal/placement/obstacles.go
+++ b/internal/placement/obstacles.go
@@ -15,7 +15,7 @@
 	MovableReplicas int // replicas on full nodes that would make room if they were moved
 }
 
-// FindObstacles classifies the nodes by what keeps a task of a job from them. isAvailable reports
+// FindObstacles classifies the nodes by why they cannot take a task of a job. isAvailable reports
 // whether a node currently takes tasks of the job at all.
 func FindObstacles(job *wire.Job, zones ZoneCounts, nodes []*Node, isAvailable func(*Node) bool) Obstacles {
 	var found Obstacles
--- a/internal/recovery/plan.go
+++ b/internal/recovery/plan.go
@@ -35,7 +35,7 @@
 	Cause   Cause
 }
 
-// Cause is the reason why a replica finds no capacity. The zone status shows it as it is.
+// Cause is the reason why a replica finds no capacity. The zone status shows its text unchanged.
 type Cause string
 
 // Causes of a shortfall, the least specific last.
--- a/internal/simulation/connections.go
+++ b/internal/simulation/connections.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// Connections provides stream connections between the hosts of a Network. A partition holds
-// written data until it heals; a dial that meets one blocks until its context ends.
+// Connections provides stream connections between the hosts of a Network. A partition holds written
+// data until it heals; a dial across a partition blocks until its context ends.
 type Connections struct {
 	network   *Network
 	mu        sync.Mutex
--- a/internal/simulation/invariants.go
+++ b/internal/simulation/invariants.go
@@ -115,8 +115,8 @@
 	}
 }
 
-// Runtime returns how long a task runs, or that it runs forever, for a worker that is commanded to
-// launch it, and counts the launch if the job is cancelled.
+// Runtime returns the runtime of a task, or that it runs forever, for a worker that is commanded to
+// launch it. It counts the launch if the job is cancelled.
 func (c *InvariantChecker) Runtime(task wire.TaskID) (runtime time.Duration, forever bool, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/simulation/store_conn.go
+++ b/internal/simulation/store_conn.go
@@ -15,12 +15,14 @@
 	Timeout time.Duration
 }
 
-// List returns up to limit keys with a prefix, in order, from the first one later than after.
+// List returns a page of the keys with a prefix, in order: up to limit of those that follow the key
+// after.
 func (c *StoreConn) List(ctx context.Context, prefix, after string, limit int) (*wire.RangeResponse, error) {
 	return send(ctx, c.Network, c.Member, StoreHost, c.Timeout, func() (*wire.RangeResponse, error) { return c.Store.list(c.Member, prefix, after, limit) })
 }
 
-// Commit commits a transaction. See SetDelayedCommits for those that are committed late.
+// Commit executes a transaction if all its preconditions hold, and returns its revision. See
+// SetDelayedCommits for those that are executed late.
 func (c *StoreConn) Commit(ctx context.Context, txn *wire.Txn) (uint64, error) {
 	type result struct {
 		revision uint64
@@ -44,19 +46,20 @@
 	return r.revision, err
 }
 
-// Watch returns the changes after a revision; while there are none, it waits for up to hold.
+// Watch returns the changes after a revision to keys with a prefix. If there are none yet, it waits
+// for one, up to hold.
 func (c *StoreConn) Watch(ctx context.Context, prefix string, after uint64, hold time.Duration) (*wire.WatchResponse, error) {
 	return send(ctx, c.Network, c.Member, StoreHost, c.Timeout+hold, func() (*wire.WatchResponse, error) {
 		return c.Store.watch(ctx, c.Member, prefix, after, hold)
 	})
 }
 
-// GrantLease creates a lease and returns its ID.
+// GrantLease grants a lease and returns its ID.
 func (c *StoreConn) GrantLease(ctx context.Context, ttl time.Duration) (uint64, error) {
 	return send(ctx, c.Network, c.Member, StoreHost, c.Timeout, func() (uint64, error) { return c.Store.grant(c.Member, ttl) })
 }
 
-// RenewLease extends a lease by its full TTL.
+// RenewLease renews a lease for its full TTL.
 func (c *StoreConn) RenewLease(ctx context.Context, id uint64) error {
 	_, err := send(ctx, c.Network, c.Member, StoreHost, c.Timeout, func() (struct{}, error) { return struct{}{}, c.Store.renew(c.Member, id) })
 	return err
--- a/internal/simulation/store_sent_times.go
+++ b/internal/simulation/store_sent_times.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// FirstSentAt returns when the transaction that created a revision was first sent, zero if none
-// that was sent did.
+// FirstSentAt returns when the transaction that created a revision was first sent; zero if the
+// revision was not created by a transaction that was sent.
 func (s *Store) FirstSentAt(revision uint64) time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/simulation/worker_conn.go
+++ b/internal/simulation/worker_conn.go
@@ -16,8 +16,8 @@
 	Timeout time.Duration
 }
 
-// SendCommands sends commands to a worker directly, rather than in a heartbeat response; they may
-// be executed late or twice.
+// SendCommands sends a batch of commands directly to a worker, rather than in a heartbeat response,
+// and returns the worker's heartbeat. The commands may be executed late or twice.
 func (c *WorkerConn) SendCommands(ctx context.Context, addr string, batch wire.CommandBatch) (*wire.Heartbeat, error) {
 	return c.call(ctx, addr, func(w *Worker) {
 		if batch.FencingToken >= w.fencingToken && batch.Incarnation == w.incarnation {
--- a/internal/statecache/group_update.go
+++ b/internal/statecache/group_update.go
@@ -70,8 +70,8 @@
 }
 
 // Merge adds the contents of another group of the same pool, which the same commit must delete.
-// Every group costs writes of its own, and replacements of lost machines would stay in groups of
-// one machine.
+// Every group costs writes of its own, and without merges the replacements of lost machines would
+// stay in groups of one machine.
 func (u *GroupUpdate) Merge(other *GroupUpdate) {
 	for _, m := range other.Machines {
 		moved := *m
--- a/internal/statecache/transaction.go
+++ b/internal/statecache/transaction.go
@@ -14,9 +14,9 @@
 	Preconditions []wire.Precondition
 	Puts          []Put
 	Deletes       []string
-	// RetryUntilCertain has a transaction whose outcome is unknown retried, beyond RetryFor,
-	// until an attempt has a final outcome. Since its writes change the keys that its
-	// preconditions compare, no earlier copy of it can be executed after that.
+	// RetryUntilCertain reports whether a transaction whose outcome is unknown is retried, even
+	// beyond RetryFor, until an attempt has a final outcome. Since its writes change the keys that
+	// its preconditions compare, no earlier copy of it can be executed after that.
 	RetryUntilCertain bool
 	// RetryFor is how long the transaction is retried while its outcome is not final.
 	RetryFor time.Duration
--- a/internal/zonecontrol/controller.go
+++ b/internal/zonecontrol/controller.go
@@ -45,8 +45,8 @@
 
 // ClusterStateProvider gives read access to the scheduler's state.
 type ClusterStateProvider interface {
-	// WithClusterState has f called with the state, possibly later. It returns false, without
-	// calling f, if the provider is too busy.
+	// WithClusterState calls f with the state, possibly after it has returned itself. It returns
+	// false, without calling f, if the provider is too busy.
 	WithClusterState(f func(placement.ClusterState)) bool
 }
 
--- a/internal/zonehealth/evidence.go
+++ b/internal/zonehealth/evidence.go
@@ -38,7 +38,7 @@
 // Machines returns the number of expected and failed machines.
 func (e Evidence) Machines() int { return e.Expected + e.Failed }
 
-// Down returns how many of Machines are unreachable or failed.
+// Down returns how many of the Machines are unreachable or failed.
 func (e Evidence) Down() int { return e.Unreachable + e.Failed }
 
 // Reachable returns how many expected machines are reachable; new ones count as such.
@@ -75,9 +75,9 @@
 	return strings.Join(parts, ", ")
 }
 
-// NoneReachable reports whether there are machines, but none is reachable in any zone. Nothing
-// can be concluded from such evidence: this controller is more likely partitioned from all
-// machines than all zones lost, and if they are, no zone is left to place replicas in.
+// NoneReachable reports whether there are machines, but none is reachable in any zone. Nothing can
+// be concluded from such evidence: it is more likely that this controller is partitioned from all
+// machines than that all zones are lost, and if they are, no zone is left to place replicas in.
 func NoneReachable(evidence map[wire.Zone]Evidence) bool {
 	machines := 0
 	for _, e := range evidence {
--- a/wire/doc.go
+++ b/wire/doc.go
@@ -57,7 +57,7 @@
 //	fetchGbPerS          image fetch rate
 //	hourly, marketPrice  price and spot price per hour
 //	bootS                boot time
-//	hire                 id of a provision request, which makes it idempotent
+//	hire                 ID of a provision request, which makes it idempotent
 //	howMany              count
 //	hosts, nests         instances
 //	heldS                age: time since the provision request
--- a/wire/ids.go
+++ b/wire/ids.go
@@ -9,10 +9,10 @@
 // the store's limits on value sizes.
 const maxNameBytes = 128
 
-// JobID is the id of a job, chosen by its user: "req-" and 6 to 18 digits.
+// JobID is the ID of a job, chosen by its user: "req-" and 6 to 18 digits.
 type JobID string
 
-// TaskID identifies a task in messages to and from workers: its job's id, a slash and its index.
+// TaskID identifies a task in messages to and from workers: its job's ID, a slash and its index.
 type TaskID string
 
 // MachineID is the name of a machine, chosen by the cloud.
@@ -24,18 +24,18 @@
 // TeamName is the name of a team. Quotas apply to teams.
 type TeamName string
 
-// ValidJobID reports whether s is a well-formed job id.
+// ValidJobID reports whether s is a well-formed job ID.
 func ValidJobID(s string) bool {
 	digits, ok := strings.CutPrefix(s, "req-")
 	return ok && len(digits) >= 6 && len(digits) <= 18 && onlyDigits(digits)
 }
 
-// NewTaskID returns the id of the task of a job with an index, which starts at 0.
+// NewTaskID returns the ID of the task of a job with an index, which starts at 0.
 func NewTaskID(job JobID, index int) TaskID {
 	return TaskID(string(job) + "/" + strconv.Itoa(index))
 }
 
-// ParseTaskID splits a task's id into the job's id and the index; ok is false if id is not valid.
+// ParseTaskID splits a task's ID into the job's ID and the index; ok is false if id is not valid.
 func ParseTaskID(id TaskID) (job JobID, index int, ok bool) {
 	jobID, digits, found := strings.Cut(string(id), "/")
 	if !found || !ValidJobID(jobID) || digits == "" || len(digits) > 6 || (digits[0] == '0' && digits != "0") || !onlyDigits(digits) {
--- a/wire/job_parse.go
+++ b/wire/job_parse.go
@@ -37,8 +37,8 @@
 	Dependencies       []string  `json:"awaits"`
 }
 
-// PeekJobID decodes only the id of a submission. The repeated submission of a known job can thus be
-// recognised whatever the rest of its body says.
+// PeekJobID decodes only the ID of a submission. The repeated submission of a known job can thus be
+// recognized whatever the rest of its body says.
 func PeekJobID(b []byte) (id JobID, ok bool) {
 	var document struct {
 		ID *JobID `json:"id"`
