--- a/internal/apiserver/admission.go
+++ b/internal/apiserver/admission.go
@@ -26,7 +26,8 @@
 }
 
 // checkRequirements returns an *httpError if a job can never run on the known machine types or
-// within its team's quota, or if the machine types are not known yet.
+// within its team's quota, if its record would be too large for the store, or if the machine types
+// are not known yet.
 func (s *Server) checkRequirements(job *wire.Job) error {
 	team, ok := s.config.Params.TeamQuota(job.Team)
 	if !ok {
--- a/internal/apiserver/ready.go
+++ b/internal/apiserver/ready.go
@@ -25,8 +25,8 @@
 // controllers see, none serves users better, so this one stays ready with a stale view: it rejects
 // requests at once with Retry-After and serves users as soon as the outage ends. But a controller
 // that has lost its peers too can't tell an outage from its own isolation, in which users who stay
-// connected to it would never be served. isolationTimeoutLeases is short enough for them to find
-// another controller in time.
+// connected to it would never be served. It therefore stays ready only until its view is older than
+// isolationTimeoutLeases, which leaves users enough time to find another controller.
 func (s *Server) isReady() bool {
 	const noView = time.Duration(math.MaxInt64) // view age if the view or the machine types are not loaded yet
 	viewAge, ok := actor.Ask(s.Actor, func(reply func(time.Duration)) {
